--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -72,6 +72,7 @@
 
 // Each scenario keeps the bound that the command's exit code stands for.
 func TestEveryScenarioKeepsItsBound(t *testing.T) {
+	t.Parallel()
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
@@ -83,16 +84,21 @@
 
 // No run serves more than the bound, within what the draw of the work may favour.
 func TestNoRunServesMoreThanTheBound(t *testing.T) {
+	t.Parallel()
 	for _, s := range Scenarios() {
-		bound, err := meanBound(s, int(seedsOf(s.Name)))
-		require.NoError(t, err)
-		_, worth := play(t, s.Name, policy.Without{})
-		require.LessOrEqual(t, worth, bound+0.01, s.Name)
+		t.Run(s.Name, func(t *testing.T) {
+			t.Parallel()
+			bound, err := meanBound(s, int(seedsOf(s.Name)))
+			require.NoError(t, err)
+			_, worth := play(t, s.Name, policy.Without{})
+			require.LessOrEqual(t, worth, bound+0.01, s.Name)
+		})
 	}
 }
 
 // A run is a function of its options.
 func TestARunRepeats(t *testing.T) {
+	t.Parallel()
 	o := Scenarios()[1].Options(7)
 	first, err := Run(o)
 	require.NoError(t, err)
@@ -103,6 +109,7 @@
 
 // The gains that stay, each under its load: callers must get more than without the mechanism.
 func TestMechanismsServeCallersBetter(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		scenario string
 		without  policy.Without
@@ -137,22 +144,27 @@
 // Beyond what the targets can take, as many requests are answered in time as at full load, and far more than first in, first out
 // answers.
 func TestGoodputUnderOverload(t *testing.T) {
+	t.Parallel()
 	const peak = 0.98
 	for _, name := range []string{"overload", "overload-heavy"} {
-		found, err := Find([]string{name})
-		require.NoError(t, err)
-		o := found[0].Options(1)
-		capacity := float64(seedsOf(name)) * float64(o.Targets*o.Slots) / o.Work.Seconds() * o.Length.Seconds()
-		ours, _ := play(t, name, policy.Without{})
-		require.Greater(t, float64(ours.InTime)/capacity, peak*0.997, "%s: 0.997 is answered in time at full load", name)
-		plain, _ := play(t, name, policy.Without{TimelyFirst: true})
-		require.Greater(t, ours.InTime, 5*plain.InTime, name)
-		require.Greater(t, ours.InTime+ours.Late, plain.InTime+plain.Late, name)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			found, err := Find([]string{name})
+			require.NoError(t, err)
+			o := found[0].Options(1)
+			capacity := float64(seedsOf(name)) * float64(o.Targets*o.Slots) / o.Work.Seconds() * o.Length.Seconds()
+			ours, _ := play(t, name, policy.Without{})
+			require.Greater(t, float64(ours.InTime)/capacity, peak*0.997, "%s: 0.997 is answered in time at full load", name)
+			plain, _ := play(t, name, policy.Without{TimelyFirst: true})
+			require.Greater(t, ours.InTime, 5*plain.InTime, name)
+			require.Greater(t, ours.InTime+ours.Late, plain.InTime+plain.Late, name)
+		})
 	}
 }
 
 // Targets that reset everything they are given lose a few requests each until they are left out, not a share of all.
 func TestFailingTargetsLoseFewRequests(t *testing.T) {
+	t.Parallel()
 	with, _ := play(t, "targets-fail", policy.Without{})
 	without, _ := play(t, "targets-fail", policy.Without{FailingLast: true})
 	require.Less(t, with.Lost+with.Late, 100)
@@ -162,6 +174,7 @@
 // Targets that answer everything at once with an error look free; each of the two is found by a handful of requests, and by one more at
 // each try.
 func TestWrongAnswersAreFew(t *testing.T) {
+	t.Parallel()
 	with, _ := play(t, "targets-wrong", policy.Without{})
 	without, _ := play(t, "targets-wrong", policy.Without{FailedAnswers: true})
 	require.Less(t, with.Wrong, 3*2*20)
@@ -171,6 +184,7 @@
 // Targets that all start cold and get their full load crash, start cold once more, and never recover. With the bound that their
 // service declares none does.
 func TestColdTargetsDoNotCrash(t *testing.T) {
+	t.Parallel()
 	for _, name := range []string{"all-cold", "half-cold"} {
 		with, _ := play(t, name, policy.Without{})
 		require.Zero(t, with.Crashed, name)
@@ -183,6 +197,7 @@
 
 // Full goodput is back within twice the warm-up of targets that all start cold.
 func TestGoodputReturnsWhenTargetsAreWarm(t *testing.T) {
+	t.Parallel()
 	found, err := Find([]string{"all-cold"})
 	require.NoError(t, err)
 	o := found[0].Options(1)
@@ -198,13 +213,18 @@
 
 // Work three times longer or shorter, and targets of 1 and 16 slots, are served like those that the start values fit.
 func TestNoFigureIsThatOfOneDeployment(t *testing.T) {
+	t.Parallel()
 	for _, name := range []string{"work-long", "work-short", "slots-1", "slots-16", "far"} {
-		_, worth := play(t, name, policy.Without{})
-		require.Greater(t, worth, 0.99, name)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			_, worth := play(t, name, policy.Without{})
+			require.Greater(t, worth, 0.99, name)
+		})
 	}
 }
 
 func TestTheTableNamesWhatIsBroken(t *testing.T) {
+	t.Parallel()
 	found, err := Find([]string{"calm"})
 	require.NoError(t, err)
 	rows, err := Compare(t.Context(), found, policy.Mechanisms()[:1], 2, 2)
@@ -225,6 +245,7 @@
 }
 
 func TestBadOptionsAreRefused(t *testing.T) {
+	t.Parallel()
 	for name, change := range map[string]func(*Options){
 		"no targets":    func(o *Options) { o.Targets = 0 },
 		"too many":      func(o *Options) { o.Balancers = maxVMs },
