--- a/pkg/membership/detector.go
+++ b/pkg/membership/detector.go
@@ -20,7 +20,7 @@
 	balancers []Member
 	watched   map[string]*watched
 	votes     map[string]map[string]receivedVote
-	reach     *peerReach
+	peers     *peerReachability
 	lastTick  time.Time
 	lossSince time.Time
 }
@@ -37,12 +37,12 @@
 		table:   table,
 		watched: make(map[string]*watched),
 		votes:   make(map[string]map[string]receivedVote),
-		reach:   newPeerReach(),
+		peers:   newPeerReachability(),
 	}
 }
 
-// Heartbeat notes that a member was heard. It reports whether the member is watched here.
-func (d *Detector) Heartbeat(id string, incarnation uint64, now time.Time) bool {
+// RecordHeartbeat notes that a member was heard. It reports whether the member is watched here.
+func (d *Detector) RecordHeartbeat(id string, incarnation uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
@@ -53,43 +53,43 @@
 		return true
 	}
 	w.silentSince = now
-	w.heard = true
-	w.refused = false
+	w.seen = true
+	w.failed = false
 	if w.member.Role == RoleBalancer {
-		d.reach.add(id, true, now)
+		d.peers.record(id, true, now)
 	}
 	return true
 }
 
-// Hears reports whether a member is watched here and was heard.
-func (d *Detector) Hears(id string) bool {
+// HasSeen reports whether a member is watched here and was heard.
+func (d *Detector) HasSeen(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
-	return ok && w.heard
+	return ok && w.seen
 }
 
-// Refused notes that a member's host refused a packet or that its heartbeat connection broke; it is suspected at once,
+// RecordFailure notes that a member's host refused a packet or that its heartbeat connection broke; it is suspected at once,
 // until it is heard again.
-func (d *Detector) Refused(id string, incarnation uint64) {
+func (d *Detector) RecordFailure(id string, incarnation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
 	if !ok || w.member.Incarnation != incarnation {
 		return
 	}
-	w.refused = true
+	w.failed = true
 }
 
-// PeerResult notes whether a call to another balancer succeeded.
-func (d *Detector) PeerResult(id string, ok bool, now time.Time) {
+// RecordPeerResult notes whether a call to another balancer succeeded.
+func (d *Detector) RecordPeerResult(id string, ok bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reach.add(id, ok, now)
+	d.peers.record(id, ok, now)
 }
 
-// Vote takes in the vote of another watcher.
-func (d *Detector) Vote(v Vote, now time.Time) {
+// RecordVote takes in the vote of another watcher.
+func (d *Detector) RecordVote(v Vote, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	byVoter := d.votes[v.Member]
@@ -108,18 +108,18 @@
 func (d *Detector) Tick(now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgivePause(now)
+	d.compensatePause(now)
 	d.refresh(now)
-	d.dropOldVotes(now)
-	decision := Decision{CutOff: d.cutOff(now)}
+	d.expireVotes(now)
+	decision := Decision{CutOff: d.isCutOff(now)}
 	for _, id := range sortedKeys(d.watched) {
-		d.judge(d.watched[id], &decision, now)
+		d.evaluate(d.watched[id], &decision, now)
 	}
 	return decision
 }
 
-// forgivePause moves all times on when the observer itself was paused: heartbeats may wait in its sockets.
-func (d *Detector) forgivePause(now time.Time) {
+// compensatePause moves all times on when the observer itself was paused: heartbeats may wait in its sockets.
+func (d *Detector) compensatePause(now time.Time) {
 	last := d.lastTick
 	d.lastTick = now
 	if last.IsZero() {
@@ -149,14 +149,14 @@
 	}
 	d.version = version
 	for i := range members {
-		if !d.follow(&members[i], moved, now) {
+		if !d.updateWatch(&members[i], moved, now) {
 			delete(d.watched, members[i].ID)
 		}
 	}
 }
 
-// follow updates what is known of a member and reports whether it is watched here.
-func (d *Detector) follow(m *Member, moved bool, now time.Time) bool {
+// updateWatch updates what is known of a member and reports whether it is watched here.
+func (d *Detector) updateWatch(m *Member, moved bool, now time.Time) bool {
 	if !m.Live() || m.ID == d.cfg.Self {
 		return false
 	}
@@ -181,14 +181,14 @@
 // update takes over a member's record. A new incarnation gets time to find its watchers.
 func (w *watched) update(m *Member, now time.Time) {
 	if m.Incarnation > w.member.Incarnation {
-		w.heard = false
-		w.refused = false
+		w.seen = false
+		w.failed = false
 		w.silentSince = now
 	}
 	w.member = *m
 }
 
-func (d *Detector) dropOldVotes(now time.Time) {
+func (d *Detector) expireVotes(now time.Time) {
 	for id, byVoter := range d.votes {
 		for voter, v := range byVoter {
 			if now.Sub(v.at) > d.cfg.VoteLifetime {
@@ -201,11 +201,11 @@
 	}
 }
 
-// cutOff reports whether the observer takes itself for cut off: it reaches none of several peers, or most members fell
+// isCutOff reports whether the observer takes itself for cut off: it reaches none of several peers, or most members fell
 // silent at once. A loss that lasts while the peers can be reached is real.
-func (d *Detector) cutOff(now time.Time) bool {
-	alone := d.reach.none(now)
-	if !d.massLoss(now) {
+func (d *Detector) isCutOff(now time.Time) bool {
+	alone := d.peers.noneReachable(now)
+	if !d.hasMassLoss(now) {
 		d.lossSince = time.Time{}
 		return alone
 	}
@@ -215,47 +215,47 @@
 	return alone || now.Sub(d.lossSince) < d.cfg.MassLossHold
 }
 
-// massLoss reports whether more than half of the members that were heard before are silent now.
-func (d *Detector) massLoss(now time.Time) bool {
+// hasMassLoss reports whether more than half of the members that were heard before are silent now.
+func (d *Detector) hasMassLoss(now time.Time) bool {
 	heard, lost := 0, 0
 	for _, w := range d.watched {
-		if !w.heard {
+		if !w.seen {
 			continue
 		}
 		heard++
-		if w.missed(&d.cfg, now) {
+		if w.isSuspect(&d.cfg, now) {
 			lost++
 		}
 	}
 	return lost >= minMassLoss && lost*2 > heard
 }
 
-func (d *Detector) judge(w *watched, decision *Decision, now time.Time) {
-	if decision.CutOff || !w.missed(&d.cfg, now) {
-		d.withdraw(w, decision)
+func (d *Detector) evaluate(w *watched, decision *Decision, now time.Time) {
+	if decision.CutOff || !w.isSuspect(&d.cfg, now) {
+		d.withdrawVote(w, decision)
 		return
 	}
-	if now.Sub(w.voted) >= d.cfg.VoteRepeat {
-		w.voted = now
+	if now.Sub(w.lastVote) >= d.cfg.VoteRepeat {
+		w.lastVote = now
 		decision.Ballots = append(decision.Ballots, d.ballot(w, false))
 	}
-	if d.agreed(w) {
-		decision.Dead = append(decision.Dead, verdict(w.member, now))
+	if d.hasMajority(w) {
+		decision.Dead = append(decision.Dead, deadRecord(w.member, now))
 	}
 }
 
-func verdict(m Member, now time.Time) Member {
+func deadRecord(m Member, now time.Time) Member {
 	m.State = StateDead
 	m.Changed = now
 	return m
 }
 
-// withdraw takes back the observer's vote when it has given one.
-func (d *Detector) withdraw(w *watched, decision *Decision) {
-	if w.voted.IsZero() {
+// withdrawVote takes back the observer's vote when it has given one.
+func (d *Detector) withdrawVote(w *watched, decision *Decision) {
+	if w.lastVote.IsZero() {
 		return
 	}
-	w.voted = time.Time{}
+	w.lastVote = time.Time{}
 	decision.Ballots = append(decision.Ballots, d.ballot(w, true))
 }
 
@@ -271,11 +271,11 @@
 	return Ballot{Vote: v, To: others}
 }
 
-// agreed reports whether a majority of the watchers, the observer among them, suspects the member.
-func (d *Detector) agreed(w *watched) bool {
+// hasMajority reports whether a majority of the watchers, the observer among them, suspects the member.
+func (d *Detector) hasMajority(w *watched) bool {
 	count := 1
 	for voter, v := range d.votes[w.member.ID] {
-		if voter != d.cfg.Self && slices.Contains(w.watchers, voter) && w.current(v.vote) {
+		if voter != d.cfg.Self && slices.Contains(w.watchers, voter) && w.matchesRecord(v.vote) {
 			count++
 		}
 	}
--- a/pkg/membership/detector_test.go
+++ b/pkg/membership/detector_test.go
@@ -69,7 +69,7 @@
 	return members
 }
 
-func (o *observers) passes(from, to string) bool {
+func (o *observers) delivers(from, to string) bool {
 	if o.silent[from] || o.silent[to] || o.paused[from] {
 		return false
 	}
@@ -85,56 +85,56 @@
 
 func (o *observers) step() {
 	if o.now.Sub(testTime)%time.Second == 0 {
-		o.heartbeats()
+		o.sendHeartbeats()
 	}
 	for _, id := range o.ids {
 		if o.silent[id] || o.paused[id] {
 			continue
 		}
-		o.contacts(id)
+		o.recordPeerResults(id)
 		decision := o.detectors[id].Tick(o.now)
 		o.cutOff[id] = decision.CutOff
 		for _, b := range decision.Ballots {
-			o.send(b)
+			o.sendBallot(b)
 		}
 		for _, m := range decision.Dead {
 			o.tables[id].Merge(m, o.now)
 		}
 	}
-	o.spread()
+	o.replicate()
 }
 
-func (o *observers) heartbeats() {
+func (o *observers) sendHeartbeats() {
 	for _, m := range o.members {
 		for _, id := range o.ids {
-			if m.ID != id && o.passes(m.ID, id) {
-				o.detectors[id].Heartbeat(m.ID, m.Incarnation, o.now)
+			if m.ID != id && o.delivers(m.ID, id) {
+				o.detectors[id].RecordHeartbeat(m.ID, m.Incarnation, o.now)
 			}
 		}
 	}
 }
 
-// contacts stands for the exchange with all other balancers.
-func (o *observers) contacts(id string) {
+// recordPeerResults stands for the exchange with all other balancers.
+func (o *observers) recordPeerResults(id string) {
 	for _, other := range o.ids {
 		if m, _ := o.tables[id].Get(other); other != id && m.Live() {
-			o.detectors[id].PeerResult(other, o.passes(id, other) && o.passes(other, id), o.now)
+			o.detectors[id].RecordPeerResult(other, o.delivers(id, other) && o.delivers(other, id), o.now)
 		}
 	}
 }
 
-func (o *observers) send(b Ballot) {
+func (o *observers) sendBallot(b Ballot) {
 	for _, to := range b.To {
-		if o.passes(b.Vote.Voter, to) {
-			o.detectors[to].Vote(b.Vote, o.now)
+		if o.delivers(b.Vote.Voter, to) {
+			o.detectors[to].RecordVote(b.Vote, o.now)
 		}
 	}
 }
 
-func (o *observers) spread() {
+func (o *observers) replicate() {
 	for _, from := range o.ids {
 		for _, to := range o.ids {
-			if from == to || !o.passes(from, to) {
+			if from == to || !o.delivers(from, to) {
 				continue
 			}
 			for _, m := range o.tables[from].Members() {
@@ -144,8 +144,8 @@
 	}
 }
 
-// dead returns the IDs that an observer holds for dead.
-func (o *observers) dead(id string) []string {
+// deadIDs returns the IDs that an observer holds for deadIDs.
+func (o *observers) deadIDs(id string) []string {
 	var ids []string
 	for _, m := range o.tables[id].Members() {
 		if m.State == StateDead {
@@ -279,52 +279,52 @@
 			}
 			o.run(c.after)
 			for _, id := range c.judges {
-				require.Equal(t, c.want, o.dead(id), "view of %s", id)
+				require.Equal(t, c.want, o.deadIDs(id), "view of %s", id)
 			}
 		})
 	}
 }
 
-func TestPausedObserverJudgesNobodyWhenItWakes(t *testing.T) {
+func TestPausedObserverDeclaresNoneDeadOnResume(t *testing.T) {
 	o := newObservers(fleet("r", 1, 2, 8)...)
 	o.run(5 * time.Second)
 	o.paused["r-b0"] = true
 	o.run(30 * time.Second)
-	require.Equal(t, []string{"r-b0"}, o.dead("r-b1"))
+	require.Equal(t, []string{"r-b0"}, o.deadIDs("r-b1"))
 	o.paused["r-b0"] = false
 	decision := o.detectors["r-b0"].Tick(o.now)
 	require.Empty(t, decision.Dead)
 	require.Empty(t, decision.Ballots)
 }
 
-func TestRegionsAgreeAfterSplit(t *testing.T) {
+func TestRegionsConvergeAfterPartition(t *testing.T) {
 	o := newObservers(append(fleet("r", 2, 4, 6), fleet("s", 2, 4, 6)...)...)
 	o.run(5 * time.Second)
 	o.cut = func(from, to string) bool { return from[0] != to[0] }
 	o.silent["r-t1"], o.silent["s-t2"] = true, true
 	o.run(60 * time.Second)
-	require.Equal(t, []string{"r-t1"}, o.dead("r-b0"))
-	require.Equal(t, []string{"s-t2"}, o.dead("s-b0"))
+	require.Equal(t, []string{"r-t1"}, o.deadIDs("r-b0"))
+	require.Equal(t, []string{"s-t2"}, o.deadIDs("s-b0"))
 	o.cut = nil
 	o.run(2 * time.Second)
 	for _, id := range o.ids {
-		require.Equal(t, []string{"r-t1", "s-t2"}, o.dead(id))
+		require.Equal(t, []string{"r-t1", "s-t2"}, o.deadIDs(id))
 		require.Equal(t, o.tables["r-b0"].Root(), o.tables[id].Root())
 	}
 }
 
-func TestRefusedMemberIsSuspectedAtOnce(t *testing.T) {
+func TestFailedMemberIsSuspectedImmediately(t *testing.T) {
 	o := newObservers(fleet("r", 1, 3, 8)...)
 	o.run(5 * time.Second)
 	for _, id := range o.ids {
-		o.detectors[id].Refused("r-t1", 1)
+		o.detectors[id].RecordFailure("r-t1", 1)
 	}
 	o.silent["r-t1"] = true
 	o.run(2 * testTick)
-	require.Equal(t, []string{"r-t1"}, o.dead("r-b0"))
+	require.Equal(t, []string{"r-t1"}, o.deadIDs("r-b0"))
 }
 
-func TestVotesThatDoNotCount(t *testing.T) {
+func TestIgnoredVotes(t *testing.T) {
 	vote := func(voter string) Vote {
 		return Vote{Voter: voter, Member: "r-t1", Incarnation: 1, Sequence: 1}
 	}
@@ -349,12 +349,12 @@
 			}
 			d := NewDetector(DetectorConfig{Self: "r-b0"}, table)
 			d.Tick(testTime)
-			d.Refused("r-t1", 1)
+			d.RecordFailure("r-t1", 1)
 			for _, v := range c.votes {
-				d.Vote(v, testTime)
+				d.RecordVote(v, testTime)
 			}
 			require.Empty(t, d.Tick(testTime.Add(c.age)).Dead)
-			d.Vote(vote("r-b2"), testTime.Add(c.age))
+			d.RecordVote(vote("r-b2"), testTime.Add(c.age))
 			require.Len(t, d.Tick(testTime.Add(c.age)).Dead, 1, "one valid vote more is a majority")
 		})
 	}
@@ -380,35 +380,35 @@
 	require.Len(t, Watchers(&stranger, balancers), WatcherCount, "a region without balancers is watched by others")
 }
 
-func TestPauseIsNotSilence(t *testing.T) {
+func TestPauseDoesNotCountAsSilence(t *testing.T) {
 	table := NewTable(TableConfig{})
 	for _, m := range fleet("r", 1, 1, 1) {
 		table.Merge(m, testTime)
 	}
 	d := NewDetector(DetectorConfig{Self: "r-b0"}, table)
 	d.Tick(testTime)
-	d.Heartbeat("r-t0", 1, testTime)
+	d.RecordHeartbeat("r-t0", 1, testTime)
 	awake := testTime.Add(30 * time.Second)
 	require.Empty(t, d.Tick(awake).Ballots)
 	require.Empty(t, d.Tick(awake.Add(time.Second)).Dead)
 	require.Len(t, d.Tick(awake.Add(2*time.Second)).Dead, 1)
 }
 
-func TestObserverThatReachesNoPeerVotesForNone(t *testing.T) {
+func TestCutOffObserverDoesNotVote(t *testing.T) {
 	table := NewTable(TableConfig{})
 	for _, m := range fleet("r", 1, 3, 8) {
 		table.Merge(m, testTime)
 	}
 	d := NewDetector(DetectorConfig{Self: "r-b0"}, table)
 	d.Tick(testTime)
-	d.Refused("r-t1", 1)
-	d.Vote(Vote{Voter: "r-b1", Member: "r-t1", Incarnation: 1, Sequence: 1}, testTime)
-	d.PeerResult("r-b1", false, testTime)
-	d.PeerResult("r-b2", false, testTime)
+	d.RecordFailure("r-t1", 1)
+	d.RecordVote(Vote{Voter: "r-b1", Member: "r-t1", Incarnation: 1, Sequence: 1}, testTime)
+	d.RecordPeerResult("r-b1", false, testTime)
+	d.RecordPeerResult("r-b2", false, testTime)
 	decision := d.Tick(testTime)
 	require.True(t, decision.CutOff)
 	require.Empty(t, decision.Ballots)
 	require.Empty(t, decision.Dead)
-	d.PeerResult("r-b2", true, testTime)
+	d.RecordPeerResult("r-b2", true, testTime)
 	require.Len(t, d.Tick(testTime).Dead, 1)
 }
--- a/pkg/membership/group_test.go
+++ b/pkg/membership/group_test.go
@@ -56,7 +56,7 @@
 	return ids
 }
 
-func TestGroupHoldsLiveMembersOfTheDataCentre(t *testing.T) {
+func TestGroupHoldsLiveMembersOfItsDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		active := target("t1", "marka-hall", 1, membership.StateActive)
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestNewHolderDropsNothing(t *testing.T) {
+func TestNewHolderKeepsStoredMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		stop := hold(newWriter(s, target("t1", "marka-hall", 1, membership.StateActive)), 1)
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestFormerHolderChangesNothing(t *testing.T) {
+func TestFormerHolderIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		former := newWriter(s, target("t1", "marka-hall", 1, membership.StateActive))
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestReadGroupsReportsWhatItCannotDecode(t *testing.T) {
+func TestReadGroupsReportsDecodeErrors(t *testing.T) {
 	s := store.New(store.Config{})
 	_, err := s.Create(t.Context(), resource.KindMembers, "bad", []byte(`{"members":7}`))
 	require.NoError(t, err)
--- a/pkg/membership/peer_reach.go
+++ b/pkg/membership/peer_reach.go
@@ -4,35 +4,35 @@
 
 // Limits of peerReach.
 const (
-	// reachWindow is how long a result counts.
-	reachWindow = 3 * time.Second
-	// minUnreached is the number of peers whose failure shows that the observer is cut off.
-	minUnreached = 2
+	// peerResultLifetime is how long a result counts.
+	peerResultLifetime = 3 * time.Second
+	// minUnreachablePeers is the number of peers whose failure shows that the observer is cut off.
+	minUnreachablePeers = 2
 )
 
-type reachResult struct {
+type peerResult struct {
 	ok bool
 	at time.Time
 }
 
-// peerReach remembers whether peers could be reached of late.
-type peerReach struct {
-	results map[string]reachResult
+// peerReachability remembers whether peers could be reached of late.
+type peerReachability struct {
+	results map[string]peerResult
 }
 
-func newPeerReach() *peerReach {
-	return &peerReach{results: make(map[string]reachResult)}
+func newPeerReachability() *peerReachability {
+	return &peerReachability{results: make(map[string]peerResult)}
 }
 
-func (r *peerReach) add(id string, ok bool, now time.Time) {
-	r.results[id] = reachResult{ok: ok, at: now}
+func (r *peerReachability) record(id string, ok bool, now time.Time) {
+	r.results[id] = peerResult{ok: ok, at: now}
 }
 
-// none reports whether several peers were tried and none was reached.
-func (r *peerReach) none(now time.Time) bool {
+// noneReachable reports whether several peers were tried and noneReachable was reached.
+func (r *peerReachability) noneReachable(now time.Time) bool {
 	failed := 0
 	for id, result := range r.results {
-		if now.Sub(result.at) > reachWindow {
+		if now.Sub(result.at) > peerResultLifetime {
 			delete(r.results, id)
 			continue
 		}
@@ -41,5 +41,5 @@
 		}
 		failed++
 	}
-	return failed >= minUnreached
+	return failed >= minUnreachablePeers
 }
--- a/pkg/membership/region_reach.go
+++ b/pkg/membership/region_reach.go
@@ -7,8 +7,8 @@
 
 // Limits of RegionReach.
 const (
-	// RegionSilence is how long no balancer of a region may be reached before the region counts as unreachable.
-	RegionSilence = 5 * time.Second
+	// RegionTimeout is how long no balancer of a region may be reached before the region counts as unreachable.
+	RegionTimeout = 5 * time.Second
 	// minRegionFailures is the number of failed calls that must fall into the silence.
 	minRegionFailures = 3
 )
@@ -18,20 +18,20 @@
 	failures int
 }
 
-// RegionReach finds out which regions can't be reached. Members of such a region are kept as they are: nothing is
+// RegionReachability finds out which regions can't be reached. Members of such a region are kept as they are: nothing is
 // dropped on one region's word. All methods may be called from any goroutine.
-type RegionReach struct {
+type RegionReachability struct {
 	mu      sync.Mutex
 	regions map[string]*regionState
 }
 
-// NewRegionReach returns a RegionReach that knows no region.
-func NewRegionReach() *RegionReach {
-	return &RegionReach{regions: make(map[string]*regionState)}
+// NewRegionReachability returns a RegionReach that knows no region.
+func NewRegionReachability() *RegionReachability {
+	return &RegionReachability{regions: make(map[string]*regionState)}
 }
 
-// Result notes whether a call to a balancer of a region succeeded and reports whether the region is reachable.
-func (r *RegionReach) Result(region string, ok bool, now time.Time) bool {
+// RecordResult notes whether a call to a balancer of a region succeeded and reports whether the region is reachable.
+func (r *RegionReachability) RecordResult(region string, ok bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, found := r.regions[region]
@@ -42,5 +42,5 @@
 	if !ok {
 		s.failures++
 	}
-	return s.failures < minRegionFailures || now.Sub(s.since) < RegionSilence
+	return s.failures < minRegionFailures || now.Sub(s.since) < RegionTimeout
 }
--- a/pkg/membership/region_reach_test.go
+++ b/pkg/membership/region_reach_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestRegionReach(t *testing.T) {
-	r := NewRegionReach()
+	r := NewRegionReachability()
 	at := func(s int) time.Time { return testTime.Add(time.Duration(s) * time.Second) }
-	require.True(t, r.Result("hcm", true, at(0)))
-	require.True(t, r.Result("hcm", false, at(1)))
-	require.True(t, r.Result("hcm", false, at(9)), "two failures are too few")
-	require.False(t, r.Result("hcm", false, at(10)))
-	require.True(t, r.Result("amman-east", false, at(10)), "regions are judged by themselves")
-	require.True(t, r.Result("hcm", true, at(11)))
-	require.True(t, r.Result("hcm", false, at(12)))
+	require.True(t, r.RecordResult("hcm", true, at(0)))
+	require.True(t, r.RecordResult("hcm", false, at(1)))
+	require.True(t, r.RecordResult("hcm", false, at(9)), "two failures are too few")
+	require.False(t, r.RecordResult("hcm", false, at(10)))
+	require.True(t, r.RecordResult("amman-east", false, at(10)), "regions are judged by themselves")
+	require.True(t, r.RecordResult("hcm", true, at(11)))
+	require.True(t, r.RecordResult("hcm", false, at(12)))
 }
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -17,7 +17,7 @@
 
 // Table is the set of member records known to a process. All methods may be called from any goroutine.
 type Table struct {
-	lifetime time.Duration
+	tombstoneLifetime time.Duration
 
 	mu          sync.Mutex
 	entries     map[string]*entry
@@ -37,10 +37,10 @@
 // NewTable returns an empty table.
 func NewTable(cfg TableConfig) *Table {
 	t := &Table{
-		lifetime:    cmp.Or(cfg.TombstoneLifetime, DefaultTombstoneLifetime),
-		entries:     make(map[string]*entry),
-		unreachable: make(map[string]bool),
-		subscribers: make(map[chan struct{}]struct{}),
+		tombstoneLifetime: cmp.Or(cfg.TombstoneLifetime, DefaultTombstoneLifetime),
+		entries:           make(map[string]*entry),
+		unreachable:       make(map[string]bool),
+		subscribers:       make(map[chan struct{}]struct{}),
 	}
 	for i := range t.buckets {
 		t.buckets[i] = make(map[uint32]*entry)
@@ -177,8 +177,8 @@
 	return removed
 }
 
-// Forget removes a member without a tombstone. It is meant for tables that mirror another one.
-func (t *Table) Forget(id string) {
+// Remove removes a member without a tombstone. It is meant for tables that mirror another one.
+func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[id]
@@ -236,7 +236,7 @@
 }
 
 func (t *Table) expired(m *Member, now time.Time) bool {
-	return m.State.Gone() && now.Sub(m.Changed) > t.lifetime
+	return m.State.Gone() && now.Sub(m.Changed) > t.tombstoneLifetime
 }
 
 func (t *Table) insert(m Member) {
@@ -249,8 +249,8 @@
 func (t *Table) replace(e *entry, m Member) {
 	b := bucketOf(e.idHash)
 	t.hashes[b] ^= e.hash
-	t.forgetBalancers(&e.member)
-	t.forgetBalancers(&m)
+	t.invalidateBalancers(&e.member)
+	t.invalidateBalancers(&m)
 	t.agents += liveAgents(&m) - liveAgents(&e.member)
 	e.member = m
 	e.hash = recordHash(&m)
@@ -259,8 +259,8 @@
 	e.modified = t.version
 }
 
-// forgetBalancers drops the cached list when a balancer's record changes.
-func (t *Table) forgetBalancers(m *Member) {
+// invalidateBalancers drops the cached list when a balancer's record changes.
+func (t *Table) invalidateBalancers(m *Member) {
 	if m.Role == RoleBalancer {
 		t.balancers = nil
 		t.watchers = nil
@@ -276,7 +276,7 @@
 }
 
 func (t *Table) remove(e *entry) {
-	t.forgetBalancers(&e.member)
+	t.invalidateBalancers(&e.member)
 	t.agents -= liveAgents(&e.member)
 	b := bucketOf(e.idHash)
 	t.hashes[b] ^= e.hash
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -69,7 +69,7 @@
 	require.Len(t, table.Members(), 1)
 }
 
-func TestSubscribersAreToldOnce(t *testing.T) {
+func TestSubscribersAreNotifiedOnce(t *testing.T) {
 	table := NewTable(TableConfig{})
 	changes, cancel := table.Subscribe()
 	defer cancel()
@@ -91,7 +91,7 @@
 			id := fmt.Sprintf("t%d", rapid.IntRange(0, 5).Draw(t, "member"))
 			switch rapid.IntRange(0, 9).Draw(t, "change") {
 			case 0:
-				table.Forget(id)
+				table.Remove(id)
 			case 1:
 				table.Expire(testTime.Add(time.Hour))
 			default:
--- a/pkg/membership/watched.go
+++ b/pkg/membership/watched.go
@@ -8,26 +8,26 @@
 	watchers []string
 	// silentSince is when the member was last heard, or when the watch began.
 	silentSince time.Time
-	heard       bool
-	// refused is set when the member's host or connection reported that the process is gone.
-	refused bool
-	// voted is when the observer last voted against the member; zero when it doesn't suspect it.
-	voted time.Time
+	seen        bool
+	// failed is set when the member's host or connection reported that the process is gone.
+	failed bool
+	// lastVote is when the observer last lastVote against the member; zero when it doesn't suspect it.
+	lastVote time.Time
 }
 
-// missed reports whether the member has been silent for too long.
-func (w *watched) missed(c *DetectorConfig, now time.Time) bool {
-	if w.refused {
+// isSuspect reports whether the member has been silent for too long.
+func (w *watched) isSuspect(c *DetectorConfig, now time.Time) bool {
+	if w.failed {
 		return true
 	}
 	limit := c.SuspectAfter
-	if !w.heard {
+	if !w.seen {
 		limit = c.Grace
 	}
 	return now.Sub(w.silentSince) > limit
 }
 
-// current reports whether a vote is about the record that is known here.
-func (w *watched) current(v Vote) bool {
+// matchesRecord reports whether a vote is about the record that is known here.
+func (w *watched) matchesRecord(v Vote) bool {
 	return v.Incarnation == w.member.Incarnation && v.Sequence == w.member.Sequence
 }
--- a/pkg/peer/control_heartbeat.go
+++ b/pkg/peer/control_heartbeat.go
@@ -51,7 +51,7 @@
 // broken notes that the stream ended without a good-bye: the process is likely gone.
 func (b *beatStream) broken() {
 	if b.id != "" {
-		b.node.detector.Refused(b.id, b.incarnation)
+		b.node.detector.RecordFailure(b.id, b.incarnation)
 	}
 }
 
@@ -66,7 +66,7 @@
 	if r.GetIncarnation() != 0 {
 		b.incarnation, b.sequence = r.GetIncarnation(), r.GetSequence()
 	}
-	b.node.detector.Heartbeat(b.id, b.incarnation, b.node.cfg.Now())
+	b.node.detector.RecordHeartbeat(b.id, b.incarnation, b.node.cfg.Now())
 	if b.node.cfg.OnLoad != nil {
 		b.node.cfg.OnLoad(b.id, r.GetLoad())
 	}
--- a/pkg/peer/failure_test.go
+++ b/pkg/peer/failure_test.go
@@ -26,7 +26,7 @@
 		eventually(t, "all targets", func() bool { v := o.view("route-svc"); return v != nil && len(v.Targets) == 4 })
 	}
 	for _, n := range nodes {
-		eventually(t, "heard", func() bool { return n.detector.Hears("t0") })
+		eventually(t, "heard", func() bool { return n.detector.HasSeen("t0") })
 	}
 	killed.kill()
 	for _, n := range nodes {
@@ -74,7 +74,7 @@
 	for _, n := range nodes {
 		eventually(t, "active everywhere", func() bool { return n.state("t0") == membership.StateActive })
 		if slices.Contains(watchers, n.cfg.Self.ID) {
-			eventually(t, "heard", func() bool { return n.detector.Hears("t0") })
+			eventually(t, "heard", func() bool { return n.detector.HasSeen("t0") })
 			continue
 		}
 		survivors = append(survivors, n)
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, n := range survivors {
-		eventually(t, "heard by others", func() bool { return n.detector.Hears("t0") })
+		eventually(t, "heard by others", func() bool { return n.detector.HasSeen("t0") })
 		now, _ := n.table.Get("t0")
 		require.Equal(t, m.Sequence, now.Sequence, "nobody held the agent for dead")
 		require.Equal(t, membership.StateActive, now.State)
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -24,7 +24,7 @@
 	cfg      NodeConfig
 	table    *membership.Table
 	detector *membership.Detector
-	regions  *membership.RegionReach
+	regions  *membership.RegionReachability
 	acks     *membership.Acks
 	readings *readings
 	history  *history
@@ -65,7 +65,7 @@
 		cfg:      cfg,
 		table:    cfg.Table,
 		detector: membership.NewDetector(cfg.Detector, cfg.Table),
-		regions:  membership.NewRegionReach(),
+		regions:  membership.NewRegionReachability(),
 		acks:     membership.NewAcks(),
 		readings: newReadings(),
 		history:  &history{},
--- a/pkg/peer/node_detect.go
+++ b/pkg/peer/node_detect.go
@@ -9,11 +9,11 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// Refused notes that the host of an agent refused a datagram; the agent is suspected at once if it is watched here.
-func (n *Node) Refused(agent netip.AddrPort) {
+// RecordUnreachable notes that the host of an agent refused a datagram; the agent is suspected at once if it is watched here.
+func (n *Node) RecordUnreachable(agent netip.AddrPort) {
 	for _, m := range n.table.Members() {
 		if m.PacketAddr == agent && m.Role == membership.RoleAgent && m.Live() {
-			n.detector.Refused(m.ID, m.Incarnation)
+			n.detector.RecordFailure(m.ID, m.Incarnation)
 		}
 	}
 }
--- a/pkg/peer/node_exchange.go
+++ b/pkg/peer/node_exchange.go
@@ -187,12 +187,12 @@
 func (n *Node) note(p membership.Member, ok bool) {
 	now := n.cfg.Now()
 	if p.State != membership.StateDead {
-		n.detector.PeerResult(p.ControlAddr, ok, now)
+		n.detector.RecordPeerResult(p.ControlAddr, ok, now)
 	}
 	if p.Region == "" || p.Region == n.cfg.Self.Region {
 		return
 	}
-	reachable := n.regions.Result(p.Region, ok, now)
+	reachable := n.regions.RecordResult(p.Region, ok, now)
 	if n.table.SetUnreachable(p.Region, !reachable) {
 		n.cfg.Log.Warn().Str("op", "reach region").Str("region", p.Region).Bool("reachable", reachable).Msg("members are kept as they are")
 	}
--- a/pkg/peer/service_state.go
+++ b/pkg/peer/service_state.go
@@ -122,7 +122,7 @@
 			listed = listed || source.members[m.ID]
 		}
 		if !listed {
-			s.table.Forget(m.ID)
+			s.table.Remove(m.ID)
 		}
 	}
 }
