--- a/pkg/membership/acks.go
+++ b/pkg/membership/acks.go
@@ -10,17 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ack names the balancers that have a revision in force.
+// Ack lists balancers whose highest revision in force is Revision.
 type Ack struct {
-	// Revision is the number of the revision.
 	Revision uint64
-	// Balancers are hashes made by HashID.
+	// Balancers holds the HashID of each balancer.
 	Balancers []uint32
 }
 
-// Acks holds the highest revision that each balancer has in force. It is kept apart from the member records because a
-// change of all balancers' records with each revision would cost each balancer the size of all records; an entry here
-// takes 4 bytes. All methods may be called from any goroutine.
+// Acks holds the highest revision that each balancer has in force. Acknowledgements are not part of the member records,
+// because each revision would then resend the record of every balancer to every balancer; an entry here takes 4 bytes
+// on the wire. All methods are safe for concurrent use.
 type Acks struct {
 	mu      sync.Mutex
 	entries map[uint32]ackEntry
@@ -33,12 +32,11 @@
 	modified uint64
 }
 
-// NewAcks returns an empty set.
 func NewAcks() *Acks {
 	return &Acks{entries: make(map[uint32]ackEntry), changed: make(chan struct{}, 1)}
 }
 
-// Set notes that a balancer has a revision in force; a lower revision than known changes nothing.
+// Set records that a balancer has a revision in force. A revision that isn't higher than the recorded one is ignored.
 func (a *Acks) Set(id string, revision uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,12 +55,12 @@
 	}
 }
 
-// Changed returns a channel that gets a value after changes. There is one channel only.
+// Changed returns a channel that receives a value after changes. All calls return the same channel.
 func (a *Acks) Changed() <-chan struct{} {
 	return a.changed
 }
 
-// Merge takes in what another balancer knows.
+// Merge adds the acknowledgements reported by another balancer.
 func (a *Acks) Merge(acks []Ack) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,13 +71,14 @@
 	}
 }
 
-// All returns everything known, by rising revision.
+// All returns all acknowledgements in ascending order of revision.
 func (a *Acks) All() []Ack {
 	acks, _ := a.ChangedSince(0)
 	return acks
 }
 
-// ChangedSince returns what changed after the given version, by rising revision, and the present version.
+// ChangedSince returns the acknowledgements that changed after the given version of the set, in ascending order of
+// revision, and the current version.
 func (a *Acks) ChangedSince(version uint64) ([]Ack, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,7 +97,7 @@
 	return acks, a.version
 }
 
-// Retain forgets all balancers but the given ones.
+// Retain removes all balancers except the given ones.
 func (a *Acks) Retain(balancers []Member) {
 	keep := make(map[uint32]bool, len(balancers))
 	for _, b := range balancers {
@@ -109,7 +108,7 @@
 	maps.DeleteFunc(a.entries, func(hash uint32, _ ackEntry) bool { return !keep[hash] })
 }
 
-// Root returns a hash of everything known.
+// Root returns a hash over all entries, which doesn't depend on their order.
 func (a *Acks) Root() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,7 +122,8 @@
 	return root
 }
 
-// InForce returns how many of the given balancers have at least the revision in force, and how many of them are live.
+// InForce returns n, how many of the live balancers among those given have this or a higher revision in force, and m,
+// how many are live.
 func (a *Acks) InForce(revision uint64, balancers []Member) (n, m int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/membership/detector.go
+++ b/pkg/membership/detector.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
-// minMassLoss is the number of members that a loss must cover to be taken for the observer's own fault.
+// minMassLoss is the smallest number of suspected members that counts as a mass loss, which is first attributed to the
+// observer's own network.
 const minMassLoss = 2
 
-// Detector is the failure detector of one balancer. It watches the members that Watchers gives it, votes against silent
-// ones and finds a member dead when a majority of its watchers agrees. All methods may be called from any goroutine.
+// Detector is the failure detector of one balancer. It watches the members that Watchers assigns to it, votes against
+// silent ones and declares a member dead when a majority of its watchers suspects it. All methods are safe for
+// concurrent use.
 type Detector struct {
 	cfg DetectorConfig
 
@@ -41,7 +43,8 @@
 	}
 }
 
-// RecordHeartbeat notes that a member was heard. It reports whether the member is watched here.
+// RecordHeartbeat records a heartbeat of a member and reports whether this detector watches the member. A heartbeat of
+// an earlier incarnation is ignored.
 func (d *Detector) RecordHeartbeat(id string, incarnation uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +64,7 @@
 	return true
 }
 
-// HasSeen reports whether a member is watched here and was heard.
+// HasSeen reports whether this detector watches the member and has received a heartbeat of its current incarnation.
 func (d *Detector) HasSeen(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,8 +72,8 @@
 	return ok && w.seen
 }
 
-// RecordFailure notes that a member's host refused a packet or that its heartbeat connection broke; it is suspected at once,
-// until it is heard again.
+// RecordFailure records that a member's host refused a packet or that its heartbeat stream broke. The member is
+// suspected immediately, until its next heartbeat. Failures of other incarnations are ignored.
 func (d *Detector) RecordFailure(id string, incarnation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,14 +84,15 @@
 	w.failed = true
 }
 
-// RecordPeerResult notes whether a call to another balancer succeeded.
+// RecordPeerResult records whether a call to another balancer succeeded. The id may be any stable key of the balancer,
+// for example its control address.
 func (d *Detector) RecordPeerResult(id string, ok bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peers.record(id, ok, now)
 }
 
-// RecordVote takes in the vote of another watcher.
+// RecordVote records the vote of another watcher, or removes it when v is withdrawn.
 func (d *Detector) RecordVote(v Vote, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,7 +108,7 @@
 	byVoter[v.Voter] = receivedVote{vote: v, at: now}
 }
 
-// Tick judges all watched members. Call it several times a second.
+// Tick evaluates all watched members. It is to be called several times a second.
 func (d *Detector) Tick(now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +122,8 @@
 	return decision
 }
 
-// compensatePause moves all times on when the observer itself was paused: heartbeats may wait in its sockets.
+// compensatePause adds the length of a pause of the observer's own process to the last seen times, because heartbeats
+// that arrived during the pause may still wait in its sockets.
 func (d *Detector) compensatePause(now time.Time) {
 	last := d.lastTick
 	d.lastTick = now
@@ -134,34 +139,35 @@
 	}
 }
 
-// refresh takes over what has changed in the table. When a balancer comes or goes, all members get their watchers anew.
+// refresh applies the changes of the table. When the balancers change, the watchers of all members are assigned again.
 func (d *Detector) refresh(now time.Time) {
 	version := d.table.Version()
 	if version == d.version {
 		return
 	}
 	balancers := d.table.Balancers()
-	moved := !sameBalancers(balancers, d.balancers)
+	reassign := !sameBalancers(balancers, d.balancers)
 	d.balancers = balancers
 	members := d.table.ChangedSince(d.version)
-	if moved {
+	if reassign {
 		members = d.table.Members()
 	}
 	d.version = version
 	for i := range members {
-		if !d.updateWatch(&members[i], moved, now) {
+		if !d.updateWatch(&members[i], reassign, now) {
 			delete(d.watched, members[i].ID)
 		}
 	}
 }
 
-// updateWatch updates what is known of a member and reports whether it is watched here.
-func (d *Detector) updateWatch(m *Member, moved bool, now time.Time) bool {
+// updateWatch updates the state of a member and reports whether this detector watches it. Unless reassign is set, the
+// watchers of a watched member are kept while its location is the same.
+func (d *Detector) updateWatch(m *Member, reassign bool, now time.Time) bool {
 	if !m.Live() || m.ID == d.cfg.Self {
 		return false
 	}
 	w, ok := d.watched[m.ID]
-	if ok && !moved && w.member.Region == m.Region && w.member.DataCentre == m.DataCentre {
+	if ok && !reassign && w.member.Region == m.Region && w.member.DataCentre == m.DataCentre {
 		w.update(m, now)
 		return true
 	}
@@ -178,7 +184,7 @@
 	return true
 }
 
-// update takes over a member's record. A new incarnation gets time to find its watchers.
+// update sets the member's record. A new incarnation gets the grace time to reach its watchers.
 func (w *watched) update(m *Member, now time.Time) {
 	if m.Incarnation > w.member.Incarnation {
 		w.seen = false
@@ -201,33 +207,33 @@
 	}
 }
 
-// isCutOff reports whether the observer takes itself for cut off: it reaches none of several peers, or most members fell
-// silent at once. A loss that lasts while the peers can be reached is real.
+// isCutOff reports whether the observer considers itself cut off: several peers were called and none was reachable, or
+// most members are suspect. A mass loss that lasts for MassLossHold while peers are reachable is accepted as real.
 func (d *Detector) isCutOff(now time.Time) bool {
-	alone := d.peers.noneReachable(now)
+	isolated := d.peers.noneReachable(now)
 	if !d.hasMassLoss(now) {
 		d.lossSince = time.Time{}
-		return alone
+		return isolated
 	}
 	if d.lossSince.IsZero() {
 		d.lossSince = now
 	}
-	return alone || now.Sub(d.lossSince) < d.cfg.MassLossHold
+	return isolated || now.Sub(d.lossSince) < d.cfg.MassLossHold
 }
 
-// hasMassLoss reports whether more than half of the members that were heard before are silent now.
+// hasMassLoss reports whether more than half of the members that have sent a heartbeat are suspect now.
 func (d *Detector) hasMassLoss(now time.Time) bool {
-	heard, lost := 0, 0
+	seen, lost := 0, 0
 	for _, w := range d.watched {
 		if !w.seen {
 			continue
 		}
-		heard++
+		seen++
 		if w.isSuspect(&d.cfg, now) {
 			lost++
 		}
 	}
-	return lost >= minMassLoss && lost*2 > heard
+	return lost >= minMassLoss && lost*2 > seen
 }
 
 func (d *Detector) evaluate(w *watched, decision *Decision, now time.Time) {
@@ -250,7 +256,7 @@
 	return m
 }
 
-// withdrawVote takes back the observer's vote when it has given one.
+// withdrawVote withdraws the observer's vote against the member, if there is one.
 func (d *Detector) withdrawVote(w *watched, decision *Decision) {
 	if w.lastVote.IsZero() {
 		return
@@ -271,7 +277,7 @@
 	return Ballot{Vote: v, To: others}
 }
 
-// hasMajority reports whether a majority of the watchers, the observer among them, suspects the member.
+// hasMajority reports whether a majority of the member's watchers, counting the observer, suspects it.
 func (d *Detector) hasMajority(w *watched) bool {
 	count := 1
 	for voter, v := range d.votes[w.member.ID] {
--- a/pkg/membership/detector_config.go
+++ b/pkg/membership/detector_config.go
@@ -15,21 +15,21 @@
 	DefaultPauseLimit   = time.Second
 )
 
-// DetectorConfig holds the settings of a Detector; zero values mean the defaults.
+// DetectorConfig holds the settings of a Detector; zero values other than Self mean the defaults.
 type DetectorConfig struct {
 	// Self is the ID of the observing balancer.
 	Self string
-	// SuspectAfter is how long a member may be silent. Members send a heartbeat every second.
+	// SuspectAfter is the silence after which a member is suspected. Members send a heartbeat every second.
 	SuspectAfter time.Duration
-	// Grace is how long a member may be silent after it became watched by this balancer.
+	// Grace replaces SuspectAfter until the first heartbeat of the member's incarnation.
 	Grace time.Duration
-	// VoteLifetime is how long a vote counts.
+	// VoteLifetime is the time after which a received vote expires.
 	VoteLifetime time.Duration
-	// VoteRepeat is the time after which a vote that still holds is sent again.
+	// VoteRepeat is the time between repeats of a vote while the member stays suspect.
 	VoteRepeat time.Duration
-	// MassLossHold is how long an observer that reaches its peers takes a loss of most members for its own fault.
+	// MassLossHold is how long an observer that reaches its peers doesn't vote after it lost most members at once.
 	MassLossHold time.Duration
-	// PauseLimit is the time between two calls of Tick above which the observer itself was paused.
+	// PauseLimit is the time between two calls of Tick above which the observer's process counts as paused.
 	PauseLimit time.Duration
 }
 
--- a/pkg/membership/detector_test.go
+++ b/pkg/membership/detector_test.go
@@ -11,18 +11,18 @@
 
 const testTick = 250 * time.Millisecond
 
-// observers runs the detectors of several balancers on one injected clock and carries their votes and verdicts.
+// observers simulates the detectors of several balancers on one injected clock and delivers their votes and records.
 type observers struct {
 	now       time.Time
 	ids       []string
 	tables    map[string]*Table
 	detectors map[string]*Detector
 	members   []Member
-	// silent are processes that are dead; paused ones run no tick and send nothing.
+	// silent processes are dead; paused ones run no tick and send nothing.
 	silent, paused map[string]bool
-	// cut reports whether nothing passes from one process to another; nil means never.
+	// cut reports whether messages from one process to another are dropped; nil means never.
 	cut func(from, to string) bool
-	// cutOff holds what each observer thinks of itself.
+	// cutOff holds the last Decision.CutOff of each observer.
 	cutOff map[string]bool
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// recordPeerResults stands for the exchange with all other balancers.
+// recordPeerResults simulates calls of an observer to all other live balancers.
 func (o *observers) recordPeerResults(id string) {
 	for _, other := range o.ids {
 		if m, _ := o.tables[id].Get(other); other != id && m.Live() {
@@ -144,7 +144,7 @@
 	}
 }
 
-// deadIDs returns the IDs that an observer holds for deadIDs.
+// deadIDs returns the members that are dead in an observer's table.
 func (o *observers) deadIDs(id string) []string {
 	var ids []string
 	for _, m := range o.tables[id].Members() {
@@ -180,43 +180,43 @@
 		members []Member
 		fault   func(o *observers)
 		after   time.Duration
-		// judges are the observers whose finding counts; want is what each of them holds for dead.
-		judges []string
-		want   []string
+		// observers are those whose tables are checked; want are the dead members in each of them.
+		observers []string
+		want      []string
 	}{
 		"nothing fails": {
-			members: fleet("r", 3, 6, 20), after: 10 * time.Second, judges: []string{"r-b0", "r-b5"},
+			members: fleet("r", 3, 6, 20), after: 10 * time.Second, observers: []string{"r-b0", "r-b5"},
 		},
 		"one target dies": {
-			members: fleet("r", 3, 6, 20), after: 3 * time.Second, judges: []string{"r-b0", "r-b5"}, want: []string{"r-t3"},
+			members: fleet("r", 3, 6, 20), after: 3 * time.Second, observers: []string{"r-b0", "r-b5"}, want: []string{"r-t3"},
 			fault: func(o *observers) { o.silent["r-t3"] = true },
 		},
 		"one balancer and a target die together": {
-			members: fleet("r", 3, 6, 20), after: 8 * time.Second, judges: []string{"r-b1", "r-b5"}, want: []string{"r-b0", "r-t3"},
+			members: fleet("r", 3, 6, 20), after: 8 * time.Second, observers: []string{"r-b1", "r-b5"}, want: []string{"r-b0", "r-t3"},
 			fault: func(o *observers) { o.silent["r-t3"], o.silent["r-b0"] = true, true },
 		},
 		"one of two balancers dies": {
-			members: fleet("r", 2, 2, 8), after: 3 * time.Second, judges: []string{"r-b1"}, want: []string{"r-b0"},
+			members: fleet("r", 2, 2, 8), after: 3 * time.Second, observers: []string{"r-b1"}, want: []string{"r-b0"},
 			fault: func(o *observers) { o.silent["r-b0"] = true },
 		},
 		"target dies before a lone balancer": {
-			members: fleet("r", 1, 1, 3), after: 3 * time.Second, judges: []string{"r-b0"}, want: []string{"r-t1"},
+			members: fleet("r", 1, 1, 3), after: 3 * time.Second, observers: []string{"r-b0"}, want: []string{"r-t1"},
 			fault: func(o *observers) { o.silent["r-t1"] = true },
 		},
-		"one balancer alone doesn't hear a target": {
-			members: fleet("r", 3, 6, 20), after: 10 * time.Second, judges: []string{"r-b0", "r-b1", "r-b2", "r-b3", "r-b4", "r-b5"},
+		"one balancer alone doesn't receive a target's heartbeats": {
+			members: fleet("r", 3, 6, 20), after: 10 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2", "r-b3", "r-b4", "r-b5"},
 			fault: func(o *observers) {
-				deaf := Watchers(&o.members[9], o.members[:6])[0]
+				watcher := Watchers(&o.members[9], o.members[:6])[0]
 				target := o.members[9].ID
-				o.cut = func(from, to string) bool { return from == target && to == deaf }
+				o.cut = func(from, to string) bool { return from == target && to == watcher }
 			},
 		},
-		"balancer whose inbound is cut drops nothing": {
-			members: fleet("r", 3, 6, 20), after: 30 * time.Second, judges: []string{"r-b2"},
+		"balancer without inbound traffic declares none dead": {
+			members: fleet("r", 3, 6, 20), after: 30 * time.Second, observers: []string{"r-b2"},
 			fault: func(o *observers) { o.cut = func(_, to string) bool { return to == "r-b2" } },
 		},
-		"balancer that reaches no peer votes for none": {
-			members: fleet("r", 1, 3, 20), after: 30 * time.Second, judges: []string{"r-b2"},
+		"balancer that reaches no peer declares none dead": {
+			members: fleet("r", 1, 3, 20), after: 30 * time.Second, observers: []string{"r-b2"},
 			fault: func(o *observers) {
 				o.cut = func(from, to string) bool {
 					other := func(id string) bool { return id == "r-b0" || id == "r-b1" || id == "r-t3" }
@@ -224,8 +224,8 @@
 				}
 			},
 		},
-		"most targets die while the peers are reached": {
-			members: fleet("r", 1, 3, 6), after: 14 * time.Second, judges: []string{"r-b0", "r-b1", "r-b2"},
+		"most targets die while peers are reachable": {
+			members: fleet("r", 1, 3, 6), after: 14 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2"},
 			want: []string{"r-t0", "r-t1", "r-t2", "r-t3", "r-t4", "r-t5"},
 			fault: func(o *observers) {
 				for i := range 6 {
@@ -233,8 +233,8 @@
 				}
 			},
 		},
-		"loss of most targets isn't believed at once": {
-			members: fleet("r", 1, 3, 6), after: 8 * time.Second, judges: []string{"r-b0", "r-b1", "r-b2"},
+		"loss of most targets is held back at first": {
+			members: fleet("r", 1, 3, 6), after: 8 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2"},
 			fault: func(o *observers) {
 				for i := range 6 {
 					o.silent[fmt.Sprintf("r-t%d", i)] = true
@@ -242,7 +242,7 @@
 			},
 		},
 		"data centre dies": {
-			members: fleet("r", 4, 12, 40), after: 12 * time.Second, judges: []string{"r-b0", "r-b5"},
+			members: fleet("r", 4, 12, 40), after: 12 * time.Second, observers: []string{"r-b0", "r-b5"},
 			want: idsIn(fleet("r", 4, 12, 40), "r-dc3"),
 			fault: func(o *observers) {
 				for _, id := range idsIn(o.members, "r-dc3") {
@@ -250,23 +250,23 @@
 				}
 			},
 		},
-		"inside of an isolated data centre drops nothing": {
-			members: fleet("r", 4, 12, 40), after: 30 * time.Second, judges: []string{"r-b3", "r-b7"},
+		"isolated data centre declares none dead": {
+			members: fleet("r", 4, 12, 40), after: 30 * time.Second, observers: []string{"r-b3", "r-b7"},
 			fault: func(o *observers) {
 				dc := dataCentreOf(o.members)
 				o.cut = func(from, to string) bool { return (dc[from] == "r-dc3") != (dc[to] == "r-dc3") }
 			},
 		},
-		"region split drops nothing on either side": {
+		"partition between regions declares none dead on either side": {
 			members: append(fleet("r", 2, 4, 10), fleet("s", 2, 4, 10)...), after: 60 * time.Second,
-			judges: []string{"r-b0", "r-b3", "s-b0", "s-b3"},
+			observers: []string{"r-b0", "r-b3", "s-b0", "s-b3"},
 			fault: func(o *observers) {
 				o.cut = func(from, to string) bool { return from[0] != to[0] }
 			},
 		},
-		"death within one region reaches the other": {
+		"death in one region reaches the other": {
 			members: append(fleet("r", 2, 4, 10), fleet("s", 2, 4, 10)...), after: 3 * time.Second,
-			judges: []string{"r-b0", "s-b3"}, want: []string{"r-t1"},
+			observers: []string{"r-b0", "s-b3"}, want: []string{"r-t1"},
 			fault: func(o *observers) { o.silent["r-t1"] = true },
 		},
 	}
@@ -278,7 +278,7 @@
 				c.fault(o)
 			}
 			o.run(c.after)
-			for _, id := range c.judges {
+			for _, id := range c.observers {
 				require.Equal(t, c.want, o.deadIDs(id), "view of %s", id)
 			}
 		})
@@ -336,9 +336,9 @@
 	}{
 		"none":                {},
 		"own":                 {votes: []Vote{vote("r-b0"), vote("r-b0")}},
-		"stranger":            {votes: []Vote{vote("x"), vote("y")}},
+		"not a watcher":       {votes: []Vote{vote("x"), vote("y")}},
 		"about an old record": {votes: []Vote{old}},
-		"outdated":            {votes: []Vote{vote("r-b1")}, age: 4 * time.Second},
+		"expired":             {votes: []Vote{vote("r-b1")}, age: 4 * time.Second},
 		"withdrawn":           {votes: []Vote{vote("r-b1"), {Voter: "r-b1", Member: "r-t1", Withdrawn: true}}},
 	}
 	for name, c := range cases {
@@ -355,7 +355,7 @@
 			}
 			require.Empty(t, d.Tick(testTime.Add(c.age)).Dead)
 			d.RecordVote(vote("r-b2"), testTime.Add(c.age))
-			require.Len(t, d.Tick(testTime.Add(c.age)).Dead, 1, "one valid vote more is a majority")
+			require.Len(t, d.Tick(testTime.Add(c.age)).Dead, 1, "one more valid vote makes a majority")
 		})
 	}
 }
@@ -368,16 +368,16 @@
 		ids := Watchers(&m, balancers)
 		require.NotContains(t, ids, m.ID)
 		slices.Reverse(balancers)
-		require.Equal(t, ids, Watchers(&m, balancers), "order of the list")
+		require.Equal(t, ids, Watchers(&m, balancers), "the order of the balancers must not matter")
 		if m.Region == "s" {
 			require.Len(t, ids, map[Role]int{RoleAgent: 2, RoleBalancer: 1}[m.Role], "watchers stay in the region")
 			continue
 		}
 		require.Len(t, ids, WatcherCount)
-		require.NotEqual(t, []string{dc[m.ID], dc[m.ID], dc[m.ID]}, []string{dc[ids[0]], dc[ids[1]], dc[ids[2]]}, "one data centre")
+		require.NotEqual(t, []string{dc[m.ID], dc[m.ID], dc[m.ID]}, []string{dc[ids[0]], dc[ids[1]], dc[ids[2]]}, "not all watchers in the member's data centre")
 	}
-	stranger := testMember("q-t0", "q", "q-dc0", RoleAgent)
-	require.Len(t, Watchers(&stranger, balancers), WatcherCount, "a region without balancers is watched by others")
+	remote := testMember("q-t0", "q", "q-dc0", RoleAgent)
+	require.Len(t, Watchers(&remote, balancers), WatcherCount, "agents of a region without balancers are watched from others")
 }
 
 func TestPauseDoesNotCountAsSilence(t *testing.T) {
@@ -388,10 +388,10 @@
 	d := NewDetector(DetectorConfig{Self: "r-b0"}, table)
 	d.Tick(testTime)
 	d.RecordHeartbeat("r-t0", 1, testTime)
-	awake := testTime.Add(30 * time.Second)
-	require.Empty(t, d.Tick(awake).Ballots)
-	require.Empty(t, d.Tick(awake.Add(time.Second)).Dead)
-	require.Len(t, d.Tick(awake.Add(2*time.Second)).Dead, 1)
+	resumed := testTime.Add(30 * time.Second)
+	require.Empty(t, d.Tick(resumed).Ballots)
+	require.Empty(t, d.Tick(resumed.Add(time.Second)).Dead)
+	require.Len(t, d.Tick(resumed.Add(2*time.Second)).Dead, 1)
 }
 
 func TestCutOffObserverDoesNotVote(t *testing.T) {
--- a/pkg/membership/digest.go
+++ b/pkg/membership/digest.go
@@ -6,33 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is the number of buckets of the digest. With a few thousand members the list of bucket hashes and the
-// summary of one bucket are of like size, a few hundred bytes.
+// bucketCount is the number of buckets of the digest. With a few thousand members, the list of bucket hashes and the
+// summary of one bucket are of similar size, a few hundred bytes.
 const bucketCount = 64
 
-// summaryEntrySize is the size of one entry of a summary, in bytes.
+// summaryEntrySize is the size in bytes of one entry of a summary.
 const summaryEntrySize = 8
 
-// recordOverhead is the size of a record's fixed fields on the wire, in bytes; an upper bound.
+// recordOverhead is an upper bound for the size in bytes of a record's fixed fields on the wire.
 const recordOverhead = 80
 
-// Digest stands for the content of a table.
+// Digest identifies the content of a table by hashes.
 type Digest struct {
 	// Root is the hash of the whole table.
 	Root uint64
-	// Buckets are the hashes of the buckets.
+	// Buckets holds the lower 32 bits of the hash of each bucket.
 	Buckets []uint32
 }
 
-// Summary lists the members of one bucket.
+// Summary lists the members of one bucket by hashes.
 type Summary struct {
 	// Bucket is the number of the bucket.
 	Bucket uint32
-	// Entries holds for each member HashID in the upper and the hash of the record in the lower 32 bits.
+	// Entries holds, for each member, its HashID in the upper 32 bits and the hash of its record in the lower 32 bits.
 	Entries []uint64
 }
 
-// HashID returns the short hash that names a member in digests.
+// HashID returns the hash that identifies a member in digests and acknowledgements.
 func HashID(id string) uint32 {
 	return uint32(xxhash.Sum64String(id))
 }
@@ -41,7 +41,7 @@
 	return idHash % bucketCount
 }
 
-// recordHash covers all fields that are sent, except Changed, which decides no merge.
+// recordHash hashes all fields that are sent, except Changed, on which no merge depends.
 func recordHash(m *Member) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -83,7 +83,6 @@
 	return d.Sum64()
 }
 
-// Digest returns the digest of the table.
 func (t *Table) Digest() Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +93,7 @@
 	return d
 }
 
-// Differing returns the numbers of the buckets whose hash isn't the given one.
+// Differing returns the numbers of the buckets whose hash differs from that in buckets.
 func (t *Table) Differing(buckets []uint32) []uint32 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,7 +106,7 @@
 	return differing
 }
 
-// Summaries describes the given buckets in at most maxBytes, but at least the first one.
+// Summaries returns the summaries of the given buckets, in order, as many as fit into maxBytes but at least one.
 func (t *Table) Summaries(buckets []uint32, maxBytes int) []Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,9 +133,10 @@
 	return s
 }
 
-// Delta compares the table with another one's summaries. It returns the records that the other lacks or holds in
-// another version, in at most maxBytes but at least one, and the hashes of the members that the table wants from the
-// other.
+// Delta compares the table with the summaries of another one. It returns the records that the other table lacks or
+// holds with another content, as many as fit into maxBytes but at least one, and the hashes of the members whose
+// records this table lacks or holds with another content. When the records don't fit, want covers only the buckets
+// compared so far.
 func (t *Table) Delta(summaries []Summary, maxBytes int) (members []Member, want []uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,7 +176,7 @@
 	return differing, want
 }
 
-// Select returns the records with the given hashes, in at most maxBytes but at least one.
+// Select returns the records of the members with the given HashIDs, as many as fit into maxBytes but at least one.
 func (t *Table) Select(hashes []uint32, maxBytes int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +196,7 @@
 	return members
 }
 
-// RecordSize is an upper bound of the size of a record on the wire, in bytes.
+// RecordSize returns an upper bound for the size in bytes of a record on the wire.
 func RecordSize(m *Member) int {
 	return recordOverhead + len(m.ID) + len(m.Region) + len(m.DataCentre) + len(m.ControlAddr) + len(m.Service) + len(m.Version)
 }
--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -1,3 +1,3 @@
-// Package membership keeps the records of agents and balancers, decides which of them are dead, and writes them to the
-// object API in groups. Apart from the group functions it does no I/O and reads no clock.
+// Package membership holds the records of agents and balancers, detects which of them have failed, and writes them to
+// the object API in groups. Apart from the group functions it does no I/O and reads no clock.
 package membership
--- a/pkg/membership/group.go
+++ b/pkg/membership/group.go
@@ -11,22 +11,21 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// maxGroupBytes bounds the members of one stored object, in bytes of JSON; it leaves room below
+// maxGroupBytes is the maximum size of the members of one stored object, in bytes of JSON. It leaves room below
 // objectapi.MaxValueSize for the encoding of the call.
 const maxGroupBytes = objectapi.MaxValueSize / 2
 
-// Group is the stored value of the live members of a data centre. A large data centre has several parts.
+// Group is the stored object with the live members of a data centre. A large data centre is stored in several parts.
 type Group struct {
-	// Holder and Term are the grant under which the value was written.
-	Holder string `json:"holder"`
-	Term   uint64 `json:"term"`
-	// DataCentre is the data centre of the members.
+	// Holder and Term identify the lease grant under which the value was written.
+	Holder     string `json:"holder"`
+	Term       uint64 `json:"term"`
 	DataCentre string `json:"dataCentre"`
-	// Part is the number of this part.
+	// Part is the number of this part, from 0.
 	Part int `json:"part"`
-	// Parts is the number of parts; it counts in part 0 only, and higher parts that are left over hold nothing.
+	// Parts is the number of parts. Only the value of part 0 is valid; parts from that number on are ignored.
 	Parts int `json:"parts"`
-	// Members are the records, sorted by ID over all parts.
+	// Members are the records of this part; they are sorted by ID across all parts.
 	Members []Member `json:"members"`
 }
 
@@ -40,7 +39,7 @@
 	g.Holder, g.Term = grant.Holder, grant.Term
 }
 
-// groupName returns the name of a part's object.
+// groupName returns the object name of a part.
 func groupName(dataCentre string, part int) string {
 	if part == 0 {
 		return dataCentre
@@ -48,7 +47,8 @@
 	return fmt.Sprintf("%s-part-%d", dataCentre, part)
 }
 
-// splitGroup divides members, sorted by ID, into parts of at most maxBytes. There is at least one part.
+// splitGroup divides members into parts of at most maxBytes of JSON, in the given order. It returns at least one part,
+// and a part has at least one member unless there are none.
 func splitGroup(dataCentre string, members []Member, maxBytes int) ([]Group, error) {
 	groups := []Group{{DataCentre: dataCentre}}
 	size := 0
@@ -72,7 +72,7 @@
 	return groups, nil
 }
 
-// compareGroups orders parts by data centre and number.
+// compareGroups orders parts by data centre and part number.
 func compareGroups(a, b Group) int {
 	return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Part, b.Part))
 }
--- a/pkg/membership/group_test.go
+++ b/pkg/membership/group_test.go
@@ -34,7 +34,7 @@
 	return &membership.GroupWriter{Store: s, Table: table, DataCentre: "marka-hall", Log: zerolog.Nop()}
 }
 
-// hold runs the duty in one term until the returned function is called, which returns the duty's error.
+// hold runs the duty in the given term until stop is called, which returns the duty's error.
 func hold(w *membership.GroupWriter, term uint64) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -80,7 +80,7 @@
 		before := s.Applied()
 		w.Table.Merge(target("t9", "sahab-hall", 1, membership.StateActive), time.Now())
 		time.Sleep(time.Minute)
-		require.Equal(t, before, s.Applied(), "members of another data centre don't count")
+		require.Equal(t, before, s.Applied(), "members of another data centre cause no writes")
 		for i := range 100 {
 			w.Table.Merge(target("t1", "marka-hall", uint64(i+2), membership.StateActive), time.Now())
 			time.Sleep(100 * time.Millisecond)
@@ -88,7 +88,7 @@
 		time.Sleep(2 * time.Second)
 		writes := s.Applied() - before
 		require.Positive(t, writes)
-		require.LessOrEqual(t, writes, uint64(11), "100 changes in 10 s are written once a second")
+		require.LessOrEqual(t, writes, uint64(11), "100 changes in 10 s cause at most one write per second")
 		require.NoError(t, stop())
 	})
 }
@@ -125,7 +125,7 @@
 func TestGroupOutlivesStoreFaults(t *testing.T) {
 	cases := map[string]store.Faults{
 		"outage":         {Outage: true},
-		"lost answers":   {LoseShare: 0.5},
+		"lost replies":   {LoseShare: 0.5},
 		"dropped writes": {DropShare: 0.5},
 		"slow":           {Latency: 3 * time.Second},
 	}
--- a/pkg/membership/group_writer.go
+++ b/pkg/membership/group_writer.go
@@ -14,32 +14,34 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// DefaultGroupInterval is the shortest time between two writes of a data centre's members.
+// DefaultGroupInterval is the default of GroupWriter.Interval.
 const DefaultGroupInterval = time.Second
 
-// GroupLeaseName returns the name of the lease of the duty that writes the members of a data centre.
+// GroupLeaseName returns the name of the lease that a GroupWriter of the data centre holds.
 func GroupLeaseName(dataCentre string) string {
 	return "members-" + dataCentre
 }
 
-// GroupWriter is the duty that writes the live members of a data centre to the object API, when they have changed. No
-// heartbeat reaches the store.
+// GroupWriter is the duty that writes the live members of a data centre to the object API when their records have
+// changed. Heartbeats cause no writes.
 type GroupWriter struct {
-	// Store keeps the groups.
+	// Store holds the groups.
 	Store objectapi.Store
-	// Table holds the members. It takes what is stored already, so that a new holder that knows few members drops none.
+	// Table holds the members. The stored members are merged into it before the first write, so that a new holder whose
+	// table is still incomplete removes none of them.
 	Table *Table
 	// DataCentre is the data centre whose members are written.
 	DataCentre string
-	// Interval is the shortest time between two writes; 0 means DefaultGroupInterval.
+	// Interval is the minimum time between two writes; 0 means DefaultGroupInterval.
 	Interval time.Duration
 	// Clock is the local clock; nil means lease.SystemClock.
 	Clock lease.Clock
-	// Log takes failures.
+	// Log receives failed writes.
 	Log zerolog.Logger
 }
 
-// Duty writes until ctx ends or a later term has claimed the data centre. It is a lease.Duty.
+// Duty writes the members until ctx ends, or until a holder with a later term has claimed the objects, in which case it
+// returns lease.ErrFenced. It is a lease.Duty.
 func (w *GroupWriter) Duty(ctx context.Context, grant lease.Grant) error {
 	clock := w.Clock
 	if clock == nil {
@@ -68,10 +70,10 @@
 	return nil
 }
 
-// groupPart is one claimed object.
+// groupPart is one object that the duty has claimed.
 type groupPart = lease.Fenced[Group, *Group]
 
-// groupSession is the duty during one term.
+// groupSession is the state of the duty during one term.
 type groupSession struct {
 	writer *GroupWriter
 	grant  lease.Grant
@@ -79,7 +81,8 @@
 	parts  []*groupPart
 }
 
-// write claims the objects that are needed and writes those whose content has changed.
+// write claims the objects that it needs and writes those whose content has changed. The parts are written in
+// descending order, so that part 0 with the number of parts is the last.
 func (s *groupSession) write(ctx context.Context) error {
 	if err := s.claim(ctx, 1); err != nil {
 		return err
@@ -102,7 +105,7 @@
 	return nil
 }
 
-// claim claims the first count parts and takes the members that they hold.
+// claim claims the parts below count that aren't claimed yet and merges their stored members into the table.
 func (s *groupSession) claim(ctx context.Context, count int) error {
 	for len(s.parts) < count {
 		name := groupName(s.writer.DataCentre, len(s.parts))
@@ -118,7 +121,7 @@
 	return nil
 }
 
-// members returns the live members of the data centre.
+// members returns the live members of the data centre, sorted by ID.
 func (s *groupSession) members() []Member {
 	return slices.DeleteFunc(s.writer.Table.Members(), func(m Member) bool {
 		return !m.Live() || m.DataCentre != s.writer.DataCentre
@@ -138,7 +141,7 @@
 	return compareGroups(a, b) == 0 && a.Parts == b.Parts && slices.EqualFunc(a.Members, b.Members, sameStored)
 }
 
-// sameStored compares what is stored of a member.
+// sameStored reports whether two records are stored alike; Unreachable isn't stored.
 func sameStored(a, b Member) bool {
 	a.Unreachable, b.Unreachable = false, false
 	return a == b
--- a/pkg/membership/member.go
+++ b/pkg/membership/member.go
@@ -6,48 +6,46 @@
 	"time"
 )
 
-// Member is the record by which a process is known. The process itself raises Sequence with every change of its record;
-// only the state dead is set by others, at the sequence that they judged.
+// Member is the record of an agent or a balancer. The process itself increments Sequence with each change of its
+// record. Others set only the state dead, and keep the sequence of the record on which they voted.
 type Member struct {
-	// ID is the name of the process; it stays the same when its VM is replaced by one of the same name.
-	ID string `json:"id"`
-	// Role says whether the member is an agent or a balancer.
-	Role Role `json:"role"`
-	// Incarnation rises each time the process starts.
+	// ID is the name of the process. A replacement VM of the same name keeps it.
+	ID   string `json:"id"`
+	Role Role   `json:"role"`
+	// Incarnation is higher with each start of the process.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence rises with each change within an incarnation.
+	// Sequence is higher with each change of the record within an incarnation.
 	Sequence uint64 `json:"sequence"`
-	// State is the member's state.
-	State State `json:"state"`
-	// Final is the state that can't be taken back within the incarnation: draining, left, or 0.
+	State    State  `json:"state"`
+	// Final is the state that is irreversible within the incarnation: draining, left, or 0 for none.
 	Final State `json:"final,omitempty"`
-	// Region and DataCentre say where the member's VM runs.
+	// Region and DataCentre are the location of the member's VM.
 	Region     string `json:"region"`
 	DataCentre string `json:"dataCentre"`
 	// PacketAddr is the address of the packet socket (UDP).
 	PacketAddr netip.AddrPort `json:"packetAddr"`
-	// ControlAddr is the host:port at which a balancer serves control calls, or at which an agent takes requests of other
-	// agents; an agent's may be empty.
+	// ControlAddr is the host:port at which a balancer serves control calls, or at which an agent accepts requests of
+	// other agents; an agent's may be empty.
 	ControlAddr string `json:"controlAddr,omitempty"`
 	// Service is the service name that a target announces.
 	Service string `json:"service,omitempty"`
 	// Version is the version that a target announces.
 	Version string `json:"version,omitempty"`
-	// Slots is the number of requests that a target runs at once.
+	// Slots is the number of requests that a target runs concurrently.
 	Slots uint32 `json:"slots,omitempty"`
-	// Connections is the highest number of open flows of a target.
+	// Connections is the maximum number of open flows of a target.
 	Connections uint32 `json:"connections,omitempty"`
-	// Weight is a target's announced capacity in relation to the other targets; 0 means Slots, or 1.
+	// Weight is a target's announced capacity relative to the other targets; 0 means Slots, or 1 without slots.
 	Weight uint32 `json:"weight,omitempty"`
 	// ActiveSince is when the member became active.
 	ActiveSince time.Time `json:"activeSince,omitzero"`
-	// Changed is the wall clock time of the last change of state; the lifetime of a tombstone counts from it.
+	// Changed is the wall clock time of the last change of the record; the lifetime of a tombstone begins at it.
 	Changed time.Time `json:"changed,omitzero"`
-	// Unreachable is set on members of a region that the local process can't reach. It is local and never sent.
+	// Unreachable is set on members of a region that the local process can't reach. It is neither sent nor stored.
 	Unreachable bool `json:"-"`
 }
 
-// Capacity returns the announced capacity: Weight, or else Slots, or else 1.
+// Capacity returns the announced capacity: Weight if set, else Slots if set, else 1.
 func (m *Member) Capacity() uint32 {
 	if m.Weight > 0 {
 		return m.Weight
@@ -55,12 +53,13 @@
 	return max(m.Slots, 1)
 }
 
-// Live reports whether the member is neither dead nor left.
+// Live reports whether the member has a state and is neither dead nor left.
 func (m *Member) Live() bool {
 	return m.State != 0 && !m.State.Gone()
 }
 
-// Valid reports whether the record may be merged: it has a name, an incarnation, a known role and a known state.
+// Valid reports whether the record may be merged: it has an ID, an incarnation, a known role, a known state and a valid
+// final state.
 func (m *Member) Valid() bool {
 	if m.ID == "" || m.Incarnation == 0 {
 		return false
@@ -74,7 +73,8 @@
 	return m.Final == 0 || m.Final == StateDraining || m.Final == StateLeft
 }
 
-// normalise makes State and Final agree and brings the times into a form that can be compared.
+// normalise makes State and Final consistent and truncates the times to milliseconds in UTC, so that records can be
+// compared with ==.
 func (m *Member) normalise() {
 	m.ActiveSince = milliseconds(m.ActiveSince)
 	m.Changed = milliseconds(m.Changed)
@@ -94,9 +94,9 @@
 	return time.UnixMilli(t.UnixMilli()).UTC()
 }
 
-// merged returns the join of two records of one member: it doesn't depend on the order in which records arrive, and
-// merging a record twice changes nothing. The later (incarnation, sequence) wins, but a final state stays for the
-// whole incarnation even when the record that set it arrives late.
+// merged returns the join of two records of one member; it is commutative, associative and idempotent. The higher
+// (incarnation, sequence) wins, but a final state persists for the whole incarnation, even when the record that set it
+// arrives late.
 func merged(a, b Member) Member {
 	if a.Incarnation != b.Incarnation {
 		return laterOf(a, b)
@@ -107,7 +107,7 @@
 	return w
 }
 
-// laterOf returns the record that wins apart from final states.
+// laterOf returns the record that wins if final states are ignored.
 func laterOf(a, b Member) Member {
 	if compareRecords(&a, &b) < 0 {
 		return b
@@ -115,8 +115,8 @@
 	return a
 }
 
-// compareRecords orders records by incarnation and sequence. Records of one sequence differ in their state only, unless
-// two processes use one name; then their content decides, so that all tables still agree.
+// compareRecords orders records by incarnation and sequence. Records with the same sequence differ only in their state,
+// unless two processes use the same name; then their content decides, so that all tables still converge.
 func compareRecords(a, b *Member) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
--- a/pkg/membership/member_test.go
+++ b/pkg/membership/member_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// Records may reach a table in any order, grouped in any way and more than once.
+// Tables only converge if merging is commutative, associative and idempotent.
 func TestMergedIsJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genMember("t1")
@@ -48,16 +48,16 @@
 		"later sequence wins":                 {[]Member{rec(1, 2, StateActive), rec(1, 1, StateJoining)}, StateActive},
 		"later incarnation wins":              {[]Member{rec(1, 9, StateLeft), rec(2, 1, StateJoining)}, StateJoining},
 		"old incarnation after restart":       {[]Member{rec(2, 1, StateActive), rec(1, 9, StateDead)}, StateActive},
-		"draining never active again":         {[]Member{rec(1, 2, StateDraining), rec(1, 3, StateActive)}, StateDraining},
-		"draining that arrives late counts":   {[]Member{rec(1, 3, StateActive), rec(1, 2, StateDraining)}, StateDraining},
+		"draining is irreversible":            {[]Member{rec(1, 2, StateDraining), rec(1, 3, StateActive)}, StateDraining},
+		"draining that arrives late persists": {[]Member{rec(1, 3, StateActive), rec(1, 2, StateDraining)}, StateDraining},
 		"draining ends with the incarnation":  {[]Member{rec(1, 2, StateDraining), rec(2, 1, StateActive)}, StateActive},
-		"dead at the judged sequence":         {[]Member{rec(1, 2, StateActive), rec(1, 2, StateDead)}, StateDead},
-		"dead is refuted by a higher":         {[]Member{rec(1, 2, StateDead), rec(1, 3, StateActive)}, StateActive},
-		"verdict on an old record is void":    {[]Member{rec(1, 3, StateActive), rec(1, 2, StateDead)}, StateActive},
+		"dead at the same sequence":           {[]Member{rec(1, 2, StateActive), rec(1, 2, StateDead)}, StateDead},
+		"higher sequence refutes dead":        {[]Member{rec(1, 2, StateDead), rec(1, 3, StateActive)}, StateActive},
+		"dead at a lower sequence is ignored": {[]Member{rec(1, 3, StateActive), rec(1, 2, StateDead)}, StateActive},
 		"dead while draining, then refuted":   {[]Member{rec(1, 2, StateDraining), rec(1, 2, StateDead), rec(1, 3, StateActive)}, StateDraining},
-		"left is not refuted":                 {[]Member{rec(1, 2, StateLeft), rec(1, 3, StateActive)}, StateLeft},
+		"left can't be refuted":               {[]Member{rec(1, 2, StateLeft), rec(1, 3, StateActive)}, StateLeft},
 		"left ends with the incarnation":      {[]Member{rec(1, 2, StateLeft), rec(3, 1, StateJoining)}, StateJoining},
-		"left wins over a verdict":            {[]Member{rec(1, 2, StateDead), rec(1, 3, StateLeft)}, StateLeft},
+		"left wins over dead":                 {[]Member{rec(1, 2, StateDead), rec(1, 3, StateLeft)}, StateLeft},
 		"record without incarnation rejected": {[]Member{rec(1, 1, StateActive), rec(0, 9, StateLeft)}, StateActive},
 		"record without state rejected":       {[]Member{rec(1, 1, StateActive), rec(1, 9, 0)}, StateActive},
 	}
--- a/pkg/membership/neighbours.go
+++ b/pkg/membership/neighbours.go
@@ -7,16 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Numbers of neighbours by distance. Balancers exchange with a fixed set of neighbours only, so that few connections
-// are kept open; the random graph that the sets form has a short diameter.
+// Numbers of neighbours by distance. A balancer exchanges records with a fixed set of neighbours, which bounds the
+// number of open connections; the random graph formed by these sets has a small diameter.
 const (
 	localNeighbours  = 6
 	regionNeighbours = 4
 	remoteNeighbours = 2
 )
 
-// Neighbours returns the live balancers that self exchanges records with: some of its data centre, some of its region
-// and a few of other regions. When one group is small, the others make up for it.
+// Neighbours returns the live balancers with which self exchanges records: some of its data centre, some of other data
+// centres of its region and a few of other regions. Within the region, each group fills up for the other if that is
+// too small.
 func Neighbours(self *Member, balancers []Member) []Member {
 	var local, region, remote []Member
 	for _, b := range rankedPeers(self, balancers) {
@@ -39,7 +40,7 @@
 	return members[:min(n, len(members))]
 }
 
-// rankedPeers returns the live balancers other than self in an order of self's own.
+// rankedPeers returns the live balancers other than self in a pseudo-random order that depends on self's ID.
 func rankedPeers(self *Member, balancers []Member) []Member {
 	seed := xxhash.Sum64String(self.ID)
 	score := func(m *Member) uint64 { return mix(seed + mix(xxhash.Sum64String(m.ID))) }
--- a/pkg/membership/peer_reach.go
+++ b/pkg/membership/peer_reachability.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Limits of peerReach.
 const (
-	// peerResultLifetime is how long a result counts.
+	// peerResultLifetime is the time after which the result of a call expires.
 	peerResultLifetime = 3 * time.Second
-	// minUnreachablePeers is the number of peers whose failure shows that the observer is cut off.
+	// minUnreachablePeers is the number of unreachable peers, with no reachable one, from which the observer counts as
+	// cut off.
 	minUnreachablePeers = 2
 )
 
@@ -15,7 +15,7 @@
 	at time.Time
 }
 
-// peerReachability remembers whether peers could be reached of late.
+// peerReachability holds the recent results of calls to peers.
 type peerReachability struct {
 	results map[string]peerResult
 }
@@ -28,7 +28,7 @@
 	r.results[id] = peerResult{ok: ok, at: now}
 }
 
-// noneReachable reports whether several peers were tried and noneReachable was reached.
+// noneReachable reports whether at least minUnreachablePeers peers were called recently and all of them failed.
 func (r *peerReachability) noneReachable(now time.Time) bool {
 	failed := 0
 	for id, result := range r.results {
--- a/pkg/membership/read_groups.go
+++ b/pkg/membership/read_groups.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// ReadGroups returns the members that are stored for all data centres. When an object can't be decoded it returns the
-// others together with an error.
+// ReadGroups returns the stored members of all data centres. When some objects can't be decoded, it returns the members
+// of the others together with an error.
 func ReadGroups(ctx context.Context, store objectapi.Store) ([]Member, error) {
 	objects, _, err := store.List(ctx, resource.KindMembers)
 	if err != nil {
--- a/pkg/membership/region_reach.go
+++ b/pkg/membership/region_reachability.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Limits of RegionReach.
 const (
-	// RegionTimeout is how long no balancer of a region may be reached before the region counts as unreachable.
+	// RegionTimeout is the time without a successful call to a balancer of a region after which the region counts as
+	// unreachable.
 	RegionTimeout = 5 * time.Second
-	// minRegionFailures is the number of failed calls that must fall into the silence.
+	// minRegionFailures is the number of failed calls within that time that is needed as well.
 	minRegionFailures = 3
 )
 
@@ -18,19 +18,19 @@
 	failures int
 }
 
-// RegionReachability finds out which regions can't be reached. Members of such a region are kept as they are: nothing is
-// dropped on one region's word. All methods may be called from any goroutine.
+// RegionReachability determines which other regions can be reached, from the results of calls to their balancers.
+// Members of an unreachable region keep their state, because one region can't decide whether those of another have
+// failed. All methods are safe for concurrent use.
 type RegionReachability struct {
 	mu      sync.Mutex
 	regions map[string]*regionState
 }
 
-// NewRegionReachability returns a RegionReach that knows no region.
 func NewRegionReachability() *RegionReachability {
 	return &RegionReachability{regions: make(map[string]*regionState)}
 }
 
-// RecordResult notes whether a call to a balancer of a region succeeded and reports whether the region is reachable.
+// RecordResult records whether a call to a balancer of a region succeeded and reports whether the region is reachable.
 func (r *RegionReachability) RecordResult(region string, ok bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/membership/region_reach_test.go
+++ b/pkg/membership/region_reachability_test.go
@@ -12,9 +12,9 @@
 	at := func(s int) time.Time { return testTime.Add(time.Duration(s) * time.Second) }
 	require.True(t, r.RecordResult("hcm", true, at(0)))
 	require.True(t, r.RecordResult("hcm", false, at(1)))
-	require.True(t, r.RecordResult("hcm", false, at(9)), "two failures are too few")
+	require.True(t, r.RecordResult("hcm", false, at(9)), "two failures aren't enough")
 	require.False(t, r.RecordResult("hcm", false, at(10)))
-	require.True(t, r.RecordResult("amman-east", false, at(10)), "regions are judged by themselves")
+	require.True(t, r.RecordResult("amman-east", false, at(10)), "regions are independent")
 	require.True(t, r.RecordResult("hcm", true, at(11)))
 	require.True(t, r.RecordResult("hcm", false, at(12)))
 }
--- a/pkg/membership/role.go
+++ b/pkg/membership/role.go
@@ -1,9 +1,8 @@
 package membership
 
-// Role says what a member is.
+// Role is the kind of process that a member is.
 type Role uint8
 
-// Roles.
 const (
 	// RoleAgent is the process beside a target.
 	RoleAgent Role = iota + 1
@@ -11,7 +10,6 @@
 	RoleBalancer
 )
 
-// String returns the role's name.
 func (r Role) String() string {
 	switch r {
 	case RoleAgent:
@@ -22,12 +20,12 @@
 	return "unknown"
 }
 
-// MarshalText writes the role's name.
+// MarshalText implements encoding.TextMarshaler.
 func (r Role) MarshalText() ([]byte, error) {
 	return []byte(r.String()), nil
 }
 
-// UnmarshalText reads the role's name; an unknown one gives 0, which no table takes.
+// UnmarshalText implements encoding.TextUnmarshaler. An unknown name yields 0, which Table.Merge ignores.
 func (r *Role) UnmarshalText(b []byte) error {
 	*r = 0
 	for _, known := range []Role{RoleAgent, RoleBalancer} {
--- a/pkg/membership/state.go
+++ b/pkg/membership/state.go
@@ -1,24 +1,23 @@
 package membership
 
-// State is the state of a member. The order of the values matters: of two records that are equal otherwise, the one
-// with the higher state wins.
+// State is the state of a member. The order of the values matters: of two otherwise equal records, the one with the
+// higher state wins.
 type State uint8
 
-// States.
 const (
-	// StateJoining has announced itself and takes no work yet.
+	// StateJoining means that the member has announced itself and accepts no work yet.
 	StateJoining State = iota + 1
-	// StateActive takes work.
+	// StateActive means that the member accepts work.
 	StateActive
-	// StateDraining keeps its work and takes no new one; final within an incarnation.
+	// StateDraining means that the member continues its work and accepts no new work. It is final within an
+	// incarnation.
 	StateDraining
-	// StateDead was declared dead by its watchers; a higher sequence refutes it.
+	// StateDead means that the member's watchers declared it dead. A record with a higher sequence refutes it.
 	StateDead
-	// StateLeft has ended by itself; final within an incarnation.
+	// StateLeft means that the process ended in an orderly way. It is final within an incarnation.
 	StateLeft
 )
 
-// String returns the state's name.
 func (s State) String() string {
 	switch s {
 	case StateJoining:
@@ -40,7 +39,7 @@
 	return s == StateDead || s == StateLeft
 }
 
-// final returns the part of the state that can't be taken back within an incarnation; 0 when there is none.
+// final returns the state if it is irreversible within an incarnation, else 0.
 func (s State) final() State {
 	if s == StateDraining || s == StateLeft {
 		return s
@@ -48,12 +47,12 @@
 	return 0
 }
 
-// MarshalText writes the state's name.
+// MarshalText implements encoding.TextMarshaler.
 func (s State) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// UnmarshalText reads the state's name; an unknown one gives 0, which no table takes.
+// UnmarshalText implements encoding.TextUnmarshaler. An unknown name yields 0, which Table.Merge ignores.
 func (s *State) UnmarshalText(b []byte) error {
 	*s = 0
 	for known := StateJoining; known <= StateLeft; known++ {
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// entry is one member with the hashes that the digest is made of.
+// entry is the record of one member with the hashes that go into the digest.
 type entry struct {
 	member   Member
 	idHash   uint32
@@ -15,7 +15,7 @@
 	modified uint64
 }
 
-// Table is the set of member records known to a process. All methods may be called from any goroutine.
+// Table is the set of member records held by a process. All methods are safe for concurrent use.
 type Table struct {
 	tombstoneLifetime time.Duration
 
@@ -26,15 +26,14 @@
 	version     uint64
 	unreachable map[string]bool
 	subscribers map[chan struct{}]struct{}
-	// balancers is the result of Balancers; nil when it has to be made again.
+	// balancers caches the result of Balancers; nil when invalid.
 	balancers []Member
-	// watchers assigns watchers among balancers; nil when it has to be made again.
+	// watchers caches the assignment of watchers among balancers; nil when invalid.
 	watchers *WatcherSet
 	// agents is the result of LiveAgents.
 	agents int
 }
 
-// NewTable returns an empty table.
 func NewTable(cfg TableConfig) *Table {
 	t := &Table{
 		tombstoneLifetime: cmp.Or(cfg.TombstoneLifetime, DefaultTombstoneLifetime),
@@ -48,8 +47,8 @@
 	return t
 }
 
-// Merge takes in a record and reports whether the table changed. It ignores records that aren't valid and
-// tombstones whose lifetime is over.
+// Merge merges a record into the table and reports whether the table changed. It ignores invalid records and expired
+// tombstones.
 func (t *Table) Merge(m Member, now time.Time) bool {
 	if !m.Valid() {
 		return false
@@ -82,7 +81,6 @@
 	return true
 }
 
-// Get returns the record of a member.
 func (t *Table) Get(id string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,22 +110,23 @@
 	return members
 }
 
-// Balancers returns the records of all balancers, tombstones included, sorted by ID. The list is shared: don't change it.
+// Balancers returns the records of all balancers, tombstones included, sorted by ID. The list is shared and must not be
+// modified.
 func (t *Table) Balancers() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.balancerList()
 }
 
-// LiveAgents returns the number of agents of all services that haven't left and aren't held for dead. Agents of an
-// unreachable region count.
+// LiveAgents returns the number of agents of all services that are neither dead nor left. Agents in an unreachable
+// region count.
 func (t *Table) LiveAgents() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.agents
 }
 
-// Watchers returns the IDs of the balancers that watch m, see WatcherSet.
+// Watchers returns the IDs of the balancers that watch m; see WatcherSet.
 func (t *Table) Watchers(m *Member) []string {
 	t.mu.Lock()
 	if t.watchers == nil {
@@ -152,14 +151,14 @@
 	return t.balancers
 }
 
-// Version returns a number that rises with every change of this table; it means nothing in other processes.
+// Version returns a number that rises with every change of this table. Versions of different tables aren't comparable.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Expire forgets the tombstones whose lifetime is over and returns their number.
+// Expire removes the expired tombstones and returns their number.
 func (t *Table) Expire(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,7 +176,7 @@
 	return removed
 }
 
-// Remove removes a member without a tombstone. It is meant for tables that mirror another one.
+// Remove removes a member without leaving a tombstone. It is meant for tables that mirror another one.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,8 +188,8 @@
 	t.notify()
 }
 
-// SetUnreachable marks the members of a region as unreachable from here, or as reachable again, and reports whether that
-// is a change.
+// SetUnreachable marks the members of a region as unreachable from this process, or as reachable, and reports whether
+// that is a change.
 func (t *Table) SetUnreachable(region string, unreachable bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,8 +203,8 @@
 	return true
 }
 
-// Subscribe returns a channel that gets a value after changes; changes that come faster than they are taken are
-// reported once. The function ends the subscription.
+// Subscribe returns a channel that receives a value after changes, and a function that ends the subscription. Changes
+// while a value is pending are coalesced.
 func (t *Table) Subscribe() (<-chan struct{}, func()) {
 	c := make(chan struct{}, 1)
 	t.mu.Lock()
@@ -259,7 +258,7 @@
 	e.modified = t.version
 }
 
-// invalidateBalancers drops the cached list when a balancer's record changes.
+// invalidateBalancers drops the cached balancers and watchers when m is a balancer.
 func (t *Table) invalidateBalancers(m *Member) {
 	if m.Role == RoleBalancer {
 		t.balancers = nil
@@ -267,7 +266,7 @@
 	}
 }
 
-// liveAgents returns what a member adds to LiveAgents.
+// liveAgents returns the contribution of one member to LiveAgents.
 func liveAgents(m *Member) int {
 	if m.Role != RoleAgent || m.State.Gone() {
 		return 0
--- a/pkg/membership/table_config.go
+++ b/pkg/membership/table_config.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// DefaultTombstoneLifetime is how long dead and left members are remembered.
+// DefaultTombstoneLifetime is the default of TableConfig.TombstoneLifetime.
 const DefaultTombstoneLifetime = time.Hour
 
 // TableConfig holds the settings of a Table.
 type TableConfig struct {
-	// TombstoneLifetime is how long dead and left members are remembered; 0 means DefaultTombstoneLifetime.
+	// TombstoneLifetime is how long the records of dead and left members are kept; 0 means DefaultTombstoneLifetime.
 	TombstoneLifetime time.Duration
 }
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// sync runs one comparison between two tables the way the peers do it, with the given byte bound.
+// syncTables runs one exchange between two tables as peers do, with the given byte limit.
 func syncTables(from, to *Table, maxBytes int, now time.Time) {
 	differing := from.Differing(to.Digest().Buckets)
 	members, want := to.Delta(from.Summaries(differing, maxBytes), maxBytes)
@@ -65,7 +65,7 @@
 	require.Zero(t, table.Expire(testTime.Add(time.Minute)))
 	require.Equal(t, 1, table.Expire(testTime.Add(61*time.Second)))
 	require.NotEqual(t, empty, table.Root())
-	require.False(t, table.Merge(dead, testTime.Add(61*time.Second)), "a peer that kept it longer must not bring it back")
+	require.False(t, table.Merge(dead, testTime.Add(61*time.Second)), "a peer that kept the tombstone longer must not restore it")
 	require.Len(t, table.Members(), 1)
 }
 
@@ -82,7 +82,7 @@
 	require.Empty(t, changes)
 }
 
-// The count of live agents must be what the records say, whatever came in which order.
+// The incrementally updated count of live agents must match the records after any sequence of changes.
 func TestLiveAgentsAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(TableConfig{TombstoneLifetime: time.Minute})
--- a/pkg/membership/vote.go
+++ b/pkg/membership/vote.go
@@ -1,30 +1,31 @@
 package membership
 
-// Vote says that a watcher suspects a member to be dead, or does so no longer.
+// Vote states that a watcher suspects a member, or, when withdrawn, that it no longer does.
 type Vote struct {
 	// Voter is the ID of the watcher.
 	Voter string
-	// Member, Incarnation and Sequence name the record that the watcher judges.
+	// Member, Incarnation and Sequence identify the record that the vote is about.
 	Member      string
 	Incarnation uint64
 	Sequence    uint64
-	// Withdrawn is set when the watcher has heard of the member again.
+	// Withdrawn is set when the watcher no longer suspects the member, or considers itself cut off.
 	Withdrawn bool
 }
 
-// Ballot is a vote to be sent.
+// Ballot is a vote to be sent, with its recipients.
 type Ballot struct {
 	Vote Vote
-	// To lists the IDs of the other watchers.
+	// To lists the IDs of the member's other watchers.
 	To []string
 }
 
-// Decision is what a Detector found at one moment.
+// Decision is the result of one Detector.Tick.
 type Decision struct {
-	// CutOff is set while the observer takes itself for cut off; it then votes for no death.
+	// CutOff is set while the observer considers itself cut off; it then withdraws its votes and declares nobody dead.
 	CutOff bool
 	// Ballots are the votes to send now.
 	Ballots []Ballot
-	// Dead are the records of members that the watchers agree on, with the state dead, to be merged.
+	// Dead are the records, with the state dead, of the members that a majority of their watchers suspects. The caller
+	// merges them into the table.
 	Dead []Member
 }
--- a/pkg/membership/watched.go
+++ b/pkg/membership/watched.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// watched is what an observer knows of a member that it watches.
+// watched is the observer's state of a member that it watches.
 type watched struct {
 	member   Member
 	watchers []string
-	// silentSince is when the member was last heard, or when the watch began.
+	// silentSince is when the member was last seen, or when the watch or the member's incarnation began.
 	silentSince time.Time
 	seen        bool
-	// failed is set when the member's host or connection reported that the process is gone.
+	// failed is set when the member's host refused a packet or its heartbeat stream broke.
 	failed bool
-	// lastVote is when the observer last lastVote against the member; zero when it doesn't suspect it.
+	// lastVote is when the observer last sent a vote against the member; zero when it has none against it.
 	lastVote time.Time
 }
 
-// isSuspect reports whether the member has been silent for too long.
+// isSuspect reports whether the member has failed or has been silent for too long.
 func (w *watched) isSuspect(c *DetectorConfig, now time.Time) bool {
 	if w.failed {
 		return true
@@ -27,7 +27,7 @@
 	return now.Sub(w.silentSince) > limit
 }
 
-// matchesRecord reports whether a vote is about the record that is known here.
+// matchesRecord reports whether a vote is about the record that the observer holds.
 func (w *watched) matchesRecord(v Vote) bool {
 	return v.Incarnation == w.member.Incarnation && v.Sequence == w.member.Sequence
 }
--- a/pkg/membership/watchers.go
+++ b/pkg/membership/watchers.go
@@ -5,22 +5,23 @@
 // WatcherCount is the number of balancers that watch a member.
 const WatcherCount = 3
 
-// Number of watchers in the member's own data centre, when others are at hand. Most of a balancer's watchers are
-// elsewhere in the region, so that the loss of a whole data centre is noticed; its agents then get new watchers.
+// Numbers of watchers in the member's own data centre when the region has enough others. Most of a balancer's watchers
+// are in other data centres, so that the loss of a whole data centre is detected; its agents then get new watchers.
 const (
 	localWatchersOfAgent    = 2
 	localWatchersOfBalancer = 1
 )
 
-// Watchers returns the IDs of the balancers that watch m, see WatcherSet.
+// Watchers returns the IDs of the balancers that watch m; see WatcherSet.
 func Watchers(m *Member, balancers []Member) []string {
 	return NewWatcherSet(balancers).Of(m)
 }
 
 // WatcherSet assigns watchers to members by rendezvous hashing. The watchers are in the member's region, so that no
-// region decides on the members of another one; only when the region has never had a balancer are they elsewhere.
+// region decides about members of another one. Only the agents of a region without any known balancer, dead or alive,
+// are watched from other regions.
 type WatcherSet struct {
-	// regions holds the live balancers by region, and has a key for each region in which balancers are known.
+	// regions holds the live balancers by region. It has a key for each region with a known balancer, dead or alive.
 	regions map[string][]watcher
 	all     []watcher
 }
@@ -30,7 +31,8 @@
 	hash           uint64
 }
 
-// NewWatcherSet returns the set for a list of balancers, which may hold dead and left ones. Their order doesn't matter.
+// NewWatcherSet returns the set for a list of balancers, which may include dead and left ones. Their order doesn't
+// matter.
 func NewWatcherSet(balancers []Member) *WatcherSet {
 	s := &WatcherSet{regions: make(map[string][]watcher)}
 	for i := range balancers {
@@ -68,7 +70,8 @@
 	return pickWatchers(m, &local, &other)
 }
 
-// pickWatchers takes the set number of local watchers and fills up with the others, or else with more local ones.
+// pickWatchers picks the configured number of local watchers and fills up with others, or with more local ones when
+// there are too few others.
 func pickWatchers(m *Member, local, other *best) []string {
 	wanted := localWatchersOfAgent
 	if m.Role == RoleBalancer {
@@ -80,7 +83,7 @@
 	return other.appendIDs(ids, WatcherCount-near)
 }
 
-// best keeps the candidates with the highest scores, the highest first.
+// best holds the WatcherCount candidates with the highest scores, in descending order.
 type best struct {
 	watchers [WatcherCount]*watcher
 	scores   [WatcherCount]uint64
