--- a/pkg/peer/agent_count_test.go
+++ b/pkg/peer/agent_count_test.go
@@ -24,7 +24,7 @@
 }
 
 // Agents of other services are news for a stream by their number only, and only when that has changed by much.
-func TestStreamTellsTheNumberOfAgents(t *testing.T) {
+func TestStreamSendsNumberOfAgents(t *testing.T) {
 	n := startNode(t, "b0", nil)
 	w := &serviceWatch{node: n.Node, service: "pool", sent: make(map[string][]byte)}
 	count := 0
@@ -32,11 +32,11 @@
 		for range agents {
 			m := fleetMember(fmt.Sprintf("t%d", count), membership.RoleAgent, count)
 			m.Service = service
-			require.True(t, n.table.Merge(m, spreadTime))
+			require.True(t, n.table.Merge(m, testTime))
 			count++
 		}
 	}
-	n.table.Merge(fleetMember("b1", membership.RoleBalancer, 1), spreadTime)
+	n.table.Merge(fleetMember("b1", membership.RoleBalancer, 1), testTime)
 	add(20, "other")
 	u := w.next()
 	require.EqualValues(t, 20, u.GetAgents(), "agents of all services, and no balancers")
--- a/pkg/peer/budget.go
+++ b/pkg/peer/budget.go
@@ -18,41 +18,41 @@
 // of records slows down while the budget is overdrawn. The debt is bounded, so that a burst of calls that can't wait, as
 // when all targets of a large service join at once, doesn't hold the exchange back for long.
 type budget struct {
-	limiter  *rate.Limiter
-	burst    int
-	now      func() time.Time
-	sent     tally.Counter
-	received tally.Counter
-	overdraw tally.Gauge
+	limiter        *rate.Limiter
+	burst          int
+	now            func() time.Time
+	sent           tally.Counter
+	received       tally.Counter
+	availableGauge tally.Gauge
 }
 
 func newBudget(bytesPerSecond int, now func() time.Time, metrics tally.Scope) *budget {
 	burst := bytesPerSecond * int(budgetBurst/time.Second)
 	return &budget{
-		limiter:  rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
-		burst:    burst,
-		now:      now,
-		sent:     metrics.Counter("control_bytes_sent"),
-		received: metrics.Counter("control_bytes_received"),
-		overdraw: metrics.Gauge("control_bytes_available"),
+		limiter:        rate.NewLimiter(rate.Limit(bytesPerSecond), burst),
+		burst:          burst,
+		now:            now,
+		sent:           metrics.Counter("control_bytes_sent"),
+		received:       metrics.Counter("control_bytes_received"),
+		availableGauge: metrics.Gauge("control_bytes_available"),
 	}
 }
 
-// take counts bytes that were sent or received.
-func (b *budget) take(n int) {
+// spend counts bytes that were sent or received.
+func (b *budget) spend(n int) {
 	now := b.now()
 	debtLeft := int(b.limiter.TokensAt(now)) + b.burst
 	b.limiter.ReserveN(now, max(0, min(n, b.burst, debtLeft)))
 }
 
-// overdrawn reports whether more was spent than the budget allows.
-func (b *budget) overdrawn() bool {
+// isOverdrawn reports whether more was spent than the budget allows.
+func (b *budget) isOverdrawn() bool {
 	return b.available() <= 0
 }
 
 // available returns the number of bytes that may be spent now; it isn't positive while the budget is overdrawn.
 func (b *budget) available() int {
 	tokens := b.limiter.TokensAt(b.now())
-	b.overdraw.Update(tokens)
+	b.availableGauge.Update(tokens)
 	return int(tokens)
 }
--- a/pkg/peer/budget_test.go
+++ b/pkg/peer/budget_test.go
@@ -9,21 +9,21 @@
 )
 
 func TestBudgetBoundsRateAndDebt(t *testing.T) {
-	now := spreadTime
+	now := testTime
 	b := newBudget(1000, func() time.Time { return now }, tally.NoopScope)
 	require.Equal(t, 10_000, b.available(), "ten seconds are saved up")
-	b.take(9_999)
-	require.False(t, b.overdrawn())
-	b.take(1)
-	require.True(t, b.overdrawn())
+	b.spend(9_999)
+	require.False(t, b.isOverdrawn())
+	b.spend(1)
+	require.True(t, b.isOverdrawn())
 	now = now.Add(time.Second)
 	require.Equal(t, 1000, b.available())
 	for range 100 {
-		b.take(50_000)
+		b.spend(50_000)
 	}
 	require.GreaterOrEqual(t, b.available(), -10_000, "a burst isn't paid off for ever")
 	now = now.Add(11 * time.Second)
-	require.False(t, b.overdrawn())
+	require.False(t, b.isOverdrawn())
 	now = now.Add(time.Hour)
 	require.Equal(t, 10_000, b.available())
 }
--- a/pkg/peer/bytes_bench_test.go
+++ b/pkg/peer/bytes_bench_test.go
@@ -167,7 +167,7 @@
 		before := liveHeap()
 		t := membership.NewTable(membership.TableConfig{})
 		for _, m := range members {
-			t.Merge(m, spreadTime)
+			t.Merge(m, testTime)
 		}
 		b.ReportMetric(float64(liveHeap()-before), "B/table")
 		runtime.KeepAlive(t)
@@ -188,10 +188,10 @@
 		b.Run("changed="+name, func(b *testing.B) {
 			t := membership.NewTable(membership.TableConfig{})
 			for _, m := range fleetMembers(fleetBalancers, fleetAgents) {
-				t.Merge(m, spreadTime)
+				t.Merge(m, testTime)
 			}
 			d := membership.NewDetector(membership.DetectorConfig{Self: "balancer-0000"}, t)
-			d.Tick(spreadTime)
+			d.Tick(testTime)
 			for b.Loop() {
 				m, _ := t.Get(id)
 				m.Sequence++
@@ -199,8 +199,8 @@
 				if m.Role == membership.RoleBalancer && m.Sequence%2 == 0 {
 					m.State = membership.StateDead
 				}
-				t.Merge(m, spreadTime)
-				d.Tick(spreadTime)
+				t.Merge(m, testTime)
+				d.Tick(testTime)
 			}
 		})
 	}
--- a/pkg/peer/control.go
+++ b/pkg/peer/control.go
@@ -23,7 +23,7 @@
 // Announce implements peerpb.ControlServer.
 func (c *control) Announce(_ context.Context, r *peerpb.AnnounceRequest) (*peerpb.AnnounceReply, error) {
 	m := memberFromProto(r.GetMember())
-	if err := checkAnnounced(&m); err != nil {
+	if err := validateAnnouncement(&m); err != nil {
 		return nil, err
 	}
 	n := c.node
@@ -33,7 +33,7 @@
 			Str("state", m.State.String()).Uint64("incarnation", m.Incarnation).Uint64("sequence", m.Sequence).Send()
 	}
 	reply := &peerpb.AnnounceReply{Watchers: n.watcherAddrs(m)}
-	for _, p := range append(n.pick(peersInReply-1), n.self.get()) {
+	for _, p := range append(n.pickNeighbours(peersInReply-1), n.self.get()) {
 		reply.Peers = append(reply.Peers, p.ControlAddr)
 	}
 	if seen, ok := n.table.Get(m.ID); ok {
@@ -42,7 +42,7 @@
 	return reply, nil
 }
 
-func checkAnnounced(m *membership.Member) error {
+func validateAnnouncement(m *membership.Member) error {
 	switch {
 	case m.ID == "" || m.Incarnation == 0:
 		return status.Error(codes.InvalidArgument, "announce: id and incarnation are required")
@@ -89,10 +89,10 @@
 // Exchange implements peerpb.ControlServer.
 func (c *control) Exchange(ctx context.Context, r *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
 	n := c.node
-	n.merge(r.GetMembers())
+	n.mergeRecords(r.GetMembers())
 	mergeVerdicts(n.table, r.GetVerdicts(), n.cfg.Now())
 	n.acks.Merge(acksFromProto(r.GetAcks()))
-	c.learnRevision(r)
+	c.fetchIfHigher(r)
 	reply := &peerpb.ExchangeReply{Revision: n.cfg.Adopter.Number()}
 	if len(r.GetSummaries()) > 0 {
 		limit := min(max(int(r.GetMaxBytes()), maxCompareBytes), maxJoinBytes)
@@ -109,14 +109,14 @@
 	if reply.Root != r.GetRoot() && len(r.GetSummaries()) == 0 {
 		reply.Buckets = n.table.Digest().Buckets
 	}
-	if n.acks.Root() != r.GetAcksRoot() && n.mayAnswerAcks(n.cfg.Now()) {
+	if n.acks.Root() != r.GetAcksRoot() && n.maySendAcks(n.cfg.Now()) {
 		reply.Acks = acksToProto(n.acks.All())
 	}
 	return reply, nil
 }
 
-// learnRevision fetches the caller's revision when it is higher.
-func (c *control) learnRevision(r *peerpb.ExchangeRequest) {
+// fetchIfHigher fetches the caller's revision when it is higher.
+func (c *control) fetchIfHigher(r *peerpb.ExchangeRequest) {
 	n := c.node
 	if r.GetRevision() <= n.cfg.Adopter.Number() {
 		return
@@ -125,11 +125,11 @@
 	if !ok || caller.ControlAddr == "" {
 		return
 	}
-	n.fetchSoon(caller.ControlAddr)
+	n.scheduleFetch(caller.ControlAddr)
 }
 
-// mayAnswerAcks bounds how often acknowledgements are sent: their list has an entry for each balancer.
-func (n *Node) mayAnswerAcks(now time.Time) bool {
+// maySendAcks bounds how often acknowledgements are sent: their list has an entry for each balancer.
+func (n *Node) maySendAcks(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if now.Sub(n.ackSent) < ackInterval {
--- a/pkg/peer/control_heartbeat.go
+++ b/pkg/peer/control_heartbeat.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// beatStream is what a watcher keeps for one heartbeat stream.
-type beatStream struct {
+// heartbeatStream is what a watcher keeps for one heartbeat stream.
+type heartbeatStream struct {
 	node                  *Node
 	id                    string
 	incarnation, sequence uint64
@@ -25,17 +25,17 @@
 
 // Heartbeat implements peerpb.ControlServer.
 func (c *control) Heartbeat(s peerpb.Control_HeartbeatServer) error {
-	b := &beatStream{node: c.node}
+	b := &heartbeatStream{node: c.node}
 	for {
 		r, err := s.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			b.broken()
+			b.recordFailure()
 			return err
 		}
-		reply, err := b.take(r)
+		reply, err := b.receive(r)
 		if err != nil {
 			return err
 		}
@@ -48,15 +48,15 @@
 	}
 }
 
-// broken notes that the stream ended without a good-bye: the process is likely gone.
-func (b *beatStream) broken() {
+// recordFailure notes that the stream ended without a good-bye: the process is likely gone.
+func (b *heartbeatStream) recordFailure() {
 	if b.id != "" {
 		b.node.detector.RecordFailure(b.id, b.incarnation)
 	}
 }
 
-// take notes a heartbeat and returns what there is to say, or nil.
-func (b *beatStream) take(r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
+// receive notes a heartbeat and returns what there is to say, or nil.
+func (b *heartbeatStream) receive(r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	if r.GetId() != "" {
 		b.id = r.GetId()
 	}
@@ -76,14 +76,14 @@
 	version := b.node.table.Version()
 	m, ok := b.node.table.Get(b.id)
 	if ok && m.Incarnation == b.incarnation {
-		b.node.readings.note(&m, b.requests, b.failures, b.node.cfg.Now())
+		b.node.readings.record(&m, b.requests, b.failures, b.node.cfg.Now())
 	}
 	return b.reply(&m, ok, version), nil
 }
 
 // reply returns what there is to say to the member as it is recorded here; version is that of the table before.
-func (b *beatStream) reply(m *membership.Member, ok bool, version uint64) *peerpb.HeartbeatReply {
-	if !ok || b.outdated(m) {
+func (b *heartbeatStream) reply(m *membership.Member, ok bool, version uint64) *peerpb.HeartbeatReply {
+	if !ok || b.isOutdated(m) {
 		return &peerpb.HeartbeatReply{Announce: true}
 	}
 	if version == b.version {
@@ -98,8 +98,8 @@
 	return &peerpb.HeartbeatReply{Watchers: watchers}
 }
 
-// outdated reports whether the record held here isn't the one that the sender announced last.
-func (b *beatStream) outdated(m *membership.Member) bool {
+// isOutdated reports whether the record held here isn't the one that the sender announced last.
+func (b *heartbeatStream) isOutdated(m *membership.Member) bool {
 	if m.Incarnation != b.incarnation {
 		return m.Incarnation < b.incarnation
 	}
--- a/pkg/peer/control_watch.go
+++ b/pkg/peer/control_watch.go
@@ -27,7 +27,7 @@
 	n := c.node
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.changes.subscribe()
+	revisions, stop := n.revisionChanges.subscribe()
 	defer stop()
 	w := &serviceWatch{node: n, service: r.GetService(), sent: make(map[string][]byte)}
 	for {
@@ -42,12 +42,12 @@
 		case <-changes:
 		case <-revisions:
 		}
-		_ = wait.For(s.Context(), watchGatherTime)
+		_ = wait.For(s.Context(), watchBatchDelay)
 	}
 }
 
-// agentsTolerance is the part of the number of agents, one in so many, by which it may change without an update.
-const agentsTolerance = 10
+// agentsToleranceDivisor is the part of the number of agents, one in so many, by which it may change without an update.
+const agentsToleranceDivisor = 10
 
 // serviceWatch is the state of one stream of a target service.
 type serviceWatch struct {
@@ -84,7 +84,7 @@
 // agentsDiffer reports whether the number of live agents is more than a tenth away from the one that was sent. Smaller
 // changes go with the next update, because each costs a message for every agent of the fleet.
 func agentsDiffer(sent, now int) bool {
-	return agentsTolerance*max(sent-now, now-sent) > sent
+	return agentsToleranceDivisor*max(sent-now, now-sent) > sent
 }
 
 func (w *serviceWatch) members() []*peerpb.Member {
--- a/pkg/peer/counted_conn.go
+++ b/pkg/peer/counted_conn.go
@@ -15,7 +15,7 @@
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.budget.received.Inc(int64(n))
-	c.budget.take(n)
+	c.budget.spend(n)
 	return n, err
 }
 
@@ -23,7 +23,7 @@
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.budget.sent.Inc(int64(n))
-	c.budget.take(n)
+	c.budget.spend(n)
 	return n, err
 }
 
--- a/pkg/peer/credentials.go
+++ b/pkg/peer/credentials.go
@@ -19,17 +19,17 @@
 	if config == nil {
 		return insecure.NewCredentials(), nil
 	}
-	return &loggedCredentials{TransportCredentials: credentials.NewTLS(config), log: log}, nil
+	return &loggingCredentials{TransportCredentials: credentials.NewTLS(config), log: log}, nil
 }
 
-// loggedCredentials logs each peer that is refused because of its certificate.
-type loggedCredentials struct {
+// loggingCredentials logs each peer that is refused because of its certificate.
+type loggingCredentials struct {
 	credentials.TransportCredentials
 	log zerolog.Logger
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
-func (c *loggedCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c *loggingCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	secure, info, err := c.TransportCredentials.ServerHandshake(conn)
 	if err != nil {
 		c.log.Warn().Str("op", "accept peer").Str("peer", conn.RemoteAddr().String()).Str("reason", err.Error()).Msg("peer refused")
@@ -38,7 +38,7 @@
 }
 
 // ClientHandshake implements credentials.TransportCredentials.
-func (c *loggedCredentials) ClientHandshake(ctx context.Context, name string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c *loggingCredentials) ClientHandshake(ctx context.Context, name string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	secure, info, err := c.TransportCredentials.ClientHandshake(ctx, name, conn)
 	if err != nil {
 		c.log.Warn().Str("op", "call peer").Str("peer", conn.RemoteAddr().String()).Str("reason", err.Error()).Msg("peer refused")
@@ -47,6 +47,6 @@
 }
 
 // Clone implements credentials.TransportCredentials.
-func (c *loggedCredentials) Clone() credentials.TransportCredentials {
-	return &loggedCredentials{TransportCredentials: c.TransportCredentials.Clone(), log: c.log}
+func (c *loggingCredentials) Clone() credentials.TransportCredentials {
+	return &loggingCredentials{TransportCredentials: c.TransportCredentials.Clone(), log: c.log}
 }
--- a/pkg/peer/failure_test.go
+++ b/pkg/peer/failure_test.go
@@ -61,7 +61,7 @@
 	require.Equal(t, membership.StateActive, nodes[4].state("t0"))
 }
 
-func TestAgentThatLosesAllItsWatchersFindsOthers(t *testing.T) {
+func TestAgentThatLosesAllWatchersFindsOthers(t *testing.T) {
 	nodes := startNodes(t, 6, nil)
 	for _, n := range nodes {
 		eventually(t, "all known", func() bool { return len(n.table.Balancers()) == 6 })
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestNewcomerTakesRevisionFromPeers(t *testing.T) {
+func TestNewNodeFetchesRevisionFromPeers(t *testing.T) {
 	nodes := startNodes(t, 2, nil)
 	for i := range uint64(12) {
 		nodes[0].adopter.Offer(routeRevision(i+1, "route-svc"), revision.SourceHead)
@@ -136,7 +136,7 @@
 	eventually(t, "revision", func() bool { return late.adopter.Number() == 12 })
 }
 
-func TestAnnouncementsThatAreRefused(t *testing.T) {
+func TestInvalidAnnouncementsAreRejected(t *testing.T) {
 	valid := membership.Member{ID: "t0", Incarnation: 1, State: membership.StateActive, Role: membership.RoleAgent, Service: "route-svc"}
 	cases := map[string]func(m *membership.Member){
 		"no id":                   func(m *membership.Member) { m.ID = "" },
@@ -154,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := valid
 			change(&m)
-			require.Error(t, checkAnnounced(&m))
+			require.Error(t, validateAnnouncement(&m))
 		})
 	}
 }
--- a/pkg/peer/heartbeater.go
+++ b/pkg/peer/heartbeater.go
@@ -19,38 +19,38 @@
 	self     *self
 	dialer   *dialer
 	interval time.Duration
-	load     func() uint32
+	loadFunc func() uint32
 	// counts returns the cumulative requests and failures of this process; nil when it has none.
 	counts func() (requests, failures uint64)
 	log    zerolog.Logger
-	// announce is called when a watcher asks for the record of this process.
-	announce func(ctx context.Context, addr string)
-	// watchers, when not nil, is called when a watcher names other watchers.
-	watchers func(addrs []string)
-	// failed, when not nil, is called when a stream broke.
-	failed func()
+	// onAnnounce is called when a watcher asks for the record of this process.
+	onAnnounce func(ctx context.Context, addr string)
+	// onWatchers, when not nil, is called when a watcher names other onWatchers.
+	onWatchers func(addrs []string)
+	// onFailure, when not nil, is called when a stream broke.
+	onFailure func()
 
-	mu      sync.Mutex
-	wanted  []string
-	changed chan struct{}
+	mu       sync.Mutex
+	watchers []string
+	changed  chan struct{}
 }
 
 func newHeartbeater(s *self, d *dialer, interval time.Duration, log zerolog.Logger) *heartbeater {
 	return &heartbeater{self: s, dialer: d, interval: interval, log: log, changed: make(chan struct{}, 1)}
 }
 
-func (h *heartbeater) loadNow() uint32 {
-	if h.load == nil {
+func (h *heartbeater) load() uint32 {
+	if h.loadFunc == nil {
 		return 0
 	}
-	return h.load()
+	return h.loadFunc()
 }
 
-// follow sets the addresses of the watchers.
-func (h *heartbeater) follow(addrs []string) {
+// setWatchers sets the addresses of the watchers.
+func (h *heartbeater) setWatchers(addrs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wanted = slices.Clone(addrs)
+	h.watchers = slices.Clone(addrs)
 	select {
 	case h.changed <- struct{}{}:
 	default:
@@ -61,7 +61,7 @@
 func (h *heartbeater) addrs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.wanted)
+	return slices.Clone(h.watchers)
 }
 
 // run keeps the streams until ctx ends, and returns when all have ended.
@@ -96,13 +96,13 @@
 		streams[addr] = cancel
 		group.Go(func() {
 			defer cancel()
-			h.keep(stop, addr)
+			h.maintainStream(stop, addr)
 		})
 	}
 }
 
-// keep keeps a stream to one watcher until stop ends.
-func (h *heartbeater) keep(stop context.Context, addr string) {
+// maintainStream keeps a stream to one watcher until stop ends.
+func (h *heartbeater) maintainStream(stop context.Context, addr string) {
 	pause := streamRetry
 	for stop.Err() == nil {
 		start := time.Now()
@@ -114,8 +114,8 @@
 			pause = streamRetry
 		}
 		h.log.Debug().Err(err).Str("op", "heartbeat").Str("peer", addr).Msg("stream ended")
-		if h.failed != nil {
-			h.failed()
+		if h.onFailure != nil {
+			h.onFailure()
 		}
 		_ = wait.For(stop, jitter(pause))
 		pause = min(pause*2, streamRetryMax)
@@ -139,9 +139,9 @@
 	go func() { failed <- h.receive(ctx, s, addr) }()
 	ticker := time.NewTicker(h.interval)
 	defer ticker.Stop()
-	var sent sentBeat
+	var sent sentHeartbeat
 	for {
-		if err := s.Send(h.beat(&sent)); err != nil {
+		if err := s.Send(h.nextHeartbeat(&sent)); err != nil {
 			return err
 		}
 		select {
@@ -149,7 +149,7 @@
 			return err
 		case <-ticker.C:
 		case <-stop.Done():
-			h.sayLast(s, &sent)
+			h.sendFinalCounters(s, &sent)
 			_ = s.CloseSend()
 			waitFor(failed, callTimeout)
 			return nil
@@ -157,15 +157,15 @@
 	}
 }
 
-// sentBeat is what a stream's messages have said so far.
-type sentBeat struct {
+// sentHeartbeat is what a stream's messages have said so far.
+type sentHeartbeat struct {
 	member             membership.Member
 	requests, failures uint64
 }
 
-// beat returns a heartbeat; what the watcher knows from the stream's last message is left out.
-func (h *heartbeater) beat(sent *sentBeat) *peerpb.HeartbeatRequest {
-	r := &peerpb.HeartbeatRequest{Load: h.loadNow()}
+// nextHeartbeat returns a heartbeat; what the watcher knows from the stream's last message is left out.
+func (h *heartbeater) nextHeartbeat(sent *sentHeartbeat) *peerpb.HeartbeatRequest {
+	r := &peerpb.HeartbeatRequest{Load: h.load()}
 	h.addCounts(r, sent)
 	m, last := h.self.get(), sent.member
 	sent.member = m
@@ -179,7 +179,7 @@
 	return r
 }
 
-func (h *heartbeater) addCounts(r *peerpb.HeartbeatRequest, sent *sentBeat) {
+func (h *heartbeater) addCounts(r *peerpb.HeartbeatRequest, sent *sentHeartbeat) {
 	if h.counts == nil {
 		return
 	}
@@ -191,10 +191,10 @@
 	r.Requests, r.Failures = requests, failures
 }
 
-// sayLast sends counters that have changed since the last heartbeat, so that the failures of a target that has just
+// sendFinalCounters sends counters that have changed since the last heartbeat, so that the failures of a target that has just
 // died are not lost with its agent.
-func (h *heartbeater) sayLast(s peerpb.Control_HeartbeatClient, sent *sentBeat) {
-	if r := h.beat(sent); r.GetRequests() != 0 {
+func (h *heartbeater) sendFinalCounters(s peerpb.Control_HeartbeatClient, sent *sentHeartbeat) {
+	if r := h.nextHeartbeat(sent); r.GetRequests() != 0 {
 		_ = s.Send(r)
 	}
 }
@@ -206,10 +206,10 @@
 			return err
 		}
 		if r.GetAnnounce() {
-			h.announce(ctx, addr)
+			h.onAnnounce(ctx, addr)
 		}
-		if len(r.GetWatchers()) > 0 && h.watchers != nil {
-			h.watchers(r.GetWatchers())
+		if len(r.GetWatchers()) > 0 && h.onWatchers != nil {
+			h.onWatchers(r.GetWatchers())
 		}
 	}
 }
--- a/pkg/peer/history.go
+++ b/pkg/peer/history.go
@@ -42,7 +42,7 @@
 func (h *history) add(r resource.Revision) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.last()
+	last := h.latest()
 	if last != nil && r.Number <= last.number {
 		return nil
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (h *history) last() *encodedRevision {
+func (h *history) latest() *encodedRevision {
 	if len(h.revisions) == 0 {
 		return nil
 	}
@@ -68,7 +68,7 @@
 func (h *history) reply(have uint64) *peerpb.FetchRevisionReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.last()
+	last := h.latest()
 	if last == nil {
 		return &peerpb.FetchRevisionReply{}
 	}
@@ -100,7 +100,7 @@
 		services = append(services, encodedService{name: name.Name, json: b})
 	}
 	if p.GetBase() != 0 {
-		base := h.copyOf(p.GetBase())
+		base := h.lookup(p.GetBase())
 		if base == nil {
 			return resource.Revision{}, trace.NotFound("revision %d is based on %d, which isn't held here", p.GetNumber(), p.GetBase())
 		}
@@ -109,7 +109,7 @@
 	return decodeRevision(p.GetNumber(), services, p.GetChecksum())
 }
 
-func (h *history) copyOf(number uint64) *encodedRevision {
+func (h *history) lookup(number uint64) *encodedRevision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.find(number)
--- a/pkg/peer/history_test.go
+++ b/pkg/peer/history_test.go
@@ -65,7 +65,7 @@
 	require.Less(t, difference*100, full)
 }
 
-func TestRepliesThatAreRefused(t *testing.T) {
+func TestInvalidRepliesAreRejected(t *testing.T) {
 	var h history
 	require.NoError(t, h.add(routeRevision(1, "a")))
 	require.NoError(t, h.add(routeRevision(2, "a", "b")))
--- a/pkg/peer/limits.go
+++ b/pkg/peer/limits.go
@@ -17,19 +17,19 @@
 	DefaultJoinTime = time.Second
 	// detectInterval is the time between two judgements of the watched members.
 	detectInterval = 250 * time.Millisecond
-	// gatherTime is how long changes are gathered before they are sent.
-	gatherTime = 50 * time.Millisecond
+	// pushBatchDelay is how long changes are gathered before they are sent.
+	pushBatchDelay = 50 * time.Millisecond
 	// overdrawnFactor stretches the time between exchanges, and between pushes, while the byte budget is overdrawn.
 	overdrawnFactor = 4
-	// watchGatherTime is how long changes are gathered before they are sent to an agent.
-	watchGatherTime = 100 * time.Millisecond
+	// watchBatchDelay is how long changes are gathered before they are sent to an agent.
+	watchBatchDelay = 100 * time.Millisecond
 	// ackInterval is the shortest time between two answers with all acknowledgements.
 	ackInterval = time.Second
-	// ackGatherTime is how long acknowledgements are gathered before they are passed on.
-	ackGatherTime = 100 * time.Millisecond
-	// readingTime is how long the counters of an agent are kept after its last heartbeat. It is longer than the time
+	// ackBatchDelay is how long acknowledgements are gathered before they are passed on.
+	ackBatchDelay = 100 * time.Millisecond
+	// readingRetention is how long the counters of an agent are kept after its last heartbeat. It is longer than the time
 	// between two readings of the rollout duty, so that the last counts of an agent that ends are not lost.
-	readingTime = 2 * time.Minute
+	readingRetention = 2 * time.Minute
 	// expireInterval is the time between two removals of old tombstones.
 	expireInterval = time.Minute
 	// keepaliveTime is the time without traffic after which a connection is probed.
@@ -56,8 +56,8 @@
 	maxJoinCalls = 16
 	// maxMessageBytes bounds a control message.
 	maxMessageBytes = 8 << 20
-	// countersAtOnce is the number of watchers that are asked for counters at once.
-	countersAtOnce = 16
+	// maxConcurrentCounterCalls is the number of watchers that are asked for counters at once.
+	maxConcurrentCounterCalls = 16
 	// peersInReply is the number of balancers named in the answer to an announcement.
 	peersInReply = 5
 	// connBuffer is the size of a connection's read and write buffers, in bytes.
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -21,30 +21,30 @@
 
 // Node is the control side of a balancer: it serves agents and exchanges members and revisions with other balancers.
 type Node struct {
-	cfg      NodeConfig
-	table    *membership.Table
-	detector *membership.Detector
-	regions  *membership.RegionReachability
-	acks     *membership.Acks
-	readings *readings
-	history  *history
-	self     *self
-	budget   *budget
-	dialer   *dialer
-	beats    *heartbeater
-	server   *grpc.Server
-	metrics  *nodeMetrics
-	// changes reports new revisions.
-	changes *broadcast
-
-	mu         sync.Mutex
-	random     *rand.Rand
-	pushed     uint64
-	headPushed uint64
-	ackSent    time.Time
-
-	// higher takes the addresses of peers that have a higher revision.
-	higher chan string
+	cfg        NodeConfig
+	table      *membership.Table
+	detector   *membership.Detector
+	regions    *membership.RegionReachability
+	acks       *membership.Acks
+	readings   *readings
+	history    *history
+	self       *self
+	budget     *budget
+	dialer     *dialer
+	heartbeats *heartbeater
+	server     *grpc.Server
+	metrics    *nodeMetrics
+	// revisionChanges reports new revisions.
+	revisionChanges *broadcast
+
+	mu             sync.Mutex
+	random         *rand.Rand
+	pushed         uint64
+	revisionPushed uint64
+	ackSent        time.Time
+
+	// fetchAddrs takes the addresses of peers that have a fetchAddrs revision.
+	fetchAddrs chan string
 	// calls are the calls in the background.
 	calls sync.WaitGroup
 	// killed is set when the node ends without telling its peers.
@@ -62,29 +62,29 @@
 		return nil, err
 	}
 	n := &Node{
-		cfg:      cfg,
-		table:    cfg.Table,
-		detector: membership.NewDetector(cfg.Detector, cfg.Table),
-		regions:  membership.NewRegionReachability(),
-		acks:     membership.NewAcks(),
-		readings: newReadings(),
-		history:  &history{},
-		self:     newSelf(cfg.Self, cfg.Now),
-		budget:   newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
-		metrics:  newNodeMetrics(cfg.Metrics),
-		changes:  newBroadcast(),
-		higher:   make(chan string, 1),
-		random:   rand.New(rand.NewPCG(cfg.Seed, membershipSeed(cfg.Self.ID))),
+		cfg:             cfg,
+		table:           cfg.Table,
+		detector:        membership.NewDetector(cfg.Detector, cfg.Table),
+		regions:         membership.NewRegionReachability(),
+		acks:            membership.NewAcks(),
+		readings:        newReadings(),
+		history:         &history{},
+		self:            newSelf(cfg.Self, cfg.Now),
+		budget:          newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
+		metrics:         newNodeMetrics(cfg.Metrics),
+		revisionChanges: newBroadcast(),
+		fetchAddrs:      make(chan string, 1),
+		random:          rand.New(rand.NewPCG(cfg.Seed, membershipSeed(cfg.Self.ID))),
 	}
 	n.dialer = newDialer(creds, n.budget, cfg.dial)
-	n.beats = newHeartbeater(n.self, n.dialer, cfg.HeartbeatInterval, cfg.Log)
-	n.beats.announce = n.announceTo
+	n.heartbeats = newHeartbeater(n.self, n.dialer, cfg.HeartbeatInterval, cfg.Log)
+	n.heartbeats.onAnnounce = n.announceTo
 	n.server = grpc.NewServer(serverOptions(grpc.Creds(creds))...)
 	peerpb.RegisterControlServer(n.server, &control{node: n})
 	n.table.Merge(n.self.get(), cfg.Now())
-	cfg.Adopter.OnAdopt(n.adopted)
+	cfg.Adopter.OnAdopt(n.onAdopted)
 	if r, ok := cfg.Adopter.Current(); ok {
-		n.adopted(r)
+		n.onAdopted(r)
 	}
 	return n, nil
 }
@@ -123,7 +123,7 @@
 	g.Go(func() error { return n.pushLoop(run) })
 	g.Go(func() error { return n.ackLoop(run) })
 	g.Go(func() error { return n.fetchLoop(run) })
-	g.Go(func() error { return n.beats.run(run) })
+	g.Go(func() error { return n.heartbeats.run(run) })
 	g.Go(func() error { return n.selfLoop(run) })
 	g.Go(func() error {
 		<-run.Done()
@@ -154,7 +154,7 @@
 	request.Push = true
 	request.Members = membersToProto([]membership.Member{m})
 	var group sync.WaitGroup
-	for _, p := range n.pick(pushFanOut) {
+	for _, p := range n.pickNeighbours(pushFanOut) {
 		group.Go(func() { _, _ = n.call(ctx, p, request) })
 	}
 	group.Wait()
@@ -199,9 +199,9 @@
 	return n.acks.InForce(revision, n.table.Balancers())
 }
 
-// adopted takes in a revision that this balancer has adopted; pushLoop tells the neighbours.
-func (n *Node) adopted(r resource.Revision) {
-	defer n.changes.notify()
+// onAdopted takes in a revision that this balancer has onAdopted; pushLoop tells the neighbours.
+func (n *Node) onAdopted(r resource.Revision) {
+	defer n.revisionChanges.notify()
 	if r.Number == 0 {
 		return
 	}
@@ -215,19 +215,19 @@
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
 	for {
-		n.defend()
-		n.beats.follow(n.watcherAddrs(n.self.get()))
+		n.refuteStaleRecord()
+		n.heartbeats.setWatchers(n.watcherAddrs(n.self.get()))
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changes:
 		}
-		_ = wait.For(ctx, gatherTime)
+		_ = wait.For(ctx, pushBatchDelay)
 	}
 }
 
-// defend refutes a record of this balancer that isn't true.
-func (n *Node) defend() {
+// refuteStaleRecord refutes a record of this balancer that isn't true.
+func (n *Node) refuteStaleRecord() {
 	seen, ok := n.table.Get(n.cfg.Self.ID)
 	if !ok {
 		n.table.Merge(n.self.get(), n.cfg.Now())
--- a/pkg/peer/node_counters.go
+++ b/pkg/peer/node_counters.go
@@ -39,7 +39,7 @@
 	out := CounterReadings{Asked: len(watchers)}
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(countersAtOnce)
+	g.SetLimit(maxConcurrentCounterCalls)
 	for _, w := range watchers {
 		g.Go(func() error {
 			list, err := n.countersOf(ctx, w, service)
--- a/pkg/peer/node_counters_test.go
+++ b/pkg/peer/node_counters_test.go
@@ -21,7 +21,7 @@
 	return out
 }
 
-func TestEachBalancerLearnsTheCountersFromTheWatchers(t *testing.T) {
+func TestBalancersReadCountersFromWatchers(t *testing.T) {
 	nodes := startNodes(t, 5, nil)
 	var requests, failures atomic.Uint64
 	counts := func() (uint64, uint64) { return requests.Load(), failures.Load() }
@@ -53,26 +53,26 @@
 	}
 }
 
-func TestReadingsNeverFallAndAreForgotten(t *testing.T) {
+func TestReadingsNeverFallAndExpire(t *testing.T) {
 	r, now := newReadings(), time.Unix(1000, 0)
 	m := membership.Member{ID: "t0", Role: membership.RoleAgent, Incarnation: 7, Service: "route-svc", Version: "v2"}
-	r.note(&m, 0, 0, now)
-	r.note(&m, 9, 2, now.Add(time.Second))
-	r.note(&m, 5, 1, now.Add(2*time.Second))
+	r.record(&m, 0, 0, now)
+	r.record(&m, 9, 2, now.Add(time.Second))
+	r.record(&m, 5, 1, now.Add(2*time.Second))
 	require.Equal(t, []Reading{{Agent: "t0", Incarnation: 7, Version: "v2", Requests: 9, Failures: 2, ZeroAge: 2 * time.Second}},
 		r.of("route-svc", now.Add(2*time.Second)))
 	later := m
 	later.Incarnation = 8
-	r.note(&later, 1, 0, now.Add(readingTime))
-	require.Len(t, r.of("route-svc", now.Add(readingTime)), 2, "a restart doesn't overwrite the last counters")
-	r.expire(now.Add(readingTime + 3*time.Second))
-	require.Equal(t, []Reading{{Agent: "t0", Incarnation: 8, Version: "v2", Requests: 1}}, r.of("route-svc", now.Add(readingTime)))
+	r.record(&later, 1, 0, now.Add(readingRetention))
+	require.Len(t, r.of("route-svc", now.Add(readingRetention)), 2, "a restart doesn't overwrite the last counters")
+	r.expire(now.Add(readingRetention + 3*time.Second))
+	require.Equal(t, []Reading{{Agent: "t0", Incarnation: 8, Version: "v2", Requests: 1}}, r.of("route-svc", now.Add(readingRetention)))
 	balancer := membership.Member{ID: "b0", Role: membership.RoleBalancer, Incarnation: 1}
-	r.note(&balancer, 0, 0, now)
+	r.record(&balancer, 0, 0, now)
 	require.Empty(t, r.of("", now), "balancers count nothing")
 }
 
-func TestReadingSurvivesTheWire(t *testing.T) {
+func TestReadingRoundTrip(t *testing.T) {
 	r := Reading{Agent: "t0", Incarnation: 7, Version: "v2", Requests: 9, Failures: 2, ZeroAge: time.Nanosecond}
 	got := readingFromProto(readingToProto(r))
 	require.Equal(t, time.Millisecond, got.ZeroAge, "an age is rounded up, so that it is not taken for none")
--- a/pkg/peer/node_exchange.go
+++ b/pkg/peer/node_exchange.go
@@ -18,7 +18,7 @@
 func (n *Node) exchangeLoop(ctx context.Context) error {
 	n.joinPeers(ctx)
 	for {
-		_ = wait.For(ctx, n.jitter(n.stretched(n.cfg.ExchangeInterval)))
+		_ = wait.For(ctx, n.jitter(n.throttled(n.cfg.ExchangeInterval)))
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -28,12 +28,12 @@
 	}
 }
 
-// stretched returns d, or a multiple of it while the byte budget is overdrawn.
-func (n *Node) stretched(d time.Duration) time.Duration {
-	if !n.budget.overdrawn() {
+// throttled returns d, or a multiple of it while the byte budget is overdrawn.
+func (n *Node) throttled(d time.Duration) time.Duration {
+	if !n.budget.isOverdrawn() {
 		return d
 	}
-	n.metrics.stretched.Inc(1)
+	n.metrics.delayed.Inc(1)
 	return d * overdrawnFactor
 }
 
@@ -46,7 +46,7 @@
 
 // joinPeers takes the members of the first peer that answers, beyond the byte budget: a newcomer needs them all.
 func (n *Node) joinPeers(ctx context.Context) {
-	for _, p := range append(n.seeds(), n.pick(pushFanOut)...) {
+	for _, p := range append(n.seeds(), n.pickNeighbours(pushFanOut)...) {
 		if !n.exchange(ctx, p, maxJoinBytes) {
 			continue
 		}
@@ -74,8 +74,8 @@
 
 // partners returns the peers of one round: some neighbours, and now and then a peer that was lost.
 func (n *Node) partners() []membership.Member {
-	partners := n.pick(exchangeFanOut)
-	lost := n.lost()
+	partners := n.pickNeighbours(exchangeFanOut)
+	lost := n.lostPeers()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(lost) == 0 || len(partners) > 0 && n.random.IntN(lostPeerOdds) > 0 {
@@ -84,8 +84,8 @@
 	return append(partners, lost[n.random.IntN(len(lost))])
 }
 
-// lost returns the balancers that are held for dead, and the seeds.
-func (n *Node) lost() []membership.Member {
+// lostPeers returns the balancers that are held for dead, and the seeds.
+func (n *Node) lostPeers() []membership.Member {
 	lost := n.seeds()
 	for _, b := range n.table.Balancers() {
 		if b.State == membership.StateDead && b.ControlAddr != "" {
@@ -95,8 +95,8 @@
 	return lost
 }
 
-// pick returns up to count random neighbours.
-func (n *Node) pick(count int) []membership.Member {
+// pickNeighbours returns up to count random neighbours.
+func (n *Node) pickNeighbours(count int) []membership.Member {
 	m := n.self.get()
 	neighbours := membership.Neighbours(&m, n.table.Balancers())
 	n.mu.Lock()
@@ -120,13 +120,13 @@
 func (n *Node) exchange(ctx context.Context, p membership.Member, maxBytes int) bool {
 	n.metrics.exchanges.Inc(1)
 	reply, err := n.call(ctx, p, n.newExchange())
-	n.note(p, err == nil)
+	n.recordPeerResult(p, err == nil)
 	if err != nil {
 		n.metrics.exchangeFails.Inc(1)
 		n.cfg.Log.Debug().Err(err).Str("op", "exchange").Str("peer", p.ControlAddr).Send()
 		return false
 	}
-	n.take(p, reply)
+	n.mergeReply(p, reply)
 	differing := n.table.Differing(reply.GetBuckets())
 	if len(differing) == 0 {
 		return true
@@ -139,8 +139,8 @@
 	if err != nil {
 		return true
 	}
-	n.take(p, reply)
-	n.give(ctx, p, reply.GetWant(), maxBytes)
+	n.mergeReply(p, reply)
+	n.sendRecords(ctx, p, reply.GetWant(), maxBytes)
 	return true
 }
 
@@ -150,8 +150,8 @@
 	n.random.Shuffle(len(buckets), func(i, j int) { buckets[i], buckets[j] = buckets[j], buckets[i] })
 }
 
-// give sends the records that a peer asked for.
-func (n *Node) give(ctx context.Context, p membership.Member, want []uint32, maxBytes int) {
+// sendRecords sends the records that a peer asked for.
+func (n *Node) sendRecords(ctx context.Context, p membership.Member, want []uint32, maxBytes int) {
 	members := n.table.Select(want, maxBytes)
 	if len(members) == 0 {
 		return
@@ -164,17 +164,17 @@
 	}
 }
 
-// take merges a reply and fetches the peer's revision when it is higher.
-func (n *Node) take(p membership.Member, reply *peerpb.ExchangeReply) {
-	n.merge(reply.GetMembers())
+// mergeReply merges a reply and fetches the peer's revision when it is higher.
+func (n *Node) mergeReply(p membership.Member, reply *peerpb.ExchangeReply) {
+	n.mergeRecords(reply.GetMembers())
 	n.acks.Merge(acksFromProto(reply.GetAcks()))
 	if reply.GetRevision() > n.cfg.Adopter.Number() {
-		n.fetchSoon(p.ControlAddr)
+		n.scheduleFetch(p.ControlAddr)
 	}
 }
 
-// merge takes in records of a peer.
-func (n *Node) merge(members []*peerpb.Member) {
+// mergeRecords takes in records of a peer.
+func (n *Node) mergeRecords(members []*peerpb.Member) {
 	now := n.cfg.Now()
 	for _, p := range members {
 		if n.table.Merge(memberFromProto(p), now) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// note tells the failure detector whether a peer could be reached.
-func (n *Node) note(p membership.Member, ok bool) {
+// recordPeerResult tells the failure detector whether a peer could be reached.
+func (n *Node) recordPeerResult(p membership.Member, ok bool) {
 	now := n.cfg.Now()
 	if p.State != membership.StateDead {
 		n.detector.RecordPeerResult(p.ControlAddr, ok, now)
--- a/pkg/peer/node_fetch.go
+++ b/pkg/peer/node_fetch.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// fetchSoon makes fetchLoop ask a peer that has a higher revision. When a fetch is under way, the next exchange brings the
+// scheduleFetch makes fetchLoop ask a peer that has a higher revision. When a fetch is under way, the next exchange brings the
 // peer up again.
-func (n *Node) fetchSoon(addr string) {
+func (n *Node) scheduleFetch(addr string) {
 	select {
-	case n.higher <- addr:
+	case n.fetchAddrs <- addr:
 	default:
 	}
 }
@@ -27,7 +27,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case addr := <-n.higher:
+		case addr := <-n.fetchAddrs:
 			n.fetch(ctx, addr)
 		}
 	}
@@ -47,7 +47,7 @@
 // fetchFrom asks for the difference to the revision held here, and for the whole revision when that doesn't fit.
 func (n *Node) fetchFrom(ctx context.Context, addr string) (resource.Revision, error) {
 	have := n.cfg.Adopter.Number()
-	reply, err := n.askRevision(ctx, addr, have)
+	reply, err := n.requestRevision(ctx, addr, have)
 	if err != nil {
 		return resource.Revision{}, err
 	}
@@ -55,13 +55,13 @@
 	if err == nil || reply.GetBase() == 0 {
 		return r, err
 	}
-	if reply, err = n.askRevision(ctx, addr, 0); err != nil {
+	if reply, err = n.requestRevision(ctx, addr, 0); err != nil {
 		return resource.Revision{}, err
 	}
 	return n.history.apply(reply)
 }
 
-func (n *Node) askRevision(ctx context.Context, addr string, have uint64) (*peerpb.FetchRevisionReply, error) {
+func (n *Node) requestRevision(ctx context.Context, addr string, have uint64) (*peerpb.FetchRevisionReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client, err := n.dialer.client(addr)
--- a/pkg/peer/node_metrics.go
+++ b/pkg/peer/node_metrics.go
@@ -6,7 +6,7 @@
 type nodeMetrics struct {
 	exchanges     tally.Counter
 	exchangeFails tally.Counter
-	stretched     tally.Counter
+	delayed       tally.Counter
 	pushes        tally.Counter
 	merged        tally.Counter
 	votes         tally.Counter
@@ -19,7 +19,7 @@
 	return &nodeMetrics{
 		exchanges:     s.Counter("peer_exchanges"),
 		exchangeFails: s.Counter("peer_exchange_failures"),
-		stretched:     s.Counter("peer_exchanges_delayed"),
+		delayed:       s.Counter("peer_exchanges_delayed"),
 		pushes:        s.Counter("peer_pushes"),
 		merged:        s.Counter("member_changes"),
 		votes:         s.Counter("member_votes_sent"),
--- a/pkg/peer/node_mirror.go
+++ b/pkg/peer/node_mirror.go
@@ -12,7 +12,7 @@
 // other answers. It returns the IDs of those that took them, and an error when none did.
 func (n *Node) Mirror(ctx context.Context, records []byte) ([]string, error) {
 	request := &peerpb.MirrorRefusalsRequest{Id: n.cfg.Self.ID, Records: records}
-	peers := n.pick(pushFanOut)
+	peers := n.pickNeighbours(pushFanOut)
 	addrs := make([]string, 0, len(peers))
 	for _, p := range peers {
 		addrs = append(addrs, p.ControlAddr)
--- a/pkg/peer/node_push.go
+++ b/pkg/peer/node_push.go
@@ -14,7 +14,7 @@
 func (n *Node) pushLoop(ctx context.Context) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.changes.subscribe()
+	revisions, stop := n.revisionChanges.subscribe()
 	defer stop()
 	n.pushed = n.table.Version()
 	for {
@@ -24,7 +24,7 @@
 		case <-changes:
 		case <-revisions:
 		}
-		_ = wait.For(ctx, n.stretched(gatherTime))
+		_ = wait.For(ctx, n.throttled(pushBatchDelay))
 		n.push(ctx)
 	}
 }
@@ -34,10 +34,10 @@
 	members := n.table.ChangedSince(n.pushed)
 	n.pushed = version
 	revision := n.cfg.Adopter.Number()
-	if len(members) == 0 && revision == n.headPushed {
+	if len(members) == 0 && revision == n.revisionPushed {
 		return
 	}
-	n.headPushed = revision
+	n.revisionPushed = revision
 	request := n.newExchange()
 	request.Members, request.Verdicts = splitVerdicts(members)
 	n.pushAll(ctx, request)
@@ -47,7 +47,7 @@
 func (n *Node) pushAll(ctx context.Context, request *peerpb.ExchangeRequest) {
 	request.Push = true
 	n.metrics.pushes.Inc(1)
-	for _, p := range n.pick(pushFanOut) {
+	for _, p := range n.pickNeighbours(pushFanOut) {
 		n.calls.Go(func() { n.pushTo(ctx, p, request) })
 	}
 }
@@ -61,7 +61,7 @@
 			return nil
 		case <-n.acks.Changed():
 		}
-		_ = wait.For(ctx, n.stretched(ackGatherTime))
+		_ = wait.For(ctx, n.throttled(ackBatchDelay))
 		acks, version := n.acks.ChangedSince(pushed)
 		pushed = version
 		if len(acks) == 0 {
@@ -75,12 +75,12 @@
 
 func (n *Node) pushTo(ctx context.Context, p membership.Member, request *peerpb.ExchangeRequest) {
 	reply, err := n.call(ctx, p, request)
-	n.note(p, err == nil)
+	n.recordPeerResult(p, err == nil)
 	if err != nil {
 		n.cfg.Log.Debug().Err(err).Str("op", "push").Str("peer", p.ControlAddr).Send()
 		return
 	}
-	n.take(p, reply)
+	n.mergeReply(p, reply)
 }
 
 // splitVerdicts puts deaths into their short form and bounds the size of the rest.
--- a/pkg/peer/node_test.go
+++ b/pkg/peer/node_test.go
@@ -18,8 +18,8 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// waitTime bounds the waits of tests; it is far above what they need.
-const waitTime = 20 * time.Second
+// testTimeout bounds the waits of tests; it is far above what they need.
+const testTimeout = 20 * time.Second
 
 // testDetector gives members long limits, so that a busy machine doesn't fail a test.
 var testDetector = membership.DetectorConfig{SuspectAfter: 6 * time.Second, PauseLimit: 2 * time.Second, Grace: 8 * time.Second, MassLossHold: time.Second}
@@ -64,7 +64,7 @@
 	case err := <-n.done:
 		require.NoError(t, err)
 		n.done <- nil
-	case <-time.After(waitTime):
+	case <-time.After(testTimeout):
 		t.Error("node did not stop")
 	}
 }
@@ -151,14 +151,14 @@
 	case err := <-s.done:
 		require.NoError(t, err)
 		s.done <- nil
-	case <-time.After(waitTime):
+	case <-time.After(testTimeout):
 		t.Error("session did not stop")
 	}
 }
 
 func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
-	require.Eventually(t, f, waitTime, 5*time.Millisecond, what)
+	require.Eventually(t, f, testTimeout, 5*time.Millisecond, what)
 }
 
 func (n *testNode) state(id string) membership.State {
--- a/pkg/peer/readings.go
+++ b/pkg/peer/readings.go
@@ -9,8 +9,8 @@
 
 // readings are the counters that the watched agents sent with their heartbeats.
 type readings struct {
-	mu   sync.Mutex
-	list map[readingKey]*heldReading
+	mu            sync.Mutex
+	byIncarnation map[readingKey]*storedReading
 }
 
 type readingKey struct {
@@ -18,36 +18,36 @@
 	incarnation uint64
 }
 
-type heldReading struct {
+type storedReading struct {
 	service, version   string
 	requests, failures uint64
-	// zero is when the counters were heard at zero last; the zero time when never.
-	zero  time.Time
-	heard time.Time
+	// lastZero is when the counters were heard at lastZero last; the lastZero time when never.
+	lastZero time.Time
+	lastSeen time.Time
 }
 
 func newReadings() *readings {
-	return &readings{list: make(map[readingKey]*heldReading)}
+	return &readings{byIncarnation: make(map[readingKey]*storedReading)}
 }
 
-// note takes in the counters of a heartbeat of the member. Counters of one incarnation never fall, so that messages of
+// record takes in the counters of a heartbeat of the member. Counters of one incarnation never fall, so that messages of
 // two streams may come in any order.
-func (r *readings) note(m *membership.Member, requests, failures uint64, now time.Time) {
+func (r *readings) record(m *membership.Member, requests, failures uint64, now time.Time) {
 	if m.Role != membership.RoleAgent {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := readingKey{m.ID, m.Incarnation}
-	held, ok := r.list[key]
+	held, ok := r.byIncarnation[key]
 	if !ok {
-		held = &heldReading{}
-		r.list[key] = held
+		held = &storedReading{}
+		r.byIncarnation[key] = held
 	}
-	held.service, held.version, held.heard = m.Service, m.Version, now
+	held.service, held.version, held.lastSeen = m.Service, m.Version, now
 	held.requests, held.failures = max(held.requests, requests), max(held.failures, failures)
 	if held.requests == 0 {
-		held.zero = now
+		held.lastZero = now
 	}
 }
 
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Reading
-	for key, held := range r.list {
+	for key, held := range r.byIncarnation {
 		if held.service != service {
 			continue
 		}
@@ -64,8 +64,8 @@
 			Agent: key.agent, Incarnation: key.incarnation, Version: held.version,
 			Requests: held.requests, Failures: held.failures,
 		}
-		if !held.zero.IsZero() {
-			reading.ZeroAge = max(now.Sub(held.zero), 1)
+		if !held.lastZero.IsZero() {
+			reading.ZeroAge = max(now.Sub(held.lastZero), 1)
 		}
 		out = append(out, reading)
 	}
@@ -76,9 +76,9 @@
 func (r *readings) expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, held := range r.list {
-		if now.Sub(held.heard) > readingTime {
-			delete(r.list, key)
+	for key, held := range r.byIncarnation {
+		if now.Sub(held.lastSeen) > readingRetention {
+			delete(r.byIncarnation, key)
 		}
 	}
 }
--- a/pkg/peer/self.go
+++ b/pkg/peer/self.go
@@ -35,7 +35,7 @@
 	before := s.member
 	f(&s.member)
 	s.member.ID, s.member.Incarnation = before.ID, before.Incarnation
-	s.raise(before.Sequence)
+	s.raiseSequence(before.Sequence)
 }
 
 // refute raises the sequence above a record of this incarnation that others hold and that isn't true, and reports
@@ -52,18 +52,18 @@
 	if seen.Sequence == s.member.Sequence && seen.State == s.member.State {
 		return false
 	}
-	s.raise(seen.Sequence)
+	s.raiseSequence(seen.Sequence)
 	return true
 }
 
-func (s *self) raise(above uint64) {
+func (s *self) raiseSequence(above uint64) {
 	s.member.Sequence = above + 1
 	s.member.Changed = s.now()
-	s.announceAgain()
+	s.scheduleAnnounce()
 }
 
-// announceAgain makes the process announce its record as it is.
-func (s *self) announceAgain() {
+// scheduleAnnounce makes the process announce its record as it is.
+func (s *self) scheduleAnnounce() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
--- a/pkg/peer/service_state.go
+++ b/pkg/peer/service_state.go
@@ -24,12 +24,12 @@
 	onRemoved func(string)
 	onAgents  func(uint32)
 
-	mu       sync.Mutex
-	table    *membership.Table
-	sources  map[string]*watchSource
-	revision uint64
-	configs  []resource.ServiceConfig
-	known    map[string]*view.Service
+	mu        sync.Mutex
+	table     *membership.Table
+	sources   map[string]*watchSource
+	revision  uint64
+	configs   []resource.ServiceConfig
+	published map[string]*view.Service
 	// agents is the number of live agents that was reported last.
 	agents uint32
 }
@@ -49,7 +49,7 @@
 		onAgents:  c.OnAgents,
 		table:     membership.NewTable(membership.TableConfig{}),
 		sources:   make(map[string]*watchSource),
-		known:     make(map[string]*view.Service),
+		published: make(map[string]*view.Service),
 	}
 }
 
@@ -66,7 +66,7 @@
 		s.table.Merge(m, s.now())
 	}
 	if u.GetSnapshot() {
-		s.dropUnlisted()
+		s.removeUnlisted()
 	}
 	if err := s.applyConfigs(source, u); err != nil {
 		return err
@@ -85,16 +85,16 @@
 	return source
 }
 
-// forget ends the part of a balancer whose stream won't be opened again. Its members stay until a snapshot of another
+// removeSource ends the part of a balancer whose stream won't be opened again. Its members stay until a snapshot of another
 // balancer doesn't list them.
-func (s *serviceState) forget(addr string) {
+func (s *serviceState) removeSource(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sources, addr)
 }
 
-// ready reports whether the balancer at addr has sent a view.
-func (s *serviceState) ready(addr string) bool {
+// hasView reports whether the balancer at addr has sent a view.
+func (s *serviceState) hasView(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sources[addr] != nil
@@ -114,8 +114,8 @@
 	s.onAgents(agents)
 }
 
-// dropUnlisted forgets members that no balancer lists any longer; their tombstones have expired.
-func (s *serviceState) dropUnlisted() {
+// removeUnlisted forgets members that no balancer lists any longer; their tombstones have expired.
+func (s *serviceState) removeUnlisted() {
 	for _, m := range s.table.Members() {
 		listed := false
 		for _, source := range s.sources {
@@ -168,22 +168,22 @@
 	names := make(map[string]bool)
 	for _, service := range v.Services {
 		names[service.Name] = true
-		if reflect.DeepEqual(service, s.known[service.Name]) {
+		if reflect.DeepEqual(service, s.published[service.Name]) {
 			continue
 		}
-		s.known[service.Name] = service
+		s.published[service.Name] = service
 		s.onView(service)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.known)) {
+	for _, name := range slices.Sorted(maps.Keys(s.published)) {
 		if names[name] {
 			continue
 		}
-		delete(s.known, name)
+		delete(s.published, name)
 		s.onRemoved(name)
 	}
 }
 
-// seen returns the record of a member as the balancers hold it.
-func (s *serviceState) seen(id string) (membership.Member, bool) {
+// member returns the record of a member as the balancers hold it.
+func (s *serviceState) member(id string) (membership.Member, bool) {
 	return s.table.Get(id)
 }
--- a/pkg/peer/service_state_test.go
+++ b/pkg/peer/service_state_test.go
@@ -23,7 +23,7 @@
 func newAgentState() *agentState {
 	a := &agentState{views: make(map[string]*view.Service)}
 	a.serviceState = newServiceState(SessionConfig{
-		Now:       func() time.Time { return spreadTime },
+		Now:       func() time.Time { return testTime },
 		OnView:    func(v *view.Service) { a.views[v.Name] = v; a.reports++ },
 		OnRemoved: func(name string) { delete(a.views, name) },
 	}.withDefaults())
@@ -54,7 +54,7 @@
 	return states
 }
 
-func TestLaterRevisionOfTwoBalancersCounts(t *testing.T) {
+func TestHigherRevisionOfTwoBalancersWins(t *testing.T) {
 	a := newAgentState()
 	require.NoError(t, a.apply("b0", update(5, true, nil, serviceConfig(t, "web", time.Minute))))
 	require.NoError(t, a.apply("b1", update(4, true, nil, serviceConfig(t, "web", time.Second), serviceConfig(t, "old", 0))))
@@ -82,11 +82,11 @@
 	require.Len(t, a.targets("web"), 2, "listed by one of the balancers")
 	require.NoError(t, a.apply("b1", update(1, true, nil, config)))
 	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "listed by none")
-	a.forget("b0")
+	a.removeSource("b0")
 	require.Len(t, a.targets("web"), 1, "a lost stream drops nothing")
 }
 
-func TestUpdatesThatAreRefused(t *testing.T) {
+func TestInvalidUpdatesAreRejected(t *testing.T) {
 	cases := map[string]*peerpb.ServiceConfig{
 		"no specification yet": {Name: "web"},
 		"specification broken": {Name: "web", Spec: []byte("{")},
@@ -110,7 +110,7 @@
 	require.Zero(t, a.views["web"].Targets[0].Weight)
 }
 
-func TestHighestNumberOfAgentsCounts(t *testing.T) {
+func TestHighestNumberOfAgentsIsReported(t *testing.T) {
 	var reports []uint32
 	state := newServiceState(SessionConfig{
 		OnView:   func(*view.Service) {},
@@ -129,7 +129,7 @@
 	apply("b1", false, 3300)
 	apply("b1", false, 3300)
 	require.Equal(t, []uint32{3000, 3300}, reports)
-	state.forget("b1")
+	state.removeSource("b1")
 	apply("b0", false, 2900)
 	require.Equal(t, []uint32{3000, 3300, 2900}, reports)
 }
--- a/pkg/peer/session.go
+++ b/pkg/peer/session.go
@@ -29,19 +29,19 @@
 // Session is the control side of an agent: it announces the agent, sends heartbeats to its watchers and takes the views
 // of its service from two balancers.
 type Session struct {
-	cfg    SessionConfig
-	self   *self
-	budget *budget
-	dialer *dialer
-	beats  *heartbeater
-	state  *serviceState
+	cfg        SessionConfig
+	self       *self
+	budget     *budget
+	dialer     *dialer
+	heartbeats *heartbeater
+	state      *serviceState
 
 	mu sync.Mutex
-	// known are control addresses of balancers that were named by others, newest first.
-	known   []string
-	watches map[string]context.CancelFunc
-	// blocked says until when no stream of views is opened to a balancer, because one failed.
-	blocked map[string]time.Time
+	// knownAddrs are control addresses of balancers that were named by others, newest first.
+	knownAddrs []string
+	watches    map[string]context.CancelFunc
+	// blockedUntil says until when no stream of views is opened to a balancer, because one failed.
+	blockedUntil map[string]time.Time
 	// changed is set when the watchers or the known balancers changed.
 	changed chan struct{}
 	group   sync.WaitGroup
@@ -49,8 +49,8 @@
 	killed atomic.Bool
 }
 
-// maxKnown bounds the number of addresses that a session remembers besides its seeds.
-const maxKnown = 16
+// maxKnownAddrs bounds the number of addresses that a session remembers besides its seeds.
+const maxKnownAddrs = 16
 
 // NewSession returns a session that doesn't run yet. It returns an error when the record isn't complete or the
 // certificates can't be read.
@@ -67,22 +67,22 @@
 		return nil, err
 	}
 	s := &Session{
-		cfg:     cfg,
-		self:    newSelf(cfg.Self, cfg.Now),
-		budget:  newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
-		state:   newServiceState(cfg),
-		watches: make(map[string]context.CancelFunc),
-		blocked: make(map[string]time.Time),
-		changed: make(chan struct{}, 1),
+		cfg:          cfg,
+		self:         newSelf(cfg.Self, cfg.Now),
+		budget:       newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
+		state:        newServiceState(cfg),
+		watches:      make(map[string]context.CancelFunc),
+		blockedUntil: make(map[string]time.Time),
+		changed:      make(chan struct{}, 1),
 	}
 	s.dialer = newDialer(creds, s.budget, cfg.dial)
-	s.beats = newHeartbeater(s.self, s.dialer, cfg.HeartbeatInterval, cfg.Log)
-	s.beats.load = cfg.Load
-	s.beats.counts = cfg.Counts
-	s.beats.announce = s.announceTo
-	s.beats.watchers = s.learnWatchers
+	s.heartbeats = newHeartbeater(s.self, s.dialer, cfg.HeartbeatInterval, cfg.Log)
+	s.heartbeats.loadFunc = cfg.Load
+	s.heartbeats.counts = cfg.Counts
+	s.heartbeats.onAnnounce = s.announceTo
+	s.heartbeats.onWatchers = s.setWatchers
 	// A watcher that fails may soon be replaced, and the others may have failed too, so the agent asks again.
-	s.beats.failed = s.self.announceAgain
+	s.heartbeats.onFailure = s.self.scheduleAnnounce
 	return s, nil
 }
 
@@ -124,7 +124,7 @@
 	g.Go(func() error { return s.announceLoop(run) })
 	g.Go(func() error { return s.watchLoop(run) })
 	g.Go(func() error { return s.joinLoop(run) })
-	g.Go(func() error { return s.beats.run(run) })
+	g.Go(func() error { return s.heartbeats.run(run) })
 	_ = g.Wait()
 	s.leave()
 	s.group.Wait()
@@ -141,7 +141,7 @@
 // joinLoop makes the agent active once it has been joining for the set time, a balancer has its record and it is ready.
 func (s *Session) joinLoop(ctx context.Context) error {
 	_ = wait.For(ctx, s.cfg.JoinTime)
-	for ctx.Err() == nil && !s.mayServe() {
+	for ctx.Err() == nil && !s.canServe() {
 		_ = wait.For(ctx, streamRetry)
 	}
 	if ctx.Err() != nil {
@@ -156,9 +156,9 @@
 	return nil
 }
 
-// mayServe reports whether a balancer has the agent's record and the agent is ready for packets.
-func (s *Session) mayServe() bool {
-	if len(s.beats.addrs()) == 0 {
+// canServe reports whether a balancer has the agent's record and the agent is ready for packets.
+func (s *Session) canServe() bool {
+	if len(s.heartbeats.addrs()) == 0 {
 		return false
 	}
 	return s.cfg.Ready == nil || s.cfg.Ready()
@@ -206,7 +206,7 @@
 				return
 			}
 			taken.Add(1)
-			s.learn(reply)
+			s.applyReply(reply)
 		})
 	}
 	group.Wait()
@@ -234,14 +234,14 @@
 	}
 }
 
-// learn takes over what a balancer answered to the announcement.
-func (s *Session) learn(reply *peerpb.AnnounceReply) {
+// applyReply takes over what a balancer answered to the announcement.
+func (s *Session) applyReply(reply *peerpb.AnnounceReply) {
 	s.refute(reply)
 	s.mu.Lock()
-	s.known = addrsBefore(reply.GetPeers(), s.known)
+	s.knownAddrs = mergeAddrs(reply.GetPeers(), s.knownAddrs)
 	s.mu.Unlock()
 	if len(reply.GetWatchers()) > 0 {
-		s.beats.follow(reply.GetWatchers())
+		s.heartbeats.setWatchers(reply.GetWatchers())
 	}
 	s.notify()
 }
@@ -253,15 +253,15 @@
 	}
 }
 
-// addrsBefore returns the addresses of both lists without doubles, at most maxKnown.
-func addrsBefore(first, then []string) []string {
+// mergeAddrs returns the addresses of both lists without doubles, at most maxKnown.
+func mergeAddrs(first, then []string) []string {
 	all := make([]string, 0, len(first)+len(then))
 	for _, addr := range append(slices.Clone(first), then...) {
 		if addr != "" && !slices.Contains(all, addr) {
 			all = append(all, addr)
 		}
 	}
-	return all[:min(len(all), maxKnown)]
+	return all[:min(len(all), maxKnownAddrs)]
 }
 
 // addrs returns the addresses to call in the order of preference: watchers, known balancers, seeds. Those to which a
@@ -273,10 +273,10 @@
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	now := s.cfg.Now()
 	var working, failing []string
-	for _, addr := range slices.Concat(s.beats.addrs(), s.known, seeds) {
+	for _, addr := range slices.Concat(s.heartbeats.addrs(), s.knownAddrs, seeds) {
 		switch {
 		case slices.Contains(working, addr) || slices.Contains(failing, addr):
-		case now.Before(s.blocked[addr]):
+		case now.Before(s.blockedUntil[addr]):
 			failing = append(failing, addr)
 		default:
 			working = append(working, addr)
--- a/pkg/peer/session_watch.go
+++ b/pkg/peer/session_watch.go
@@ -13,7 +13,7 @@
 // watchLoop keeps the streams of views on two balancers. A stream that fails is replaced by one to another balancer.
 func (s *Session) watchLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		s.moveWatches(ctx)
+		s.updateWatches(ctx)
 		select {
 		case <-ctx.Done():
 		case <-s.changed:
@@ -22,12 +22,12 @@
 	return nil
 }
 
-// moveWatches opens streams to the preferred balancers. Once these have sent a view, the others are closed.
-func (s *Session) moveWatches(ctx context.Context) {
+// updateWatches opens streams to the preferred balancers. Once these have sent a view, the others are closed.
+func (s *Session) updateWatches(ctx context.Context) {
 	addrs := s.addrs()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.known) == 0 {
+	if len(s.knownAddrs) == 0 {
 		// Before a balancer has answered only the seeds are known, and these would get the streams of all agents.
 		return
 	}
@@ -37,7 +37,7 @@
 		if s.watches[addr] == nil {
 			s.openWatch(ctx, addr)
 		}
-		if s.state.ready(addr) {
+		if s.state.hasView(addr) {
 			ready++
 		}
 	}
@@ -56,7 +56,7 @@
 	now := s.cfg.Now()
 	var list []string
 	for _, addr := range addrs {
-		if len(list) < watchCount && !now.Before(s.blocked[addr]) {
+		if len(list) < watchCount && !now.Before(s.blockedUntil[addr]) {
 			list = append(list, addr)
 		}
 	}
@@ -73,7 +73,7 @@
 // watch takes updates from one balancer until the stream fails or is closed.
 func (s *Session) watch(ctx context.Context, addr string) {
 	err := s.watchStream(ctx, addr)
-	s.state.forget(addr)
+	s.state.removeSource(addr)
 	if !s.endWatch(ctx, addr) {
 		return
 	}
@@ -91,7 +91,7 @@
 	s.watches[addr]()
 	delete(s.watches, addr)
 	if failed {
-		s.blocked[addr] = s.cfg.Now().Add(streamRetryMax)
+		s.blockedUntil[addr] = s.cfg.Now().Add(streamRetryMax)
 	}
 	return failed
 }
@@ -116,14 +116,14 @@
 		if u.GetSnapshot() {
 			s.notify()
 		}
-		if seen, ok := s.state.seen(s.cfg.Self.ID); ok && s.self.refute(seen) {
+		if seen, ok := s.state.member(s.cfg.Self.ID); ok && s.self.refute(seen) {
 			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "held for "+seen.State.String()).Msg("refuted")
 		}
 	}
 }
 
-// learnWatchers moves the heartbeats and, where needed, the streams of views to other balancers.
-func (s *Session) learnWatchers(addrs []string) {
-	s.beats.follow(addrs)
+// setWatchers moves the heartbeats and, where needed, the streams of views to other balancers.
+func (s *Session) setWatchers(addrs []string) {
+	s.heartbeats.setWatchers(addrs)
 	s.notify()
 }
--- a/pkg/peer/split_test.go
+++ b/pkg/peer/split_test.go
@@ -13,15 +13,15 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// boundary opens the connections between two regions and can cut them.
-type boundary struct {
+// partition opens the connections between two regions and can cut them.
+type partition struct {
 	mu      sync.Mutex
 	cut     bool
 	regions map[string]string
 	conns   []net.Conn
 }
 
-func (b *boundary) dial(region string) dialFunc {
+func (b *partition) dial(region string) dialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-func (b *boundary) set(cut bool) {
+func (b *partition) set(cut bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cut = cut
@@ -47,9 +47,9 @@
 	b.conns = nil
 }
 
-func TestRegionsGoOnApartAndAgreeAfterwards(t *testing.T) {
+func TestPartitionedRegionsConverge(t *testing.T) {
 	regions := []string{"amman-east", "hcm"}
-	b := &boundary{regions: make(map[string]string)}
+	b := &partition{regions: make(map[string]string)}
 	nodes := startNodes(t, 4, func(i int, c *NodeConfig) {
 		region := regions[i/2]
 		b.mu.Lock()
--- a/pkg/peer/spread_test.go
+++ b/pkg/peer/spread_test.go
@@ -21,18 +21,18 @@
 	fleetCentres   = 7
 	fleetRegions   = 2
 	// pushStep is the time from learning a change to its arrival at the next balancers.
-	pushStep = gatherTime + 10*time.Millisecond
+	pushStep = pushBatchDelay + 10*time.Millisecond
 )
 
-var spreadTime = time.UnixMilli(1_700_000_000_000).UTC()
+var testTime = time.UnixMilli(1_700_000_000_000).UTC()
 
 func fleetMember(id string, role membership.Role, i int) membership.Member {
 	dc := i % fleetCentres
 	return membership.Member{
-		ID: id, Role: role, Incarnation: uint64(spreadTime.UnixMilli()), Sequence: 2, State: membership.StateActive,
+		ID: id, Role: role, Incarnation: uint64(testTime.UnixMilli()), Sequence: 2, State: membership.StateActive,
 		Region: fmt.Sprintf("region-%d", dc%fleetRegions), DataCentre: fmt.Sprintf("data-centre-%d", dc),
 		PacketAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7100),
-		Slots:      4, Connections: 2000, ActiveSince: spreadTime, Changed: spreadTime,
+		Slots:      4, Connections: 2000, ActiveSince: testTime, Changed: testTime,
 	}
 }
 
@@ -51,8 +51,8 @@
 	return members
 }
 
-// spread carries changes among tables by the functions that nodes use, in steps of pushStep.
-type spread struct {
+// propagation carries changes among tables by the functions that nodes use, in steps of pushStep.
+type propagation struct {
 	random     *rand.Rand
 	tables     []*membership.Table
 	neighbours [][]int
@@ -63,9 +63,9 @@
 	bytes []int
 }
 
-func newSpread(balancers, agents int, pushing bool) *spread {
+func newPropagation(balancers, agents int, pushing bool) *propagation {
 	members := fleetMembers(balancers, agents)
-	s := &spread{random: rand.New(rand.NewPCG(1, 2)), pushing: pushing, bytes: make([]int, balancers)}
+	s := &propagation{random: rand.New(rand.NewPCG(1, 2)), pushing: pushing, bytes: make([]int, balancers)}
 	index := make(map[string]int)
 	for i := range balancers {
 		index[members[i].ID] = i
@@ -73,7 +73,7 @@
 	for i := range balancers {
 		t := membership.NewTable(membership.TableConfig{})
 		for _, m := range members {
-			t.Merge(m, spreadTime)
+			t.Merge(m, testTime)
 		}
 		s.tables = append(s.tables, t)
 		s.pushed = append(s.pushed, t.Version())
@@ -86,26 +86,26 @@
 	return s
 }
 
-func (s *spread) pick(i, count int) []int {
+func (s *propagation) pick(i, count int) []int {
 	near := s.neighbours[i]
 	s.random.Shuffle(len(near), func(a, b int) { near[a], near[b] = near[b], near[a] })
 	return near[:min(count, len(near))]
 }
 
-func (s *spread) count(from, to int, m proto.Message) {
+func (s *propagation) count(from, to int, m proto.Message) {
 	s.bytes[from] += proto.Size(m)
 	s.bytes[to] += proto.Size(m)
 }
 
-func (s *spread) merge(i int, records []*peerpb.Member, verdicts []*peerpb.Verdict) {
+func (s *propagation) merge(i int, records []*peerpb.Member, verdicts []*peerpb.Verdict) {
 	for _, p := range records {
-		s.tables[i].Merge(memberFromProto(p), spreadTime)
+		s.tables[i].Merge(memberFromProto(p), testTime)
 	}
-	mergeVerdicts(s.tables[i], verdicts, spreadTime)
+	mergeVerdicts(s.tables[i], verdicts, testTime)
 }
 
-// run makes one step: pushes of what was learned in the step before, and the rounds of exchange that fall into it.
-func (s *spread) run() {
+// runStep makes one step: pushes of what was learned in the step before, and the rounds of exchange that fall into it.
+func (s *propagation) runStep() {
 	s.step++
 	type message struct {
 		from, to int
@@ -138,7 +138,7 @@
 	}
 }
 
-func (s *spread) exchange(from, to int) {
+func (s *propagation) exchange(from, to int) {
 	a, b := s.tables[from], s.tables[to]
 	first := &peerpb.ExchangeRequest{Id: "balancer-0000", Root: a.Root(), Revision: 900, AcksRoot: 1}
 	reply := &peerpb.ExchangeReply{Root: b.Root(), Revision: 900}
@@ -162,20 +162,20 @@
 	s.merge(to, third.GetMembers(), nil)
 }
 
-// until runs steps until all tables agree, and returns the time and the bytes of a balancer, on average.
-func (s *spread) until(tb testing.TB, limit time.Duration) (time.Duration, int) {
+// runUntilConverged runs steps runUntilConverged all tables agree, and returns the time and the bytes of a balancer, on average.
+func (s *propagation) runUntilConverged(tb testing.TB, limit time.Duration) (time.Duration, int) {
 	begin := s.step
 	for {
 		elapsed := time.Duration(s.step-begin) * pushStep
-		if s.agree() {
-			return elapsed, s.mean()
+		if s.converged() {
+			return elapsed, s.takeMeanBytes()
 		}
 		require.LessOrEqual(tb, elapsed, limit, "the tables don't agree")
-		s.run()
+		s.runStep()
 	}
 }
 
-func (s *spread) agree() bool {
+func (s *propagation) converged() bool {
 	root := s.tables[0].Root()
 	for _, t := range s.tables[1:] {
 		if t.Root() != root {
@@ -185,7 +185,7 @@
 	return true
 }
 
-func (s *spread) mean() int {
+func (s *propagation) takeMeanBytes() int {
 	sum := 0
 	for i, n := range s.bytes {
 		sum += n
@@ -194,41 +194,41 @@
 	return sum / len(s.bytes)
 }
 
-func (s *spread) change(id string, state membership.State) {
+func (s *propagation) change(id string, state membership.State) {
 	m, _ := s.tables[0].Get(id)
 	m.State = state
 	if state != membership.StateDead {
 		m.Sequence++
 	}
-	s.tables[s.random.IntN(len(s.tables))].Merge(m, spreadTime)
+	s.tables[s.random.IntN(len(s.tables))].Merge(m, testTime)
 }
 
 // A change must reach all balancers of the largest fleet in 2 s, with pushes and, when all pushes are lost, soon after.
 func TestChangeReachesTheWholeFleet(t *testing.T) {
-	s := newSpread(fleetBalancers, 20, true)
+	s := newPropagation(fleetBalancers, 20, true)
 	s.change("target-0007", membership.StateDraining)
-	elapsed, bytes := s.until(t, 2*time.Second)
+	elapsed, bytes := s.runUntilConverged(t, 2*time.Second)
 	t.Logf("push and exchange: %v, %d bytes of messages per balancer", elapsed, bytes)
 	s.pushing = false
 	s.change("target-0008", membership.StateDraining)
-	elapsed, bytes = s.until(t, 5*time.Second)
+	elapsed, bytes = s.runUntilConverged(t, 5*time.Second)
 	t.Logf("exchange only: %v, %d bytes of messages per balancer", elapsed, bytes)
 }
 
-// BenchmarkSpread prints, for several fleets and numbers of changes at once, the time until all agree and the bytes of
+// BenchmarkPropagation prints, for several fleets and numbers of changes at once, the time until all agree and the bytes of
 // messages that a balancer sends and receives for it, without framing. Run it with -benchtime 1x.
-func BenchmarkSpread(b *testing.B) {
+func BenchmarkPropagation(b *testing.B) {
 	for _, balancers := range []int{60, 245, fleetBalancers} {
 		agents := balancers * fleetAgents / fleetBalancers
-		s := newSpread(balancers, agents, true)
+		s := newPropagation(balancers, agents, true)
 		next := 0
 		b.Run(fmt.Sprintf("balancers=%d/changes=0", balancers), func(b *testing.B) {
 			for b.Loop() {
 				for range int(time.Second / pushStep) {
-					s.run()
+					s.runStep()
 				}
 			}
-			b.ReportMetric(float64(s.mean())/float64(b.N), "B/balancer")
+			b.ReportMetric(float64(s.takeMeanBytes())/float64(b.N), "B/balancer")
 		})
 		for _, changes := range []int{1, 20, balancers * 471 / fleetBalancers} {
 			for _, state := range []membership.State{membership.StateDraining, membership.StateDead} {
@@ -240,7 +240,7 @@
 	}
 }
 
-func benchmarkChanges(b *testing.B, s *spread, next *int, agents, changes int, state membership.State) {
+func benchmarkChanges(b *testing.B, s *propagation, next *int, agents, changes int, state membership.State) {
 	var elapsed time.Duration
 	var bytes int
 	for b.Loop() {
@@ -248,7 +248,7 @@
 			s.change(fmt.Sprintf("target-%04d", *next%agents), state)
 			*next++
 		}
-		e, n := s.until(b, time.Minute)
+		e, n := s.runUntilConverged(b, time.Minute)
 		elapsed += e
 		bytes += n
 	}
--- a/pkg/peer/tls_test.go
+++ b/pkg/peer/tls_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestTLSFilesThatCannotBeUsed(t *testing.T) {
+func TestInvalidTLSFilesAreRejected(t *testing.T) {
 	a := newAuthority(t)
 	valid := a.issue("b0", time.Now().Add(time.Hour))
 	junk := a.write("junk.pem", "SOMETHING", []byte("x"))
--- a/pkg/peer/view_pace_test.go
+++ b/pkg/peer/view_pace_test.go
@@ -11,18 +11,18 @@
 	cases := map[string]struct {
 		took, quiet, want time.Duration
 	}{
-		"first change":               {want: viewGatherTime, quiet: time.Minute},
-		"change after a quiet time":  {took: 3 * time.Millisecond, quiet: time.Second, want: viewGatherTime},
+		"first change":               {want: viewBatchDelay, quiet: time.Minute},
+		"change after a quiet time":  {took: 3 * time.Millisecond, quiet: time.Second, want: viewBatchDelay},
 		"change soon after a view":   {took: 3 * time.Millisecond, quiet: 100 * time.Millisecond, want: 200 * time.Millisecond},
-		"small installation":         {took: 100 * time.Microsecond, quiet: 0, want: viewGatherTime},
-		"paused while it was built":  {took: time.Hour, quiet: 0, want: maxViewPause},
-		"clock that was turned back": {took: -time.Hour, quiet: 0, want: viewGatherTime},
+		"small installation":         {took: 100 * time.Microsecond, quiet: 0, want: viewBatchDelay},
+		"paused while it was built":  {took: time.Hour, quiet: 0, want: maxViewDelay},
+		"clock that was turned back": {took: -time.Hour, quiet: 0, want: viewBatchDelay},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var p viewPace
-			p.note(spreadTime.Add(-c.took), spreadTime)
-			require.Equal(t, c.want, p.wait(spreadTime.Add(c.quiet)))
+			p.record(testTime.Add(-c.took), testTime)
+			require.Equal(t, c.want, p.delay(testTime.Add(c.quiet)))
 		})
 	}
 }
@@ -32,17 +32,17 @@
 	const took, step = 4 * time.Millisecond, 10 * time.Millisecond
 	var p viewPace
 	var work time.Duration
-	now, longest := spreadTime, time.Duration(0)
-	p.note(now, now)
+	now, longest := testTime, time.Duration(0)
+	p.record(now, now)
 	for end := now.Add(time.Minute); now.Before(end); {
 		changed := now
-		now = now.Add(p.wait(now))
-		p.note(now, now.Add(took))
+		now = now.Add(p.delay(now))
+		p.record(now, now.Add(took))
 		now = now.Add(took)
 		work += took
 		longest = max(longest, now.Sub(changed))
 		now = now.Add(step)
 	}
-	require.LessOrEqual(t, work, time.Minute/viewWork+2*took)
-	require.LessOrEqual(t, longest, maxViewPause)
+	require.LessOrEqual(t, work, time.Minute/viewWorkDivisor+2*took)
+	require.LessOrEqual(t, longest, maxViewDelay)
 }
--- a/pkg/peer/watch_views.go
+++ b/pkg/peer/watch_views.go
@@ -12,14 +12,14 @@
 func (n *Node) WatchViews(ctx context.Context, onView func(*view.View)) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.changes.subscribe()
+	revisions, stop := n.revisionChanges.subscribe()
 	defer stop()
 	var pace viewPace
 	for {
 		if r, ok := n.cfg.Adopter.Current(); ok {
 			begin := n.cfg.Now()
 			onView(view.Build(r, n.table.Members()))
-			pace.note(begin, n.cfg.Now())
+			pace.record(begin, n.cfg.Now())
 		}
 		select {
 		case <-ctx.Done():
@@ -27,6 +27,6 @@
 		case <-changes:
 		case <-revisions:
 		}
-		_ = wait.For(ctx, pace.wait(n.cfg.Now()))
+		_ = wait.For(ctx, pace.delay(n.cfg.Now()))
 	}
 }
