--- a/pkg/peer/agent_count_test.go
+++ b/pkg/peer/agent_count_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Agents of other services are news for a stream by their number only, and only when that has changed by much.
+// A change of agents of other services causes an update only when their number changes by more than the tolerance.
 func TestStreamSendsNumberOfAgents(t *testing.T) {
 	n := startNode(t, "b0", nil)
 	w := &serviceWatch{node: n.Node, service: "pool", sent: make(map[string][]byte)}
@@ -39,9 +39,9 @@
 	n.table.Merge(fleetMember("b1", membership.RoleBalancer, 1), testTime)
 	add(20, "other")
 	u := w.next()
-	require.EqualValues(t, 20, u.GetAgents(), "agents of all services, and no balancers")
+	require.EqualValues(t, 20, u.GetAgents(), "agents of all services, without balancers")
 	add(2, "other")
-	require.Nil(t, w.next(), "a tenth is no reason for an update")
+	require.Nil(t, w.next(), "a change of a tenth causes no update")
 	add(1, "other")
 	u = w.next()
 	require.EqualValues(t, 23, u.GetAgents())
@@ -49,7 +49,7 @@
 	require.False(t, u.GetSnapshot())
 	require.Nil(t, w.next())
 	add(1, "pool")
-	require.EqualValues(t, 24, w.next().GetAgents(), "the number goes with every update")
+	require.EqualValues(t, 24, w.next().GetAgents(), "every update has the number")
 }
 
 func TestNumberOfAgentsReachesTheSession(t *testing.T) {
--- a/pkg/peer/broadcast.go
+++ b/pkg/peer/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes all its subscribers; calls that come faster than they are taken count once.
+// broadcast notifies all its subscribers. Notifications while one is pending are coalesced.
 type broadcast struct {
 	mu          sync.Mutex
 	subscribers map[chan struct{}]struct{}
--- a/pkg/peer/bytes_bench_test.go
+++ b/pkg/peer/bytes_bench_test.go
@@ -26,8 +26,8 @@
 	return sum
 }
 
-// benchmarkFleet measures the bytes a second of balancers and agents on real connections with the default intervals,
-// while act runs. The agents send counts, when not nil, with their heartbeats.
+// benchmarkFleet measures the bytes per second of balancers and agents on real connections with the default intervals,
+// while act runs. The agents report counts, when not nil, with their heartbeats.
 func benchmarkFleet(b *testing.B, balancers, agents int, counts func() (uint64, uint64), act func(nodes []*testNode)) {
 	const window = 10 * time.Second
 	scopes := make([]tally.TestScope, balancers+agents)
@@ -65,7 +65,7 @@
 	}
 }
 
-// processorTime returns what the test process has used.
+// processorTime returns the CPU time that the test process has used.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
@@ -90,7 +90,8 @@
 	return count
 }
 
-// BenchmarkControlBytes measures control traffic at rest and under changes of configuration. Run it with -benchtime 1x.
+// BenchmarkControlBytes measures control traffic at rest and during changes of configuration. Run it with -benchtime
+// 1x.
 func BenchmarkControlBytes(b *testing.B) {
 	for _, size := range []struct{ balancers, agents int }{{4, 0}, {16, 0}, {4, 28}, {4, 56}} {
 		b.Run(fmt.Sprintf("rest/balancers=%d/agents=%d", size.balancers, size.agents), func(b *testing.B) {
@@ -119,8 +120,9 @@
 	})
 }
 
-// BenchmarkCounterBytes measures what the counters of targets add to control traffic: none, counters that rise all the
-// time, and a rollout besides, for which one balancer asks the watchers every 5 s. Run it with -benchtime 1x.
+// BenchmarkCounterBytes measures the control traffic due to counters of targets: without counters, with counters that
+// rise continuously, and with a rollout in addition, for which one balancer queries the watchers every 5 s. Run it with
+// -benchtime 1x.
 func BenchmarkCounterBytes(b *testing.B) {
 	const balancers, agents = 4, 28
 	begin := time.Now()
@@ -141,7 +143,8 @@
 	})
 }
 
-// BenchmarkJoin measures what a newcomer takes from a peer that knows the largest fleet. Run it with -benchtime 1x.
+// BenchmarkJoin measures the time and the bytes that a joining balancer needs to receive the members of the largest
+// fleet from a peer. Run it with -benchtime 1x.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
 		known := startNode(b, "known", func(c *NodeConfig) { c.BytesPerSecond = 0 })
@@ -160,7 +163,7 @@
 	}
 }
 
-// BenchmarkTableMemory measures what a table of the largest fleet takes.
+// BenchmarkTableMemory measures the heap size of a table of the largest fleet.
 func BenchmarkTableMemory(b *testing.B) {
 	members := fleetMembers(fleetBalancers, fleetAgents)
 	for b.Loop() {
@@ -181,8 +184,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkDetectorTick measures a judgement at the largest fleet, with one changed member and, rarer, a changed
-// balancer.
+// BenchmarkDetectorTick measures Detector.Tick with the largest fleet, after a change of one agent or one balancer.
 func BenchmarkDetectorTick(b *testing.B) {
 	for name, id := range map[string]string{"agent": "target-0000", "balancer": "balancer-0001"} {
 		b.Run("changed="+name, func(b *testing.B) {
--- a/pkg/peer/config.go
+++ b/pkg/peer/config.go
@@ -15,36 +15,37 @@
 
 // NodeConfig holds the settings of a Node.
 type NodeConfig struct {
-	// Self is the balancer's record: ID, Incarnation, Region, DataCentre and PacketAddr are required. ControlAddr may be
-	// empty when Listener's address can be called by others.
+	// Self is the balancer's record: ID, Incarnation, Region, DataCentre and PacketAddr are required. ControlAddr may
+	// be empty when others can connect to Listener's address as it is.
 	Self membership.Member
-	// Listener takes the control calls; Serve closes it.
+	// Listener accepts the control connections; Serve closes it.
 	Listener net.Listener
-	// Seeds are control addresses of balancers to start from; may be empty.
+	// Seeds are control addresses of balancers to join; may be empty.
 	Seeds []string
 	// TLS names the files for mutual TLS; empty means plain TCP.
 	TLS TLSConfig
-	// Table holds the members; nil means a new one. Merge what the store holds before Serve.
+	// Table holds the members; nil means a new one. The stored members should be merged into it before Serve.
 	Table *membership.Table
-	// Adopter holds the revision; it is offered those of peers. Required. Make the Node before the first offer.
+	// Adopter holds the adopted revision and is offered the revisions of peers. Required. Call NewNode before the first
+	// offer.
 	Adopter *revision.Adopter
-	// Mirror keeps refusal records of another process; nil refuses them.
+	// Mirror stores refusal records of another process; nil rejects them.
 	Mirror func(id string, records []byte) error
-	// OnLoad is called with the number of open flows that a watched agent sent with a heartbeat; may be nil.
+	// OnLoad is called for each received heartbeat with the number of open flows that it reports; may be nil.
 	OnLoad func(id string, load uint32)
-	// BytesPerSecond is the budget of control traffic, both directions together; 0 means DefaultBudget.
+	// BytesPerSecond is the budget of control traffic in both directions together; 0 means DefaultBudget.
 	BytesPerSecond int
 	// ExchangeInterval is the time between two exchanges; 0 means DefaultExchangeInterval.
 	ExchangeInterval time.Duration
 	// HeartbeatInterval is the time between two heartbeats; 0 means DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// Detector holds the limits of the failure detector; its Self is set from Self.
+	// Detector holds the settings of the failure detector; its Self is set from Self.
 	Detector membership.DetectorConfig
-	// Seed makes the choice of neighbours repeatable.
+	// Seed seeds the random choice of neighbours, together with the ID.
 	Seed uint64
-	// Log takes membership and peer events.
+	// Log receives membership and peer events.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil drops them.
+	// Metrics receives the counters; nil discards them.
 	Metrics tally.Scope
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -52,7 +53,7 @@
 	// Dial opens connections to peers; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	// dial opens connections to peers; nil means Dial. Tests cut peers off by it.
+	// dial opens connections to peers; nil means Dial. Tests use it to simulate partitions.
 	dial dialFunc
 }
 
--- a/pkg/peer/control.go
+++ b/pkg/peer/control.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// control answers the control calls of a node.
+// control implements the control service of a node.
 type control struct {
 	peerpb.UnimplementedControlServer
 	node *Node
@@ -47,9 +47,9 @@
 	case m.ID == "" || m.Incarnation == 0:
 		return status.Error(codes.InvalidArgument, "announce: id and incarnation are required")
 	case !m.Valid():
-		return status.Error(codes.InvalidArgument, "announce: role or state is unknown")
+		return status.Error(codes.InvalidArgument, "announce: role, state or final state is invalid")
 	case m.State == membership.StateDead:
-		return status.Error(codes.InvalidArgument, "announce: no process announces that it is dead")
+		return status.Error(codes.InvalidArgument, "announce: a process can't announce itself as dead")
 	case m.Role == membership.RoleAgent && (m.Service == "" || !m.PacketAddr.IsValid()):
 		return status.Error(codes.InvalidArgument, "announce: an agent needs a service and a packet address")
 	case m.Role == membership.RoleBalancer && m.ControlAddr == "":
@@ -73,7 +73,7 @@
 // MirrorRefusals implements peerpb.ControlServer.
 func (c *control) MirrorRefusals(_ context.Context, r *peerpb.MirrorRefusalsRequest) (*peerpb.MirrorRefusalsReply, error) {
 	if c.node.cfg.Mirror == nil {
-		return nil, status.Error(codes.Unimplemented, "mirror refusals: this balancer keeps none")
+		return nil, status.Error(codes.Unimplemented, "mirror refusals: this balancer doesn't store refusal records")
 	}
 	if err := c.node.cfg.Mirror(r.GetId(), r.GetRecords()); err != nil {
 		return nil, status.Errorf(codes.ResourceExhausted, "mirror refusals: %v", err)
@@ -115,7 +115,7 @@
 	return reply, nil
 }
 
-// fetchIfHigher fetches the caller's revision when it is higher.
+// fetchIfHigher schedules a fetch of the calling balancer's revision when that is higher.
 func (c *control) fetchIfHigher(r *peerpb.ExchangeRequest) {
 	n := c.node
 	if r.GetRevision() <= n.cfg.Adopter.Number() {
@@ -128,7 +128,8 @@
 	n.scheduleFetch(caller.ControlAddr)
 }
 
-// maySendAcks bounds how often acknowledgements are sent: their list has an entry for each balancer.
+// maySendAcks limits replies with all acknowledgements to one per ackInterval, because the list has an entry for each
+// balancer. When it returns true, the interval starts again.
 func (n *Node) maySendAcks(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/peer/control_heartbeat.go
+++ b/pkg/peer/control_heartbeat.go
@@ -12,14 +12,14 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// heartbeatStream is what a watcher keeps for one heartbeat stream.
+// heartbeatStream is the state that a watcher keeps for one heartbeat stream.
 type heartbeatStream struct {
 	node                  *Node
 	id                    string
 	incarnation, sequence uint64
 	version               uint64
 	watchers              []string
-	// requests and failures are the counters that the stream sent last.
+	// requests and failures are the last reported counters.
 	requests, failures uint64
 }
 
@@ -48,20 +48,20 @@
 	}
 }
 
-// recordFailure notes that the stream ended without a good-bye: the process is likely gone.
+// recordFailure records that the stream broke without an orderly end, which indicates that the process has failed.
 func (b *heartbeatStream) recordFailure() {
 	if b.id != "" {
 		b.node.detector.RecordFailure(b.id, b.incarnation)
 	}
 }
 
-// receive notes a heartbeat and returns what there is to say, or nil.
+// receive records a heartbeat and returns the reply, or nil when none is needed.
 func (b *heartbeatStream) receive(r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	if r.GetId() != "" {
 		b.id = r.GetId()
 	}
 	if b.id == "" {
-		return nil, status.Error(codes.InvalidArgument, "heartbeat: the first message names no process")
+		return nil, status.Error(codes.InvalidArgument, "heartbeat: the first message has no id")
 	}
 	if r.GetIncarnation() != 0 {
 		b.incarnation, b.sequence = r.GetIncarnation(), r.GetSequence()
@@ -81,7 +81,8 @@
 	return b.reply(&m, ok, version), nil
 }
 
-// reply returns what there is to say to the member as it is recorded here; version is that of the table before.
+// reply returns the reply to a heartbeat, or nil when none is needed. m is the sender's record in the table, if ok, and
+// version the version of the table before m was read.
 func (b *heartbeatStream) reply(m *membership.Member, ok bool, version uint64) *peerpb.HeartbeatReply {
 	if !ok || b.isOutdated(m) {
 		return &peerpb.HeartbeatReply{Announce: true}
@@ -98,7 +99,7 @@
 	return &peerpb.HeartbeatReply{Watchers: watchers}
 }
 
-// isOutdated reports whether the record held here isn't the one that the sender announced last.
+// isOutdated reports whether the record in the table is older than the sender's or says that it is dead.
 func (b *heartbeatStream) isOutdated(m *membership.Member) bool {
 	if m.Incarnation != b.incarnation {
 		return m.Incarnation < b.incarnation
--- a/pkg/peer/control_watch.go
+++ b/pkg/peer/control_watch.go
@@ -19,7 +19,7 @@
 // WatchService implements peerpb.ControlServer.
 func (c *control) WatchService(r *peerpb.WatchServiceRequest, s peerpb.Control_WatchServiceServer) error {
 	if r.GetService() == "" {
-		return status.Error(codes.InvalidArgument, "watch service: no service named")
+		return status.Error(codes.InvalidArgument, "watch service: service is required")
 	}
 	if err := grpc.SetSendCompressor(s.Context(), gzip.Name); err != nil {
 		return status.Errorf(codes.Internal, "watch service: %v", err)
@@ -46,22 +46,23 @@
 	}
 }
 
-// agentsToleranceDivisor is the part of the number of agents, one in so many, by which it may change without an update.
+// agentsToleranceDivisor is the inverse of the fraction by which the number of agents may change without an update.
 const agentsToleranceDivisor = 10
 
-// serviceWatch is the state of one stream of a target service.
+// serviceWatch is the state of one watch stream.
 type serviceWatch struct {
 	node     *Node
 	service  string
 	started  bool
 	version  uint64
 	revision uint64
-	// agents is the last number of live agents that the stream sent.
+	// agents is the number of live agents last sent.
 	agents int
-	sent   map[string][]byte
+	// sent holds the JSON of the specification last sent of each service.
+	sent map[string][]byte
 }
 
-// next returns what has changed since the last call, or nil. The first update is a snapshot.
+// next returns the changes since the last call, or nil when there are none. The first update is a snapshot.
 func (w *serviceWatch) next() *peerpb.ServiceUpdate {
 	version := w.node.table.Version()
 	members := w.members()
@@ -81,8 +82,8 @@
 	return u
 }
 
-// agentsDiffer reports whether the number of live agents is more than a tenth away from the one that was sent. Smaller
-// changes go with the next update, because each costs a message for every agent of the fleet.
+// agentsDiffer reports whether the number of live agents differs by more than a tenth from the one last sent. Smaller
+// changes wait for the next update, because an update of its own costs a message to every agent of the fleet.
 func agentsDiffer(sent, now int) bool {
 	return agentsToleranceDivisor*max(sent-now, now-sent) > sent
 }
@@ -97,7 +98,8 @@
 	return members
 }
 
-// configs returns the services that the targets serve. Specifications that the stream has sent are left out.
+// configs returns the configurations of the services that the targets serve, and whether any has changed since the last
+// update. Specifications that the stream has already sent are omitted.
 func (w *serviceWatch) configs() (configs []*peerpb.ServiceConfig, changed bool) {
 	r, _ := w.node.cfg.Adopter.Current()
 	names := make(map[string]bool)
@@ -106,9 +108,9 @@
 			continue
 		}
 		names[s.Name] = true
-		config, news := w.config(s)
+		config, differs := w.config(s)
 		configs = append(configs, config)
-		changed = changed || news
+		changed = changed || differs
 	}
 	for name := range w.sent {
 		if !names[name] {
--- a/pkg/peer/convert.go
+++ b/pkg/peer/convert.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// portSize is the size of a port in an encoded address, in bytes.
+// portSize is the size in bytes of a port in an encoded address.
 const portSize = 2
 
 func memberToProto(m *membership.Member) *peerpb.Member {
@@ -64,7 +64,7 @@
 	return out
 }
 
-// roleFromProto returns 0, which no table takes, for a role that this version doesn't know.
+// roleFromProto returns 0, which Table.Merge ignores, for a role that this version doesn't know.
 func roleFromProto(r peerpb.Role) membership.Role {
 	if _, ok := peerpb.Role_name[int32(r)]; !ok {
 		return 0
@@ -72,7 +72,7 @@
 	return membership.Role(r)
 }
 
-// stateFromProto returns 0, which no table takes, for a state that this version doesn't know.
+// stateFromProto returns 0, which Table.Merge ignores, for a state that this version doesn't know.
 func stateFromProto(s peerpb.State) membership.State {
 	if _, ok := peerpb.State_name[int32(s)]; !ok {
 		return 0
@@ -80,7 +80,7 @@
 	return membership.State(s)
 }
 
-// addrToProto encodes an address; nil when it isn't valid.
+// addrToProto encodes an address; the result is nil when it isn't valid.
 func addrToProto(a netip.AddrPort) []byte {
 	if !a.IsValid() {
 		return nil
@@ -88,7 +88,7 @@
 	return binary.BigEndian.AppendUint16(a.Addr().Unmap().AsSlice(), a.Port())
 }
 
-// addrFromProto decodes an address; the zero address when b isn't one.
+// addrFromProto decodes an address; the result is the zero address when b isn't valid.
 func addrFromProto(b []byte) netip.AddrPort {
 	if len(b) < portSize {
 		return netip.AddrPort{}
--- a/pkg/peer/counted_conn.go
+++ b/pkg/peer/counted_conn.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// countedConn counts the bytes of a connection, those of TLS included.
+// countedConn counts the bytes of a connection, including the overhead of TLS.
 type countedConn struct {
 	net.Conn
 	budget *budget
@@ -42,7 +42,6 @@
 	return &countedConn{Conn: c, budget: l.budget}, nil
 }
 
-// dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
@@ -50,7 +49,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// counted returns a dialer whose connections are counted.
+// counted returns a dial function that counts the bytes of its connections in b.
 func (f dialFunc) counted(b *budget) dialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := f(ctx, addr)
--- a/pkg/peer/credentials.go
+++ b/pkg/peer/credentials.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// newCredentials returns the transport credentials of both sides.
+// newCredentials returns transport credentials for both servers and clients.
 func newCredentials(c TLSConfig, log zerolog.Logger) (credentials.TransportCredentials, error) {
 	config, err := c.Load()
 	if err != nil {
@@ -22,7 +22,7 @@
 	return &loggingCredentials{TransportCredentials: credentials.NewTLS(config), log: log}, nil
 }
 
-// loggingCredentials logs each peer that is refused because of its certificate.
+// loggingCredentials logs each failed TLS handshake.
 type loggingCredentials struct {
 	credentials.TransportCredentials
 	log zerolog.Logger
--- a/pkg/peer/dialer.go
+++ b/pkg/peer/dialer.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// dialer keeps one connection to each balancer that is called. gRPC closes a connection that isn't used.
+// dialer keeps one client connection per balancer. gRPC closes the underlying connection after idleTimeout without use.
 type dialer struct {
 	credentials credentials.TransportCredentials
 	dial        dialFunc
@@ -22,7 +22,7 @@
 	closed bool
 }
 
-// newDialer returns a dialer that counts its connections; a nil dial means TCP.
+// newDialer returns a dialer that counts the bytes of its connections in b; a nil dial means TCP.
 func newDialer(c credentials.TransportCredentials, b *budget, dial dialFunc) *dialer {
 	if dial == nil {
 		dial = dialTCP
@@ -30,12 +30,12 @@
 	return &dialer{credentials: c, dial: dial.counted(b), conns: make(map[string]*grpc.ClientConn)}
 }
 
-// client returns the control calls of the balancer at addr. It doesn't wait for the connection.
+// client returns a control client of the balancer at addr. It doesn't wait for the connection.
 func (d *dialer) client(addr string) (peerpb.ControlClient, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
-		return nil, trace.ConnectionProblem(nil, "connect to peer %s: the process is ending", addr)
+		return nil, trace.ConnectionProblem(nil, "connect to peer %s: the dialer is closed", addr)
 	}
 	if c, ok := d.conns[addr]; ok {
 		return peerpb.NewControlClient(c), nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// close ends all connections; no new one is made.
+// close closes all connections; later calls of client fail.
 func (d *dialer) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/peer/failure_test.go
+++ b/pkg/peer/failure_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// kill cuts all connections, as the end of the process does, and tells nobody.
+// kill closes all connections without notice, as the crash of the process does.
 func (s *testSession) kill() {
 	s.dialer.close()
 }
@@ -26,7 +26,7 @@
 		eventually(t, "all targets", func() bool { v := o.view("route-svc"); return v != nil && len(v.Targets) == 4 })
 	}
 	for _, n := range nodes {
-		eventually(t, "heard", func() bool { return n.detector.HasSeen("t0") })
+		eventually(t, "heartbeat received", func() bool { return n.detector.HasSeen("t0") })
 	}
 	killed.kill()
 	for _, n := range nodes {
@@ -74,7 +74,7 @@
 	for _, n := range nodes {
 		eventually(t, "active everywhere", func() bool { return n.state("t0") == membership.StateActive })
 		if slices.Contains(watchers, n.cfg.Self.ID) {
-			eventually(t, "heard", func() bool { return n.detector.HasSeen("t0") })
+			eventually(t, "heartbeat received", func() bool { return n.detector.HasSeen("t0") })
 			continue
 		}
 		survivors = append(survivors, n)
@@ -85,9 +85,9 @@
 		}
 	}
 	for _, n := range survivors {
-		eventually(t, "heard by others", func() bool { return n.detector.HasSeen("t0") })
+		eventually(t, "heartbeat received by new watchers", func() bool { return n.detector.HasSeen("t0") })
 		now, _ := n.table.Get("t0")
-		require.Equal(t, m.Sequence, now.Sequence, "nobody held the agent for dead")
+		require.Equal(t, m.Sequence, now.Sequence, "the agent was never declared dead")
 		require.Equal(t, membership.StateActive, now.State)
 	}
 }
@@ -95,7 +95,7 @@
 func TestFalseVerdictIsRefuted(t *testing.T) {
 	nodes := startNodes(t, 3, nil)
 	agent := startSession(t, "t0", addrsOf(nodes), nil)
-	// The node whose table is changed has to know the agent too: a verdict about one that it does not know is not taken.
+	// The node whose table is changed must have the agent's record too, because the verdict is merged into that.
 	for _, n := range nodes {
 		eventually(t, "active", func() bool { return n.state("t0") == membership.StateActive })
 	}
@@ -139,16 +139,16 @@
 func TestInvalidAnnouncementsAreRejected(t *testing.T) {
 	valid := membership.Member{ID: "t0", Incarnation: 1, State: membership.StateActive, Role: membership.RoleAgent, Service: "route-svc"}
 	cases := map[string]func(m *membership.Member){
-		"no id":                   func(m *membership.Member) { m.ID = "" },
-		"no incarnation":          func(m *membership.Member) { m.Incarnation = 0 },
-		"no state":                func(m *membership.Member) { m.State = 0 },
-		"dead":                    func(m *membership.Member) { m.State = membership.StateDead },
-		"agent without address":   func(m *membership.Member) {},
-		"balancer not callable":   func(m *membership.Member) { m.Role = membership.RoleBalancer },
-		"state that is unknown":   func(m *membership.Member) { m.State = 77 },
-		"role that is unknown":    func(m *membership.Member) { m.Role = 7 },
-		"agent without service":   func(m *membership.Member) { m.Service = "" },
-		"final that is not final": func(m *membership.Member) { m.Final = membership.StateDead },
+		"no id":                    func(m *membership.Member) { m.ID = "" },
+		"no incarnation":           func(m *membership.Member) { m.Incarnation = 0 },
+		"no state":                 func(m *membership.Member) { m.State = 0 },
+		"dead":                     func(m *membership.Member) { m.State = membership.StateDead },
+		"agent without address":    func(m *membership.Member) {},
+		"balancer without address": func(m *membership.Member) { m.Role = membership.RoleBalancer },
+		"unknown state":            func(m *membership.Member) { m.State = 77 },
+		"unknown role":             func(m *membership.Member) { m.Role = 7 },
+		"agent without service":    func(m *membership.Member) { m.Service = "" },
+		"invalid final state":      func(m *membership.Member) { m.Final = membership.StateDead },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/peer/heartbeater.go
+++ b/pkg/peer/heartbeater.go
@@ -14,20 +14,20 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// heartbeater keeps one heartbeat stream to each watcher of this process.
+// heartbeater maintains one heartbeat stream to each watcher of this process.
 type heartbeater struct {
 	self     *self
 	dialer   *dialer
 	interval time.Duration
 	loadFunc func() uint32
-	// counts returns the cumulative requests and failures of this process; nil when it has none.
+	// counts returns the cumulative requests and failures of this process; nil when it doesn't count them.
 	counts func() (requests, failures uint64)
 	log    zerolog.Logger
-	// onAnnounce is called when a watcher asks for the record of this process.
+	// onAnnounce is called when the watcher at addr requests the record of this process.
 	onAnnounce func(ctx context.Context, addr string)
-	// onWatchers, when not nil, is called when a watcher names other onWatchers.
+	// onWatchers, when not nil, is called with the addresses when a watcher reports a new set of watchers.
 	onWatchers func(addrs []string)
-	// onFailure, when not nil, is called when a stream broke.
+	// onFailure, when not nil, is called after a stream broke.
 	onFailure func()
 
 	mu       sync.Mutex
@@ -46,7 +46,6 @@
 	return h.loadFunc()
 }
 
-// setWatchers sets the addresses of the watchers.
 func (h *heartbeater) setWatchers(addrs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,14 +56,13 @@
 	}
 }
 
-// addrs returns the addresses of the watchers.
 func (h *heartbeater) addrs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.watchers)
 }
 
-// run keeps the streams until ctx ends, and returns when all have ended.
+// run maintains the streams until ctx ends, and returns after the last one has ended.
 func (h *heartbeater) run(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -79,7 +77,7 @@
 	}
 }
 
-// reconcile starts streams to new addresses and ends those to addresses that are no longer wanted.
+// reconcile starts streams to new watchers and ends those to former ones.
 func (h *heartbeater) reconcile(ctx context.Context, streams map[string]context.CancelFunc, group *sync.WaitGroup) {
 	wanted := h.addrs()
 	for addr, cancel := range streams {
@@ -101,9 +99,9 @@
 	}
 }
 
-// maintainStream keeps a stream to one watcher until stop ends.
+// maintainStream keeps a stream to one watcher open until stop ends, with exponential backoff after failures.
 func (h *heartbeater) maintainStream(stop context.Context, addr string) {
-	pause := streamRetry
+	backoff := streamRetry
 	for stop.Err() == nil {
 		start := time.Now()
 		err := h.stream(stop, addr)
@@ -111,19 +109,19 @@
 			return
 		}
 		if time.Since(start) > streamRetryMax {
-			pause = streamRetry
+			backoff = streamRetry
 		}
 		h.log.Debug().Err(err).Str("op", "heartbeat").Str("peer", addr).Msg("stream ended")
 		if h.onFailure != nil {
 			h.onFailure()
 		}
-		_ = wait.For(stop, jitter(pause))
-		pause = min(pause*2, streamRetryMax)
+		_ = wait.For(stop, jitter(backoff))
+		backoff = min(backoff*2, streamRetryMax)
 	}
 }
 
-// stream sends heartbeats until the stream breaks or stop ends; then it closes the stream in an orderly way, so that the
-// watcher doesn't take the end for a failure.
+// stream sends heartbeats until the stream breaks or stop ends. When stop ends it closes the stream in an orderly way,
+// so that the watcher doesn't record a failure.
 func (h *heartbeater) stream(stop context.Context, addr string) error {
 	client, err := h.dialer.client(addr)
 	if err != nil {
@@ -157,13 +155,14 @@
 	}
 }
 
-// sentHeartbeat is what a stream's messages have said so far.
+// sentHeartbeat holds the values last sent on a stream.
 type sentHeartbeat struct {
 	member             membership.Member
 	requests, failures uint64
 }
 
-// nextHeartbeat returns a heartbeat; what the watcher knows from the stream's last message is left out.
+// nextHeartbeat returns the next heartbeat and updates sent. Values that haven't changed since they were last sent on
+// the stream are omitted, except the load.
 func (h *heartbeater) nextHeartbeat(sent *sentHeartbeat) *peerpb.HeartbeatRequest {
 	r := &peerpb.HeartbeatRequest{Load: h.load()}
 	h.addCounts(r, sent)
@@ -191,8 +190,8 @@
 	r.Requests, r.Failures = requests, failures
 }
 
-// sendFinalCounters sends counters that have changed since the last heartbeat, so that the failures of a target that has just
-// died are not lost with its agent.
+// sendFinalCounters sends the counters if they have changed since the last heartbeat, so that the last failures of a
+// target that ends aren't lost with its agent.
 func (h *heartbeater) sendFinalCounters(s peerpb.Control_HeartbeatClient, sent *sentHeartbeat) {
 	if r := h.nextHeartbeat(sent); r.GetRequests() != 0 {
 		_ = s.Send(r)
@@ -223,7 +222,7 @@
 	}
 }
 
-// jitter returns a time between half and the whole of d.
+// jitter returns a random duration between d/2 and d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
--- a/pkg/peer/history.go
+++ b/pkg/peer/history.go
@@ -15,30 +15,30 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// historyLength is the number of revisions that differences can refer to.
+// historyLength is the number of revisions that are kept as bases of differences.
 const historyLength = 8
 
-// encodedService is a service of a revision in JSON.
+// encodedService is the JSON encoding of one service of a revision.
 type encodedService struct {
 	name string
 	json []byte
 }
 
-// encodedRevision is a revision as it is sent.
+// encodedRevision is a revision in its encoded form, with services sorted by name.
 type encodedRevision struct {
 	number   uint64
 	services []encodedService
 	checksum uint64
 }
 
-// history keeps the last revisions in the form in which they are sent. Neighbouring revisions share the memory of
-// services that are equal.
+// history keeps the last historyLength revisions in their encoded form. Consecutive revisions share the memory of equal
+// services.
 type history struct {
 	mu        sync.Mutex
 	revisions []*encodedRevision
 }
 
-// add takes in a revision; lower ones than the last are ignored.
+// add adds a revision. One that isn't higher than the latest is ignored.
 func (h *history) add(r resource.Revision) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,7 +64,7 @@
 	return h.revisions[len(h.revisions)-1]
 }
 
-// reply returns the last revision, as the difference to the revision have when that one is kept.
+// reply returns the latest revision, as a difference to the revision have when that one is kept.
 func (h *history) reply(have uint64) *peerpb.FetchRevisionReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// apply rebuilds the revision of a reply. It returns an error when the difference doesn't fit what is held here.
+// apply decodes the revision of a reply. It returns an error when the base of a difference isn't kept or the result
+// doesn't match the checksum.
 func (h *history) apply(p *peerpb.FetchRevisionReply) (resource.Revision, error) {
 	services := make([]encodedService, 0, len(p.GetServices()))
 	for _, b := range p.GetServices() {
@@ -102,7 +103,7 @@
 	if p.GetBase() != 0 {
 		base := h.lookup(p.GetBase())
 		if base == nil {
-			return resource.Revision{}, trace.NotFound("revision %d is based on %d, which isn't held here", p.GetNumber(), p.GetBase())
+			return resource.Revision{}, trace.NotFound("revision %d refers to base revision %d, which is not in the history", p.GetNumber(), p.GetBase())
 		}
 		services = base.patched(services, p.GetRemoved())
 	}
@@ -163,7 +164,7 @@
 	slices.SortFunc(services, func(a, b encodedService) int { return cmp.Compare(a.name, b.name) })
 }
 
-// service returns the JSON of a service.
+// service returns the JSON of a service; e may be nil.
 func (e *encodedRevision) service(name string) ([]byte, bool) {
 	if e == nil {
 		return nil, false
@@ -175,7 +176,8 @@
 	return e.services[i].json, true
 }
 
-// difference returns the reply with all services, or with those that differ from base.
+// difference returns a reply with the services that differ from base and the names of removed ones, or with all
+// services when base is nil.
 func (e *encodedRevision) difference(base *encodedRevision) *peerpb.FetchRevisionReply {
 	p := &peerpb.FetchRevisionReply{Number: e.number, Checksum: e.checksum}
 	if base != nil {
@@ -198,7 +200,7 @@
 	return p
 }
 
-// patched returns the services with some replaced or added and some removed.
+// patched returns the services of the revision after adding or replacing changed and deleting removed, sorted by name.
 func (e *encodedRevision) patched(changed []encodedService, removed []string) []encodedService {
 	byName := make(map[string]encodedService, len(e.services)+len(changed))
 	for _, s := range e.services {
--- a/pkg/peer/history_test.go
+++ b/pkg/peer/history_test.go
@@ -23,7 +23,7 @@
 	return r
 }
 
-// Whatever revision a balancer holds, what it rebuilds from a peer's answer is the peer's revision.
+// A reply must decode to the sender's latest revision, whichever base revision the receiver has.
 func TestRevisionIsRebuiltFromAnyBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sender, receiver history
@@ -72,12 +72,12 @@
 	var receiver history
 	require.NoError(t, receiver.add(routeRevision(1, "a")))
 	cases := map[string]func(p *peerpb.FetchRevisionReply){
-		"base not held":       func(p *peerpb.FetchRevisionReply) { p.Base = 77 },
-		"checksum":            func(p *peerpb.FetchRevisionReply) { p.Checksum++ },
-		"number":              func(p *peerpb.FetchRevisionReply) { p.Number++ },
-		"service lost":        func(p *peerpb.FetchRevisionReply) { p.Services = nil },
-		"service not JSON":    func(p *peerpb.FetchRevisionReply) { p.Services[0] = []byte("{") },
-		"service wrongly cut": func(p *peerpb.FetchRevisionReply) { p.Removed = []string{"a"} },
+		"unknown base":     func(p *peerpb.FetchRevisionReply) { p.Base = 77 },
+		"wrong checksum":   func(p *peerpb.FetchRevisionReply) { p.Checksum++ },
+		"wrong number":     func(p *peerpb.FetchRevisionReply) { p.Number++ },
+		"service missing":  func(p *peerpb.FetchRevisionReply) { p.Services = nil },
+		"service not JSON": func(p *peerpb.FetchRevisionReply) { p.Services[0] = []byte("{") },
+		"wrongly removed":  func(p *peerpb.FetchRevisionReply) { p.Removed = []string{"a"} },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -34,24 +34,26 @@
 	heartbeats *heartbeater
 	server     *grpc.Server
 	metrics    *nodeMetrics
-	// revisionChanges reports new revisions.
+	// revisionChanges is notified of each adopted revision.
 	revisionChanges *broadcast
 
+	// mu guards random and ackSent; only pushLoop uses pushed and revisionPushed.
 	mu             sync.Mutex
 	random         *rand.Rand
 	pushed         uint64
 	revisionPushed uint64
 	ackSent        time.Time
 
-	// fetchAddrs takes the addresses of peers that have a fetchAddrs revision.
+	// fetchAddrs carries the addresses of peers that have a higher revision.
 	fetchAddrs chan string
-	// calls are the calls in the background.
+	// calls tracks background calls.
 	calls sync.WaitGroup
-	// killed is set when the node ends without telling its peers.
+	// killed is set when the node ends without notifying its peers.
 	killed atomic.Bool
 }
 
-// NewNode returns a node that isn't served yet. It returns an error when the certificates can't be read.
+// NewNode returns a node; Serve starts it. It returns an error when a required setting is missing or the certificates
+// can't be read.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Self.ID == "" || cfg.Self.Incarnation == 0 || cfg.Adopter == nil || cfg.Listener == nil {
@@ -89,7 +91,7 @@
 	return n, nil
 }
 
-// Serve makes a node and runs it until ctx ends.
+// Serve creates a node and runs it until ctx ends.
 func Serve(ctx context.Context, cfg NodeConfig) error {
 	n, err := NewNode(cfg)
 	if err != nil {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Serve runs the node until ctx ends. It then tells the peers that the balancer has left.
+// Serve runs the node until ctx ends. It then notifies some peers that the balancer has left.
 func (n *Node) Serve(ctx context.Context) error {
 	g, run := errgroup.WithContext(ctx)
 	listener := &countedListener{Listener: n.cfg.Listener, budget: n.budget}
@@ -140,7 +142,7 @@
 	return err
 }
 
-// leave tells some peers that this balancer has left.
+// leave notifies some neighbours that this balancer has left, unless it was killed.
 func (n *Node) leave() {
 	if n.killed.Load() {
 		return
@@ -160,7 +162,7 @@
 	group.Wait()
 }
 
-// Kill closes the listener and all connections at once and tells nobody, as if the VM were gone.
+// Kill closes the listener and all connections immediately and notifies nobody, as if the VM had failed.
 func (n *Node) Kill() {
 	n.killed.Store(true)
 	_ = n.cfg.Listener.Close()
@@ -168,12 +170,10 @@
 	n.dialer.close()
 }
 
-// Addr returns the address at which the node listens.
 func (n *Node) Addr() net.Addr {
 	return n.cfg.Listener.Addr()
 }
 
-// Table returns the members known to the node.
 func (n *Node) Table() *membership.Table {
 	return n.table
 }
@@ -183,23 +183,23 @@
 	return n.self.get()
 }
 
-// Update changes the balancer's own record, for example to the state draining, and spreads it.
+// Update changes the balancer's own record, for example to the state draining, and propagates it.
 func (n *Node) Update(f func(m *membership.Member)) {
 	n.self.update(f)
 	n.table.Merge(n.self.get(), n.cfg.Now())
 }
 
-// Confirm notes that the packet path of this balancer uses the revision.
+// Confirm records that the packet path of this balancer uses the revision, and propagates the acknowledgement.
 func (n *Node) Confirm(revision uint64) {
 	n.acks.Set(n.cfg.Self.ID, revision)
 }
 
-// InForce returns how many of the m live balancers are known to use the revision or a higher one.
+// InForce returns how many of the m live balancers have acknowledged this or a higher revision.
 func (n *Node) InForce(revision uint64) (count, m int) {
 	return n.acks.InForce(revision, n.table.Balancers())
 }
 
-// onAdopted takes in a revision that this balancer has onAdopted; pushLoop tells the neighbours.
+// onAdopted adds a revision that this balancer has adopted to the history and notifies the loops that send it.
 func (n *Node) onAdopted(r resource.Revision) {
 	defer n.revisionChanges.notify()
 	if r.Number == 0 {
@@ -210,7 +210,7 @@
 	}
 }
 
-// selfLoop keeps the balancer's record in the table and its heartbeats on the right watchers.
+// selfLoop keeps the balancer's record in the table current and its heartbeats directed to the current watchers.
 func (n *Node) selfLoop(ctx context.Context) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
@@ -226,7 +226,7 @@
 	}
 }
 
-// refuteStaleRecord refutes a record of this balancer that isn't true.
+// refuteStaleRecord replaces the table's record of this balancer when it is missing, or refutes it when it is wrong.
 func (n *Node) refuteStaleRecord() {
 	seen, ok := n.table.Get(n.cfg.Self.ID)
 	if !ok {
@@ -238,7 +238,7 @@
 		return
 	}
 	if n.self.refute(seen) {
-		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "held for "+seen.State.String()).Msg("refuted")
+		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
 		n.table.Merge(n.self.get(), n.cfg.Now())
 	}
 }
--- a/pkg/peer/node_announce.go
+++ b/pkg/peer/node_announce.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// announceTo hands the balancer's own record to a watcher that asked for it.
+// announceTo sends the balancer's own record to a watcher that requested it.
 func (n *Node) announceTo(ctx context.Context, addr string) {
 	reply, err := announce(ctx, n.dialer, n.self, addr)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// announce hands a process's own record to the balancer at addr.
+// announce sends a process's own record to the balancer at addr.
 func announce(ctx context.Context, d *dialer, s *self, addr string) (*peerpb.AnnounceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -31,7 +31,7 @@
 	m := s.get()
 	reply, err := client.Announce(ctx, &peerpb.AnnounceRequest{Member: memberToProto(&m)})
 	if err != nil {
-		return nil, trace.Wrap(err, "announce %s at peer %s", m.ID, addr)
+		return nil, trace.Wrap(err, "announce %s to peer %s", m.ID, addr)
 	}
 	return reply, nil
 }
--- a/pkg/peer/node_counters.go
+++ b/pkg/peer/node_counters.go
@@ -15,7 +15,7 @@
 // Counters implements peerpb.ControlServer.
 func (c *control) Counters(_ context.Context, r *peerpb.CountersRequest) (*peerpb.CountersReply, error) {
 	if r.GetService() == "" {
-		return nil, status.Error(codes.InvalidArgument, "counters: no service named")
+		return nil, status.Error(codes.InvalidArgument, "counters: service is required")
 	}
 	reply := &peerpb.CountersReply{}
 	for _, reading := range c.node.readings.of(r.GetService(), c.node.cfg.Now()) {
@@ -24,16 +24,16 @@
 	return reply, nil
 }
 
-// CounterReadings is the answer of the watchers of a service's targets.
+// CounterReadings holds the replies of the watchers of a service's targets.
 type CounterReadings struct {
-	// Readings hold each agent incarnation once for each watcher that answered.
+	// Readings holds one reading for each agent incarnation and replying watcher.
 	Readings []Reading
-	// Asked and Answered are the numbers of watchers.
+	// Asked is the number of watchers that were called, Answered the number of those that replied.
 	Asked, Answered int
 }
 
-// Counters asks the watchers of the service's targets for what they heard of the counters. A watcher that does not
-// answer leaves out nothing as long as another watcher of its targets does.
+// Counters requests the last reported counters of the service's targets from their watchers. No target is missing as
+// long as one of its watchers replies.
 func (n *Node) Counters(ctx context.Context, service string) CounterReadings {
 	watchers := n.watchersOf(service)
 	out := CounterReadings{Asked: len(watchers)}
@@ -58,8 +58,8 @@
 	return out
 }
 
-// watchersOf returns the balancers that watch an agent of the service, also one that is gone: what it counted last
-// stays with its watchers for a while.
+// watchersOf returns the reachable balancers that watch an agent of the service. Agents that are gone are included,
+// because their watchers keep the last counters for readingRetention.
 func (n *Node) watchersOf(service string) []membership.Member {
 	seen := make(map[string]bool)
 	var out []membership.Member
--- a/pkg/peer/node_counters_test.go
+++ b/pkg/peer/node_counters_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// highest returns the highest counters of a session among the readings.
+// highest returns the reading of an agent with the highest request counter.
 func highest(list []Reading, agent string) Reading {
 	var out Reading
 	for _, r := range list {
@@ -30,7 +30,7 @@
 	for _, n := range nodes {
 		eventually(t, "all active", func() bool { return n.countActive() == len(nodes)+2 })
 	}
-	eventually(t, "counters of zero", func() bool { return highest(nodes[0].Counters(t.Context(), "route-svc").Readings, "t0").ZeroAge > 0 })
+	eventually(t, "zero counters", func() bool { return highest(nodes[0].Counters(t.Context(), "route-svc").Readings, "t0").ZeroAge > 0 })
 	requests.Store(40)
 	failures.Store(3)
 	for _, n := range nodes {
@@ -40,7 +40,7 @@
 	require.Equal(t, membership.WatcherCount, got.Asked)
 	require.Equal(t, got.Asked, got.Answered)
 	for _, r := range got.Readings {
-		require.Equal(t, "t0", r.Agent, "agents of another service are left out")
+		require.Equal(t, "t0", r.Agent, "agents of another service are excluded")
 		require.Equal(t, "v1", r.Version)
 	}
 	requests.Store(41)
@@ -48,7 +48,7 @@
 	s.end(t)
 	for _, n := range nodes {
 		last := highest(n.Counters(t.Context(), "route-svc").Readings, "t0")
-		require.EqualValues(t, 41, last.Requests, "an agent that leaves says its last counters")
+		require.EqualValues(t, 41, last.Requests, "an agent that leaves sends its final counters")
 		require.EqualValues(t, 4, last.Failures)
 	}
 }
@@ -69,13 +69,13 @@
 	require.Equal(t, []Reading{{Agent: "t0", Incarnation: 8, Version: "v2", Requests: 1}}, r.of("route-svc", now.Add(readingRetention)))
 	balancer := membership.Member{ID: "b0", Role: membership.RoleBalancer, Incarnation: 1}
 	r.record(&balancer, 0, 0, now)
-	require.Empty(t, r.of("", now), "balancers count nothing")
+	require.Empty(t, r.of("", now), "balancers have no counters")
 }
 
 func TestReadingRoundTrip(t *testing.T) {
 	r := Reading{Agent: "t0", Incarnation: 7, Version: "v2", Requests: 9, Failures: 2, ZeroAge: time.Nanosecond}
 	got := readingFromProto(readingToProto(r))
-	require.Equal(t, time.Millisecond, got.ZeroAge, "an age is rounded up, so that it is not taken for none")
+	require.Equal(t, time.Millisecond, got.ZeroAge, "an age is rounded up, because zero means none")
 	r.ZeroAge = got.ZeroAge
 	require.Equal(t, r, got)
 }
--- a/pkg/peer/node_detect.go
+++ b/pkg/peer/node_detect.go
@@ -9,7 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// RecordUnreachable notes that the host of an agent refused a datagram; the agent is suspected at once if it is watched here.
+// RecordUnreachable records that the host of an agent refused a datagram. The agent is suspected immediately if this
+// balancer watches it.
 func (n *Node) RecordUnreachable(agent netip.AddrPort) {
 	for _, m := range n.table.Members() {
 		if m.PacketAddr == agent && m.Role == membership.RoleAgent && m.Live() {
@@ -18,7 +19,7 @@
 	}
 }
 
-// detectLoop judges the watched members and removes old tombstones.
+// detectLoop evaluates the watched members and removes expired state.
 func (n *Node) detectLoop(ctx context.Context) error {
 	ticker := time.NewTicker(detectInterval)
 	defer ticker.Stop()
@@ -52,7 +53,7 @@
 		}
 		n.metrics.deaths.Inc(1)
 		n.cfg.Log.Warn().Str("op", "declare dead").Str("member", m.ID).Uint64("incarnation", m.Incarnation).
-			Str("reason", "a majority of its watchers does not hear it").Send()
+			Str("reason", "suspected by a majority of its watchers").Send()
 	}
 }
 
--- a/pkg/peer/node_exchange.go
+++ b/pkg/peer/node_exchange.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// exchangeLoop compares tables with a few neighbours in each interval; less often while the byte budget is overdrawn.
+// exchangeLoop exchanges records with a few neighbours in each interval, less often while the byte budget is overdrawn.
 func (n *Node) exchangeLoop(ctx context.Context) error {
 	n.joinPeers(ctx)
 	for {
@@ -28,7 +28,7 @@
 	}
 }
 
-// throttled returns d, or a multiple of it while the byte budget is overdrawn.
+// throttled returns d, or d times overdrawnFactor while the byte budget is overdrawn.
 func (n *Node) throttled(d time.Duration) time.Duration {
 	if !n.budget.isOverdrawn() {
 		return d
@@ -37,14 +37,15 @@
 	return d * overdrawnFactor
 }
 
-// jitter returns d with up to 20% more or less, so that the balancers' rounds don't fall together.
+// jitter returns d plus or minus up to 20%, so that the balancers' rounds don't synchronise.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return d*8/10 + time.Duration(n.random.Int64N(int64(d)*4/10+1))
 }
 
-// joinPeers takes the members of the first peer that answers, beyond the byte budget: a newcomer needs them all.
+// joinPeers fetches the members from the first peer that replies. It ignores the byte budget, because a joining
+// balancer needs all members.
 func (n *Node) joinPeers(ctx context.Context) {
 	for _, p := range append(n.seeds(), n.pickNeighbours(pushFanOut)...) {
 		if !n.exchange(ctx, p, maxJoinBytes) {
@@ -61,7 +62,7 @@
 	}
 }
 
-// seeds returns the configured addresses as peers whose ID isn't known.
+// seeds returns the configured seeds, other than this node, as peers without an ID.
 func (n *Node) seeds() []membership.Member {
 	var seeds []membership.Member
 	for _, addr := range n.cfg.Seeds {
@@ -72,7 +73,7 @@
 	return seeds
 }
 
-// partners returns the peers of one round: some neighbours, and now and then a peer that was lost.
+// partners returns the peers of one round: some neighbours, and occasionally, or when there are none, a lost peer.
 func (n *Node) partners() []membership.Member {
 	partners := n.pickNeighbours(exchangeFanOut)
 	lost := n.lostPeers()
@@ -84,7 +85,7 @@
 	return append(partners, lost[n.random.IntN(len(lost))])
 }
 
-// lostPeers returns the balancers that are held for dead, and the seeds.
+// lostPeers returns the dead balancers and the seeds.
 func (n *Node) lostPeers() []membership.Member {
 	lost := n.seeds()
 	for _, b := range n.table.Balancers() {
@@ -105,7 +106,7 @@
 	return neighbours[:min(count, len(neighbours))]
 }
 
-// newExchange returns a request with what this balancer knows in short.
+// newExchange returns a request with the hashes and the revision number that summarise this balancer's state.
 func (n *Node) newExchange() *peerpb.ExchangeRequest {
 	return &peerpb.ExchangeRequest{
 		Id:       n.cfg.Self.ID,
@@ -115,8 +116,8 @@
 	}
 }
 
-// exchange compares tables with a peer and reports whether the peer answered. Each of the up to three calls carries at
-// most maxBytes of records.
+// exchange compares tables with a peer, transfers differing records in both directions and reports whether the peer
+// replied. Each of the up to three calls carries at most maxBytes of records.
 func (n *Node) exchange(ctx context.Context, p membership.Member, maxBytes int) bool {
 	n.metrics.exchanges.Inc(1)
 	reply, err := n.call(ctx, p, n.newExchange())
@@ -150,7 +151,7 @@
 	n.random.Shuffle(len(buckets), func(i, j int) { buckets[i], buckets[j] = buckets[j], buckets[i] })
 }
 
-// sendRecords sends the records that a peer asked for.
+// sendRecords sends the records that a peer requested.
 func (n *Node) sendRecords(ctx context.Context, p membership.Member, want []uint32, maxBytes int) {
 	members := n.table.Select(want, maxBytes)
 	if len(members) == 0 {
@@ -164,7 +165,7 @@
 	}
 }
 
-// mergeReply merges a reply and fetches the peer's revision when it is higher.
+// mergeReply merges a reply and schedules a fetch of the peer's revision when that is higher.
 func (n *Node) mergeReply(p membership.Member, reply *peerpb.ExchangeReply) {
 	n.mergeRecords(reply.GetMembers())
 	n.acks.Merge(acksFromProto(reply.GetAcks()))
@@ -173,7 +174,7 @@
 	}
 }
 
-// mergeRecords takes in records of a peer.
+// mergeRecords merges the records of a peer into the table.
 func (n *Node) mergeRecords(members []*peerpb.Member) {
 	now := n.cfg.Now()
 	for _, p := range members {
@@ -183,7 +184,7 @@
 	}
 }
 
-// recordPeerResult tells the failure detector whether a peer could be reached.
+// recordPeerResult records in the failure detector, and for the peer's region, whether a call to the peer succeeded.
 func (n *Node) recordPeerResult(p membership.Member, ok bool) {
 	now := n.cfg.Now()
 	if p.State != membership.StateDead {
@@ -194,11 +195,11 @@
 	}
 	reachable := n.regions.RecordResult(p.Region, ok, now)
 	if n.table.SetUnreachable(p.Region, !reachable) {
-		n.cfg.Log.Warn().Str("op", "reach region").Str("region", p.Region).Bool("reachable", reachable).Msg("members are kept as they are")
+		n.cfg.Log.Warn().Str("op", "reach region").Str("region", p.Region).Bool("reachable", reachable).Msg("region reachability changed; its members keep their state")
 	}
 }
 
-// call sends an exchange request; a large one is compressed.
+// call sends an exchange request, compressed when it is larger than compressAbove.
 func (n *Node) call(ctx context.Context, p membership.Member, request *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/pkg/peer/node_fetch.go
+++ b/pkg/peer/node_fetch.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// scheduleFetch makes fetchLoop ask a peer that has a higher revision. When a fetch is under way, the next exchange brings the
-// peer up again.
+// scheduleFetch makes fetchLoop fetch the revision of the peer at addr. When another fetch is already queued it does
+// nothing: a later exchange schedules the fetch again.
 func (n *Node) scheduleFetch(addr string) {
 	select {
 	case n.fetchAddrs <- addr:
@@ -21,7 +21,7 @@
 	}
 }
 
-// fetchLoop takes higher revisions from peers.
+// fetchLoop fetches higher revisions from peers.
 func (n *Node) fetchLoop(ctx context.Context) error {
 	for {
 		select {
@@ -44,7 +44,8 @@
 	n.cfg.Adopter.Offer(r, revision.SourcePeer)
 }
 
-// fetchFrom asks for the difference to the revision held here, and for the whole revision when that doesn't fit.
+// fetchFrom requests the difference to the current revision, and the whole revision when the difference can't be
+// applied.
 func (n *Node) fetchFrom(ctx context.Context, addr string) (resource.Revision, error) {
 	have := n.cfg.Adopter.Number()
 	reply, err := n.requestRevision(ctx, addr, have)
--- a/pkg/peer/node_metrics.go
+++ b/pkg/peer/node_metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/uber-go/tally/v4"
 
-// nodeMetrics are the counters of a node.
 type nodeMetrics struct {
 	exchanges     tally.Counter
 	exchangeFails tally.Counter
--- a/pkg/peer/node_mirror.go
+++ b/pkg/peer/node_mirror.go
@@ -8,8 +8,9 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// Mirror hands refusal records to two other balancers, so that they outlive this one and one of the two, or to one when no
-// other answers. It returns the IDs of those that took them, and an error when none did.
+// Mirror sends refusal records to mirrorCount neighbours, so that they survive the loss of this balancer and one of the
+// neighbours, or to fewer when no other accepts them. It returns the IDs of those that accepted, and an error when none
+// did.
 func (n *Node) Mirror(ctx context.Context, records []byte) ([]string, error) {
 	request := &peerpb.MirrorRefusalsRequest{Id: n.cfg.Self.ID, Records: records}
 	peers := n.pickNeighbours(pushFanOut)
@@ -17,31 +18,31 @@
 	for _, p := range peers {
 		addrs = append(addrs, p.ControlAddr)
 	}
-	taken, err := mirrorToSome(ctx, n.dialer, addrs, request)
-	holders := make([]string, 0, len(taken))
-	for _, i := range taken {
+	accepted, err := mirrorToSome(ctx, n.dialer, addrs, request)
+	holders := make([]string, 0, len(accepted))
+	for _, i := range accepted {
 		holders = append(holders, peers[i].ID)
 	}
 	return holders, err
 }
 
-// mirrorToSome tries the addresses in turn until mirrorCount have taken the records. It returns the indexes of those that
-// did, and an error when none did.
+// mirrorToSome tries the addresses in order until mirrorCount have accepted the records. It returns the indexes of
+// those that did, and an error when none did.
 func mirrorToSome(ctx context.Context, d *dialer, addrs []string, request *peerpb.MirrorRefusalsRequest) ([]int, error) {
 	err := error(trace.NotFound("no balancer is known"))
-	var taken []int
+	var accepted []int
 	for i, addr := range addrs {
-		if len(taken) == mirrorCount {
+		if len(accepted) == mirrorCount {
 			break
 		}
 		if e := mirrorTo(ctx, d, addr, request); e != nil {
 			err = e
 			continue
 		}
-		taken = append(taken, i)
+		accepted = append(accepted, i)
 	}
-	if len(taken) > 0 {
-		return taken, nil
+	if len(accepted) > 0 {
+		return accepted, nil
 	}
 	return nil, trace.Wrap(err, "mirror refusal records")
 }
@@ -54,7 +55,7 @@
 		return err
 	}
 	if _, err := client.MirrorRefusals(ctx, request); err != nil {
-		return trace.Wrap(err, "mirror refusal records at peer %s", addr)
+		return trace.Wrap(err, "mirror refusal records to peer %s", addr)
 	}
 	return nil
 }
--- a/pkg/peer/node_push.go
+++ b/pkg/peer/node_push.go
@@ -9,8 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// pushLoop passes changes of the table and new revisions on to a few neighbours. A change is passed on once by each
-// balancer that learns it; the exchange repairs what the pushes miss.
+// pushLoop pushes changes of the table and new revision numbers to a few neighbours. Each balancer pushes a change
+// once; the exchange repairs what the pushes miss.
 func (n *Node) pushLoop(ctx context.Context) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
@@ -43,7 +43,7 @@
 	n.pushAll(ctx, request)
 }
 
-// pushAll sends a request to some neighbours.
+// pushAll sends a request to pushFanOut random neighbours.
 func (n *Node) pushAll(ctx context.Context, request *peerpb.ExchangeRequest) {
 	request.Push = true
 	n.metrics.pushes.Inc(1)
@@ -52,7 +52,7 @@
 	}
 }
 
-// ackLoop passes new acknowledgements on to a few neighbours.
+// ackLoop pushes new acknowledgements to a few neighbours.
 func (n *Node) ackLoop(ctx context.Context) error {
 	pushed := uint64(0)
 	for {
@@ -83,7 +83,8 @@
 	n.mergeReply(p, reply)
 }
 
-// splitVerdicts puts deaths into their short form and bounds the size of the rest.
+// splitVerdicts returns the dead members as verdicts, which are smaller than records, and the others as records, as far
+// as they fit into maxPushBytes.
 func splitVerdicts(members []membership.Member) (records []*peerpb.Member, verdicts []*peerpb.Verdict) {
 	size := 0
 	for i := range members {
@@ -103,7 +104,8 @@
 	return records, verdicts
 }
 
-// mergeVerdicts takes in deaths in short form. One that isn't about the record held here is left to the exchange.
+// mergeVerdicts merges verdicts into the table. A verdict on a record other than the one in the table is ignored; the
+// exchange transfers the full record later.
 func mergeVerdicts(t *membership.Table, verdicts []*peerpb.Verdict, now time.Time) {
 	for _, v := range verdicts {
 		for _, m := range t.Select([]uint32{v.GetMember()}, 0) {
--- a/pkg/peer/node_test.go
+++ b/pkg/peer/node_test.go
@@ -18,10 +18,10 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// testTimeout bounds the waits of tests; it is far above what they need.
+// testTimeout is the timeout of waits in tests; a passing test needs far less.
 const testTimeout = 20 * time.Second
 
-// testDetector gives members long limits, so that a busy machine doesn't fail a test.
+// testDetector has long timeouts, so that tests don't fail on a busy machine.
 var testDetector = membership.DetectorConfig{SuspectAfter: 6 * time.Second, PauseLimit: 2 * time.Second, Grace: 8 * time.Second, MassLossHold: time.Second}
 
 type testNode struct {
@@ -69,7 +69,7 @@
 	}
 }
 
-// kill cuts all connections, as the end of the process does, and tells nobody.
+// kill closes all connections without notice, as the crash of the process does.
 func (n *testNode) kill() {
 	n.dialer.close()
 	n.server.Stop()
@@ -208,11 +208,11 @@
 		})
 	}
 	agents[0].Drain()
-	eventually(t, "drain is seen", func() bool {
+	eventually(t, "draining seen by the other agent", func() bool {
 		v := agents[1].view("route-svc")
 		return v.Targets[0].State == view.StateDraining
 	})
 	agents[0].end(t)
-	eventually(t, "leaving is seen", func() bool { return len(agents[1].view("route-svc").Targets) == 1 })
-	eventually(t, "leaving reaches all", func() bool { return nodes[3].state("t0") == membership.StateLeft })
+	eventually(t, "leaving seen by the other agent", func() bool { return len(agents[1].view("route-svc").Targets) == 1 })
+	eventually(t, "leaving seen by another node", func() bool { return nodes[3].state("t0") == membership.StateLeft })
 }
--- a/pkg/peer/split_test.go
+++ b/pkg/peer/partition_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// partition opens the connections between two regions and can cut them.
+// partition opens connections and can cut those that cross between regions.
 type partition struct {
 	mu      sync.Mutex
 	cut     bool
@@ -68,12 +68,12 @@
 	}
 	b.set(true)
 	nodes[0].adopter.Offer(routeRevision(2, "route-svc"), revision.SourceHead)
-	eventually(t, "this side goes on", func() bool { return near[1].adopter.Number() == 2 })
+	eventually(t, "revision adopted on this side", func() bool { return near[1].adopter.Number() == 2 })
 	drained.Drain()
-	eventually(t, "the other side goes on", func() bool { return far[0].state("t1") == membership.StateDraining })
+	eventually(t, "draining seen on the other side", func() bool { return far[0].state("t1") == membership.StateDraining })
 	for _, n := range near {
 		eventually(t, "other side unreachable", func() bool { m, _ := n.table.Get("t1"); return m.Unreachable })
-		require.Equal(t, membership.StateActive, n.state("t1"), "kept as it was")
+		require.Equal(t, membership.StateActive, n.state("t1"), "members of the other side keep their state")
 	}
 	for _, n := range far {
 		eventually(t, "other side unreachable", func() bool { m, _ := n.table.Get("b0"); return m.Unreachable })
--- a/pkg/peer/spread_test.go
+++ b/pkg/peer/propagation_test.go
@@ -14,13 +14,13 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// Sizes of the fleet to design for.
+// Sizes of the fleet that the system is designed for.
 const (
 	fleetBalancers = 490
 	fleetAgents    = 3300
 	fleetCentres   = 7
 	fleetRegions   = 2
-	// pushStep is the time from learning a change to its arrival at the next balancers.
+	// pushStep is the time from the arrival of a change at one balancer to its arrival at the next ones.
 	pushStep = pushBatchDelay + 10*time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	return members
 }
 
-// propagation carries changes among tables by the functions that nodes use, in steps of pushStep.
+// propagation simulates how changes propagate among tables, with the functions that nodes use, in steps of pushStep.
 type propagation struct {
 	random     *rand.Rand
 	tables     []*membership.Table
@@ -59,7 +59,7 @@
 	pushed     []uint64
 	pushing    bool
 	step       int
-	// bytes counts the messages of each balancer, sent and received.
+	// bytes counts the bytes of messages that each balancer sent and received.
 	bytes []int
 }
 
@@ -104,7 +104,7 @@
 	mergeVerdicts(s.tables[i], verdicts, testTime)
 }
 
-// runStep makes one step: pushes of what was learned in the step before, and the rounds of exchange that fall into it.
+// runStep runs one step: pushes of the changes from the previous step, and the rounds of exchange due in this step.
 func (s *propagation) runStep() {
 	s.step++
 	type message struct {
@@ -162,7 +162,8 @@
 	s.merge(to, third.GetMembers(), nil)
 }
 
-// runUntilConverged runs steps runUntilConverged all tables agree, and returns the time and the bytes of a balancer, on average.
+// runUntilConverged runs steps until all tables are equal, and returns the simulated time and the mean bytes per
+// balancer.
 func (s *propagation) runUntilConverged(tb testing.TB, limit time.Duration) (time.Duration, int) {
 	begin := s.step
 	for {
@@ -170,7 +171,7 @@
 		if s.converged() {
 			return elapsed, s.takeMeanBytes()
 		}
-		require.LessOrEqual(tb, elapsed, limit, "the tables don't agree")
+		require.LessOrEqual(tb, elapsed, limit, "the tables haven't converged")
 		s.runStep()
 	}
 }
@@ -185,6 +186,7 @@
 	return true
 }
 
+// takeMeanBytes returns the mean bytes per balancer since the last call.
 func (s *propagation) takeMeanBytes() int {
 	sum := 0
 	for i, n := range s.bytes {
@@ -203,7 +205,7 @@
 	s.tables[s.random.IntN(len(s.tables))].Merge(m, testTime)
 }
 
-// A change must reach all balancers of the largest fleet in 2 s, with pushes and, when all pushes are lost, soon after.
+// A change must reach all balancers of the largest fleet within 2 s, and within 5 s when all pushes are lost.
 func TestChangeReachesTheWholeFleet(t *testing.T) {
 	s := newPropagation(fleetBalancers, 20, true)
 	s.change("target-0007", membership.StateDraining)
@@ -215,8 +217,8 @@
 	t.Logf("exchange only: %v, %d bytes of messages per balancer", elapsed, bytes)
 }
 
-// BenchmarkPropagation prints, for several fleets and numbers of changes at once, the time until all agree and the bytes of
-// messages that a balancer sends and receives for it, without framing. Run it with -benchtime 1x.
+// BenchmarkPropagation reports, for several fleets and numbers of concurrent changes, the time until all tables are
+// equal and the mean bytes of messages that a balancer sends and receives, without framing. Run it with -benchtime 1x.
 func BenchmarkPropagation(b *testing.B) {
 	for _, balancers := range []int{60, 245, fleetBalancers} {
 		agents := balancers * fleetAgents / fleetBalancers
--- a/pkg/peer/reading.go
+++ b/pkg/peer/reading.go
@@ -6,16 +6,18 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// Reading is what a watcher heard last of the counters of one agent incarnation.
+// Reading holds the counters of one agent incarnation as last reported to a watcher.
 type Reading struct {
-	// Agent and Incarnation name the process that counted.
+	// Agent and Incarnation identify the process that counted.
 	Agent       string
 	Incarnation uint64
 	// Version is the version that the target announced.
 	Version string
-	// Requests and Failures count what ended at the target since the incarnation began; failures are requests too.
+	// Requests and Failures count the requests that ended at the target since the incarnation began; Requests includes
+	// the failures.
 	Requests, Failures uint64
-	// ZeroAge is the time since the watcher heard the incarnation with both counters at zero; 0 means that it never did.
+	// ZeroAge is the time since the watcher last received a zero request counter from the incarnation; 0 means that it
+	// never did.
 	ZeroAge time.Duration
 }
 
--- a/pkg/peer/readings.go
+++ b/pkg/peer/readings.go
@@ -7,7 +7,7 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// readings are the counters that the watched agents sent with their heartbeats.
+// readings holds the counters that agents reported with their heartbeats.
 type readings struct {
 	mu            sync.Mutex
 	byIncarnation map[readingKey]*storedReading
@@ -21,7 +21,7 @@
 type storedReading struct {
 	service, version   string
 	requests, failures uint64
-	// lastZero is when the counters were heard at lastZero last; the lastZero time when never.
+	// lastZero is when a zero request counter was last received; the zero time when never.
 	lastZero time.Time
 	lastSeen time.Time
 }
@@ -30,8 +30,8 @@
 	return &readings{byIncarnation: make(map[readingKey]*storedReading)}
 }
 
-// record takes in the counters of a heartbeat of the member. Counters of one incarnation never fall, so that messages of
-// two streams may come in any order.
+// record records the counters of a heartbeat of the member. It keeps the highest values, because heartbeats of two
+// streams of one incarnation may arrive out of order.
 func (r *readings) record(m *membership.Member, requests, failures uint64, now time.Time) {
 	if m.Role != membership.RoleAgent {
 		return
@@ -39,45 +39,45 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := readingKey{m.ID, m.Incarnation}
-	held, ok := r.byIncarnation[key]
+	stored, ok := r.byIncarnation[key]
 	if !ok {
-		held = &storedReading{}
-		r.byIncarnation[key] = held
+		stored = &storedReading{}
+		r.byIncarnation[key] = stored
 	}
-	held.service, held.version, held.lastSeen = m.Service, m.Version, now
-	held.requests, held.failures = max(held.requests, requests), max(held.failures, failures)
-	if held.requests == 0 {
-		held.lastZero = now
+	stored.service, stored.version, stored.lastSeen = m.Service, m.Version, now
+	stored.requests, stored.failures = max(stored.requests, requests), max(stored.failures, failures)
+	if stored.requests == 0 {
+		stored.lastZero = now
 	}
 }
 
-// of returns the readings of a service.
+// of returns the readings of a service's agents, with ages relative to now.
 func (r *readings) of(service string, now time.Time) []Reading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Reading
-	for key, held := range r.byIncarnation {
-		if held.service != service {
+	for key, stored := range r.byIncarnation {
+		if stored.service != service {
 			continue
 		}
 		reading := Reading{
-			Agent: key.agent, Incarnation: key.incarnation, Version: held.version,
-			Requests: held.requests, Failures: held.failures,
+			Agent: key.agent, Incarnation: key.incarnation, Version: stored.version,
+			Requests: stored.requests, Failures: stored.failures,
 		}
-		if !held.lastZero.IsZero() {
-			reading.ZeroAge = max(now.Sub(held.lastZero), 1)
+		if !stored.lastZero.IsZero() {
+			reading.ZeroAge = max(now.Sub(stored.lastZero), 1)
 		}
 		out = append(out, reading)
 	}
 	return out
 }
 
-// expire forgets incarnations that were not heard for readingTime.
+// expire removes incarnations that were last seen more than readingRetention ago.
 func (r *readings) expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, held := range r.byIncarnation {
-		if now.Sub(held.lastSeen) > readingRetention {
+	for key, stored := range r.byIncarnation {
+		if now.Sub(stored.lastSeen) > readingRetention {
 			delete(r.byIncarnation, key)
 		}
 	}
--- a/pkg/peer/self.go
+++ b/pkg/peer/self.go
@@ -7,7 +7,7 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// self is the record that a process announces of itself.
+// self is the record that a process announces about itself.
 type self struct {
 	now func() time.Time
 
@@ -28,7 +28,7 @@
 	return s.member
 }
 
-// update changes the record and raises its sequence.
+// update changes the record, except its ID and incarnation, and raises its sequence.
 func (s *self) update(f func(m *membership.Member)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,8 +38,8 @@
 	s.raiseSequence(before.Sequence)
 }
 
-// refute raises the sequence above a record of this incarnation that others hold and that isn't true, and reports
-// whether it did. A record of a higher incarnation belongs to another process of the same name.
+// refute raises the sequence above that of seen, a record that others hold of this incarnation, when seen is wrong, and
+// reports whether it did. A record of a higher incarnation belongs to another process of the same name.
 func (s *self) refute(seen membership.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	s.scheduleAnnounce()
 }
 
-// scheduleAnnounce makes the process announce its record as it is.
+// scheduleAnnounce signals that the current record is to be announced.
 func (s *self) scheduleAnnounce() {
 	select {
 	case s.changed <- struct{}{}:
--- a/pkg/peer/service_state.go
+++ b/pkg/peer/service_state.go
@@ -16,8 +16,8 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// serviceState joins the updates that an agent gets from several balancers: the records of members merge, and of the
-// configurations the one with the highest revision counts.
+// serviceState combines the updates that an agent receives from several balancers: member records are merged, and the
+// configurations of the highest revision are used.
 type serviceState struct {
 	now       func() time.Time
 	onView    func(*view.Service)
@@ -30,11 +30,11 @@
 	revision  uint64
 	configs   []resource.ServiceConfig
 	published map[string]*view.Service
-	// agents is the number of live agents that was reported last.
+	// agents is the number of live agents last passed to onAgents.
 	agents uint32
 }
 
-// watchSource is what one balancer's stream has sent.
+// watchSource is the state received from one balancer's stream.
 type watchSource struct {
 	members map[string]bool
 	specs   map[string]resource.ServiceSpec
@@ -53,7 +53,7 @@
 	}
 }
 
-// apply takes in an update of the balancer at addr.
+// apply applies an update from the balancer at addr.
 func (s *serviceState) apply(addr string, u *peerpb.ServiceUpdate) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,23 +85,23 @@
 	return source
 }
 
-// removeSource ends the part of a balancer whose stream won't be opened again. Its members stay until a snapshot of another
-// balancer doesn't list them.
+// removeSource removes the state of a balancer whose stream has ended. Members that only it listed stay until the next
+// snapshot of any balancer.
 func (s *serviceState) removeSource(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sources, addr)
 }
 
-// hasView reports whether the balancer at addr has sent a view.
+// hasView reports whether the stream to the balancer at addr has sent a view.
 func (s *serviceState) hasView(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sources[addr] != nil
 }
 
-// publishAgents reports the highest number of live agents that a balancer names: one that has just started, or is cut off
-// from others, knows too few, and what is shared out by the number must not be given twice.
+// publishAgents reports the highest number of live agents that a balancer sent. A balancer that has just started or is
+// cut off counts too few, and a limit that is divided by the number must not be exceeded.
 func (s *serviceState) publishAgents() {
 	var agents uint32
 	for _, source := range s.sources {
@@ -114,7 +114,7 @@
 	s.onAgents(agents)
 }
 
-// removeUnlisted forgets members that no balancer lists any longer; their tombstones have expired.
+// removeUnlisted removes members that no balancer lists any longer, because their tombstones have expired.
 func (s *serviceState) removeUnlisted() {
 	for _, m := range s.table.Members() {
 		listed := false
@@ -127,7 +127,7 @@
 	}
 }
 
-// applyConfigs takes over the configurations unless another balancer has sent those of a higher revision.
+// applyConfigs replaces the configurations unless a higher revision has been received.
 func (s *serviceState) applyConfigs(source *watchSource, u *peerpb.ServiceUpdate) error {
 	configs := make([]resource.ServiceConfig, 0, len(u.GetConfigs()))
 	for _, p := range u.GetConfigs() {
@@ -144,12 +144,12 @@
 	return nil
 }
 
-// spec returns a service's specification, which an update leaves out when the stream has sent it before.
+// spec returns a service's specification, which an update omits when the stream has sent it before.
 func (w *watchSource) spec(p *peerpb.ServiceConfig) (resource.ServiceSpec, error) {
 	if len(p.GetSpec()) == 0 {
 		spec, ok := w.specs[p.GetName()]
 		if !ok {
-			return spec, trace.NotFound("service %s came without a specification", p.GetName())
+			return spec, trace.NotFound("update has no specification of service %s, and none was received before", p.GetName())
 		}
 		return spec, nil
 	}
@@ -161,7 +161,7 @@
 	return spec, nil
 }
 
-// publish reports the services whose view has changed.
+// publish passes the views that have changed to onView and the names of removed services to onRemoved.
 func (s *serviceState) publish() {
 	rev := resource.Revision{Number: s.revision, Services: s.configs}
 	v := view.Build(rev, s.table.Members())
@@ -183,7 +183,7 @@
 	}
 }
 
-// member returns the record of a member as the balancers hold it.
+// member returns the merged record of a member as received from the balancers.
 func (s *serviceState) member(id string) (membership.Member, bool) {
 	return s.table.Get(id)
 }
--- a/pkg/peer/service_state_test.go
+++ b/pkg/peer/service_state_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// agentState joins updates and remembers what was reported.
+// agentState is a serviceState that records the reported views.
 type agentState struct {
 	*serviceState
 	views   map[string]*view.Service
@@ -65,7 +65,7 @@
 	require.Equal(t, resource.Duration(time.Second), a.views["web"].Spec.DrainTime, "the stream's own last specification")
 	require.Contains(t, a.views, "old")
 	require.NoError(t, a.apply("b1", update(7, false, nil, &peerpb.ServiceConfig{Name: "web"})))
-	require.NotContains(t, a.views, "old", "a service that isn't listed is gone")
+	require.NotContains(t, a.views, "old", "a service that isn't listed is removed")
 }
 
 func TestMembersOfTwoBalancersMerge(t *testing.T) {
@@ -73,24 +73,24 @@
 	config := serviceConfig(t, "web", 0)
 	require.NoError(t, a.apply("b0", update(1, true, poolMember("t0", 3, membership.StateDraining), config)))
 	require.NoError(t, a.apply("b1", update(1, true, poolMember("t0", 2, membership.StateActive), config)))
-	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "an older record reverts nothing")
+	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "an older record doesn't replace a newer one")
 	reports := a.reports
 	require.NoError(t, a.apply("b1", update(1, false, poolMember("t0", 3, membership.StateDraining), &peerpb.ServiceConfig{Name: "web"})))
-	require.Equal(t, reports, a.reports, "what changes nothing isn't reported")
+	require.Equal(t, reports, a.reports, "an update without changes isn't reported")
 	require.NoError(t, a.apply("b1", update(1, false, poolMember("t1", 1, membership.StateActive), &peerpb.ServiceConfig{Name: "web"})))
 	require.NoError(t, a.apply("b0", update(1, true, poolMember("t0", 3, membership.StateDraining), config)))
 	require.Len(t, a.targets("web"), 2, "listed by one of the balancers")
 	require.NoError(t, a.apply("b1", update(1, true, nil, config)))
 	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "listed by none")
 	a.removeSource("b0")
-	require.Len(t, a.targets("web"), 1, "a lost stream drops nothing")
+	require.Len(t, a.targets("web"), 1, "the end of a stream removes no members")
 }
 
 func TestInvalidUpdatesAreRejected(t *testing.T) {
 	cases := map[string]*peerpb.ServiceConfig{
-		"no specification yet": {Name: "web"},
-		"specification broken": {Name: "web", Spec: []byte("{")},
-		"shares broken":        {Name: "web", Spec: []byte(`{"shares":{}}`)},
+		"no specification yet":  {Name: "web"},
+		"invalid specification": {Name: "web", Spec: []byte("{")},
+		"invalid shares":        {Name: "web", Spec: []byte(`{"shares":{}}`)},
 	}
 	for name, config := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -122,10 +122,10 @@
 		require.NoError(t, state.apply(addr, u))
 	}
 	apply("b0", true, 0)
-	require.Empty(t, reports, "a balancer that doesn't count")
+	require.Empty(t, reports, "a balancer that sends no number")
 	apply("b0", true, 3000)
 	apply("b1", true, 1)
-	require.Equal(t, []uint32{3000}, reports, "one that has just started knows too few")
+	require.Equal(t, []uint32{3000}, reports, "the lower number of a balancer that has just started is ignored")
 	apply("b1", false, 3300)
 	apply("b1", false, 3300)
 	require.Equal(t, []uint32{3000, 3300}, reports)
--- a/pkg/peer/session.go
+++ b/pkg/peer/session.go
@@ -16,18 +16,17 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// Numbers of a session.
 const (
-	// watchCount is the number of balancers from which an agent takes the views of its service.
+	// watchCount is the number of balancers from which an agent watches its service.
 	watchCount = 2
-	// announceCount is the number of balancers that an agent announces a change to.
+	// announceCount is the number of balancers to which an agent announces a change.
 	announceCount = 2
-	// mirrorCount is the number of balancers that a process hands its refusal records to.
+	// mirrorCount is the number of balancers to which a process sends its refusal records.
 	mirrorCount = 2
 )
 
-// Session is the control side of an agent: it announces the agent, sends heartbeats to its watchers and takes the views
-// of its service from two balancers.
+// Session is the control side of an agent: it announces the agent, sends heartbeats to its watchers and watches its
+// service on two balancers.
 type Session struct {
 	cfg        SessionConfig
 	self       *self
@@ -37,22 +36,22 @@
 	state      *serviceState
 
 	mu sync.Mutex
-	// knownAddrs are control addresses of balancers that were named by others, newest first.
+	// knownAddrs are control addresses of balancers from replies to announcements, newest first.
 	knownAddrs []string
 	watches    map[string]context.CancelFunc
-	// blockedUntil says until when no stream of views is opened to a balancer, because one failed.
+	// blockedUntil holds, for a balancer whose watch stream failed, the time until which no new one is opened.
 	blockedUntil map[string]time.Time
-	// changed is set when the watchers or the known balancers changed.
+	// changed receives a value when watchLoop should update the watches.
 	changed chan struct{}
 	group   sync.WaitGroup
-	// killed is set when the session ends without telling the balancers.
+	// killed is set when the session ends without notifying the balancers.
 	killed atomic.Bool
 }
 
-// maxKnownAddrs bounds the number of addresses that a session remembers besides its seeds.
+// maxKnownAddrs is the maximum number of addresses that a session keeps besides its seeds.
 const maxKnownAddrs = 16
 
-// NewSession returns a session that doesn't run yet. It returns an error when the record isn't complete or the
+// NewSession returns a session; Run starts it. It returns an error when a required setting is missing or the
 // certificates can't be read.
 func NewSession(cfg SessionConfig) (*Session, error) {
 	cfg = cfg.withDefaults()
@@ -60,7 +59,7 @@
 		return nil, trace.BadParameter("session needs an ID, an incarnation, a service and a packet address")
 	}
 	if len(cfg.Seeds) == 0 || cfg.OnView == nil {
-		return nil, trace.BadParameter("session needs the address of a balancer and a receiver of views")
+		return nil, trace.BadParameter("session needs the address of a balancer and an OnView callback")
 	}
 	creds, err := newCredentials(cfg.TLS, cfg.Log)
 	if err != nil {
@@ -81,12 +80,13 @@
 	s.heartbeats.counts = cfg.Counts
 	s.heartbeats.onAnnounce = s.announceTo
 	s.heartbeats.onWatchers = s.setWatchers
-	// A watcher that fails may soon be replaced, and the others may have failed too, so the agent asks again.
+	// A failed watcher may soon be replaced, and the others may have failed too; the reply to an announcement contains
+	// the current watchers.
 	s.heartbeats.onFailure = s.self.scheduleAnnounce
 	return s, nil
 }
 
-// RunSession makes a session and runs it until ctx ends.
+// RunSession creates a session and runs it until ctx ends.
 func RunSession(ctx context.Context, cfg SessionConfig) error {
 	s, err := NewSession(cfg)
 	if err != nil {
@@ -100,25 +100,26 @@
 	return s.self.get()
 }
 
-// Drain makes the agent draining; that is final.
+// Drain sets the agent's state to draining, which is final within the incarnation.
 func (s *Session) Drain() {
 	s.self.update(func(m *membership.Member) { m.State = membership.StateDraining })
 }
 
-// Update changes what the agent announces, for example its slots.
+// Update changes the record that the agent announces, for example its slots.
 func (s *Session) Update(f func(m *membership.Member)) {
 	s.self.update(f)
 }
 
-// Mirror hands refusal records to two balancers, so that the death of one loses none, or to one when no other answers. It
-// tries the balancers in turn and returns an error when none took them; readers leave out what was taken twice.
+// Mirror sends refusal records to mirrorCount balancers, so that they survive the loss of one, or to fewer when no
+// other accepts them. It tries the balancers in order and returns an error when none accepted. Readers deduplicate the
+// records.
 func (s *Session) Mirror(ctx context.Context, records []byte) error {
 	request := &peerpb.MirrorRefusalsRequest{Id: s.cfg.Self.ID, Records: records}
 	_, err := mirrorToSome(ctx, s.dialer, s.addrs(), request)
 	return err
 }
 
-// Run runs the session until ctx ends. It then tells the balancers that the agent has left.
+// Run runs the session until ctx ends. It then announces to some balancers that the agent has left.
 func (s *Session) Run(ctx context.Context) error {
 	g, run := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.announceLoop(run) })
@@ -132,13 +133,14 @@
 	return nil
 }
 
-// Kill closes all connections at once and tells nobody, as if the VM were gone. End Run's context after it.
+// Kill closes all connections immediately and notifies nobody, as if the VM had failed. The caller then cancels the
+// context of Run.
 func (s *Session) Kill() {
 	s.killed.Store(true)
 	s.dialer.close()
 }
 
-// joinLoop makes the agent active once it has been joining for the set time, a balancer has its record and it is ready.
+// joinLoop sets the agent active once JoinTime has passed and it can serve.
 func (s *Session) joinLoop(ctx context.Context) error {
 	_ = wait.For(ctx, s.cfg.JoinTime)
 	for ctx.Err() == nil && !s.canServe() {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// canServe reports whether a balancer has the agent's record and the agent is ready for packets.
+// canServe reports whether a balancer has the agent's record and assigned watchers, and the agent is ready for packets.
 func (s *Session) canServe() bool {
 	if len(s.heartbeats.addrs()) == 0 {
 		return false
@@ -164,17 +166,17 @@
 	return s.cfg.Ready == nil || s.cfg.Ready()
 }
 
-// announceLoop announces each change of the record to two balancers, until it is taken.
+// announceLoop announces each change of the record to two balancers, and retries until at least one has accepted it.
 func (s *Session) announceLoop(ctx context.Context) error {
-	pause := streamRetry
+	backoff := streamRetry
 	for ctx.Err() == nil {
 		if s.announceAll(ctx) == 0 {
 			s.cfg.Log.Warn().Str("op", "announce").Str("reason", "no balancer answered").Send()
-			_ = wait.For(ctx, jitter(pause))
-			pause = min(pause*2, streamRetryMax)
+			_ = wait.For(ctx, jitter(backoff))
+			backoff = min(backoff*2, streamRetryMax)
 			continue
 		}
-		pause = streamRetry
+		backoff = streamRetry
 		select {
 		case <-ctx.Done():
 		case <-s.self.changed:
@@ -183,20 +185,21 @@
 	return nil
 }
 
-// announceAll announces the record to two balancers at a time until two have taken it, and returns their number.
+// announceAll announces the record to announceCount balancers at a time until that many have accepted it, and returns
+// how many did.
 func (s *Session) announceAll(ctx context.Context) int {
-	taken := 0
+	accepted := 0
 	for batch := range slices.Chunk(s.addrs(), announceCount) {
-		taken += s.announceBatch(ctx, batch)
-		if taken >= announceCount || ctx.Err() != nil {
+		accepted += s.announceBatch(ctx, batch)
+		if accepted >= announceCount || ctx.Err() != nil {
 			break
 		}
 	}
-	return taken
+	return accepted
 }
 
 func (s *Session) announceBatch(ctx context.Context, addrs []string) int {
-	var taken atomic.Int32
+	var accepted atomic.Int32
 	var group sync.WaitGroup
 	for _, addr := range addrs {
 		group.Go(func() {
@@ -205,15 +208,15 @@
 				s.cfg.Log.Debug().Err(err).Str("op", "announce").Str("peer", addr).Send()
 				return
 			}
-			taken.Add(1)
+			accepted.Add(1)
 			s.applyReply(reply)
 		})
 	}
 	group.Wait()
-	return int(taken.Load())
+	return int(accepted.Load())
 }
 
-// announceTo hands the record to a watcher that asked for it.
+// announceTo sends the record to a watcher that requested it.
 func (s *Session) announceTo(ctx context.Context, addr string) {
 	reply, err := announce(ctx, s.dialer, s.self, addr)
 	if err != nil {
@@ -230,11 +233,11 @@
 		return
 	}
 	if s.self.refute(seen) {
-		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "held for "+seen.State.String()).Msg("refuted")
+		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
 	}
 }
 
-// applyReply takes over what a balancer answered to the announcement.
+// applyReply applies a balancer's reply to an announcement.
 func (s *Session) applyReply(reply *peerpb.AnnounceReply) {
 	s.refute(reply)
 	s.mu.Lock()
@@ -253,7 +256,7 @@
 	}
 }
 
-// mergeAddrs returns the addresses of both lists without doubles, at most maxKnown.
+// mergeAddrs returns the addresses of both lists in order, without duplicates, and at most maxKnownAddrs.
 func mergeAddrs(first, then []string) []string {
 	all := make([]string, 0, len(first)+len(then))
 	for _, addr := range append(slices.Clone(first), then...) {
@@ -264,8 +267,8 @@
 	return all[:min(len(all), maxKnownAddrs)]
 }
 
-// addrs returns the addresses to call in the order of preference: watchers, known balancers, seeds. Those to which a
-// stream failed of late come last.
+// addrs returns the balancers' addresses in order of preference: watchers, known balancers, seeds. Those whose watch
+// stream failed recently come last.
 func (s *Session) addrs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +288,7 @@
 	return append(working, failing...)
 }
 
-// leave tells two balancers that the agent has left.
+// leave announces to announceCount balancers that the agent has left, unless the session was killed.
 func (s *Session) leave() {
 	if s.killed.Load() {
 		return
@@ -293,13 +296,13 @@
 	s.self.update(func(m *membership.Member) { m.State = membership.StateLeft })
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	taken := 0
+	accepted := 0
 	for _, addr := range s.addrs() {
-		if taken == announceCount || ctx.Err() != nil {
+		if accepted == announceCount || ctx.Err() != nil {
 			return
 		}
 		if _, err := announce(ctx, s.dialer, s.self, addr); err == nil {
-			taken++
+			accepted++
 		}
 	}
 }
--- a/pkg/peer/session_watch.go
+++ b/pkg/peer/session_watch.go
@@ -10,7 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// watchLoop keeps the streams of views on two balancers. A stream that fails is replaced by one to another balancer.
+// watchLoop maintains watch streams to watchCount balancers. A stream that fails is replaced by one to another
+// balancer.
 func (s *Session) watchLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s.updateWatches(ctx)
@@ -22,13 +23,13 @@
 	return nil
 }
 
-// updateWatches opens streams to the preferred balancers. Once these have sent a view, the others are closed.
+// updateWatches opens streams to the preferred balancers. Once all of these have sent a view, it closes the others.
 func (s *Session) updateWatches(ctx context.Context) {
 	addrs := s.addrs()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.knownAddrs) == 0 {
-		// Before a balancer has answered only the seeds are known, and these would get the streams of all agents.
+		// Before the first reply only the seeds are known, and they would receive the streams of all agents.
 		return
 	}
 	preferred := s.preferred(addrs)
@@ -51,7 +52,7 @@
 	}
 }
 
-// preferred returns the first addresses to which no stream failed of late; mu is held.
+// preferred returns the first watchCount addresses to which no stream failed recently; mu must be held.
 func (s *Session) preferred(addrs []string) []string {
 	now := s.cfg.Now()
 	var list []string
@@ -63,14 +64,15 @@
 	return list
 }
 
-// openWatch starts a stream; mu is held.
+// openWatch starts a stream; mu must be held.
 func (s *Session) openWatch(ctx context.Context, addr string) {
 	stop, cancel := context.WithCancel(ctx)
 	s.watches[addr] = cancel
 	s.group.Go(func() { s.watch(stop, addr) })
 }
 
-// watch takes updates from one balancer until the stream fails or is closed.
+// watch applies updates from one balancer until the stream fails or is closed. After a failure it signals watchLoop at
+// once, and again when the balancer may be used again.
 func (s *Session) watch(ctx context.Context, addr string) {
 	err := s.watchStream(ctx, addr)
 	s.state.removeSource(addr)
@@ -83,7 +85,8 @@
 	s.notify()
 }
 
-// endWatch forgets a stream and reports whether it failed. A balancer whose stream failed is left out for a while.
+// endWatch removes a stream and reports whether it failed rather than was closed. A balancer whose stream failed is
+// blocked for streamRetryMax.
 func (s *Session) endWatch(ctx context.Context, addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,18 +114,19 @@
 			return trace.Wrap(err, "watch service at peer %s", addr)
 		}
 		if err := s.state.apply(addr, u); err != nil {
-			return trace.Wrap(err, "take update of peer %s", addr)
+			return trace.Wrap(err, "apply update of peer %s", addr)
 		}
 		if u.GetSnapshot() {
 			s.notify()
 		}
 		if seen, ok := s.state.member(s.cfg.Self.ID); ok && s.self.refute(seen) {
-			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "held for "+seen.State.String()).Msg("refuted")
+			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
 		}
 	}
 }
 
-// setWatchers moves the heartbeats and, where needed, the streams of views to other balancers.
+// setWatchers directs the heartbeats to the given watchers and signals watchLoop, because watchers are the preferred
+// balancers for watch streams.
 func (s *Session) setWatchers(addrs []string) {
 	s.heartbeats.setWatchers(addrs)
 	s.notify()
--- a/pkg/peer/tls_config.go
+++ b/pkg/peer/tls_config.go
@@ -19,14 +19,14 @@
 	ServerName string
 }
 
-// enabled reports whether mutual TLS is asked for.
+// enabled reports whether mutual TLS is configured.
 func (c TLSConfig) enabled() bool {
 	return c.CA != "" || c.Cert != "" || c.Key != ""
 }
 
-// Load returns the settings of both sides of a mutual TLS connection: a server asks for a certificate of the peer and
-// verifies it, a client verifies the server's. It returns nil when no files are named, and an error when one is missing
-// or holds nothing usable.
+// Load returns a configuration for both sides of a mutual TLS connection: a server requires and verifies a client
+// certificate, a client verifies the server's. It returns nil when no files are named, and an error when one is missing
+// or invalid.
 func (c TLSConfig) Load() (*tls.Config, error) {
 	if !c.enabled() {
 		return nil, nil
@@ -38,7 +38,6 @@
 	return config, nil
 }
 
-// load reads the files. It returns an error when one is missing or holds nothing usable.
 func (c TLSConfig) load() (*tls.Config, error) {
 	pem, err := os.ReadFile(c.CA)
 	if err != nil {
--- a/pkg/peer/tls_test.go
+++ b/pkg/peer/tls_test.go
@@ -24,7 +24,7 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// authority makes certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -65,7 +65,7 @@
 	return path
 }
 
-// issue returns the files of a certificate for loopback that is valid until the given time.
+// issue writes a certificate for 127.0.0.1 that is valid until the given time, and returns its files.
 func (a *authority) issue(name string, until time.Time) TLSConfig {
 	key := a.newKey()
 	cert := a.sign(&x509.Certificate{
@@ -78,7 +78,7 @@
 	return TLSConfig{CA: a.ca, Cert: a.write(name+".pem", "CERTIFICATE", cert.Raw), Key: a.write(name+".key", "EC PRIVATE KEY", der)}
 }
 
-// lockedBuffer takes log lines from several goroutines.
+// lockedBuffer is a buffer for log lines that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -120,7 +120,7 @@
 	foreign.CA = a.ca
 	cases := map[string]TLSConfig{
 		"no TLS":             {},
-		"foreign authority":  foreign,
+		"unknown authority":  foreign,
 		"expired":            a.issue("expired", time.Now().Add(-time.Hour)),
 		"distrusts balancer": other.issue("distrusting", later),
 	}
@@ -147,13 +147,13 @@
 	valid := a.issue("b0", time.Now().Add(time.Hour))
 	junk := a.write("junk.pem", "SOMETHING", []byte("x"))
 	cases := map[string]func(c *TLSConfig){
-		"no CA":                 func(c *TLSConfig) { c.CA = "" },
-		"no certificate":        func(c *TLSConfig) { c.Cert = "" },
-		"no key":                func(c *TLSConfig) { c.Key = "" },
-		"CA without content":    func(c *TLSConfig) { c.CA = junk },
-		"key of another":        func(c *TLSConfig) { c.Key = a.issue("b1", time.Now()).Key },
-		"file that is missing":  func(c *TLSConfig) { c.CA = filepath.Join(a.dir, "none.pem") },
-		"certificate is no PEM": func(c *TLSConfig) { c.Cert = junk },
+		"no CA":                func(c *TLSConfig) { c.CA = "" },
+		"no certificate":       func(c *TLSConfig) { c.Cert = "" },
+		"no key":               func(c *TLSConfig) { c.Key = "" },
+		"CA file without cert": func(c *TLSConfig) { c.CA = junk },
+		"key of another cert":  func(c *TLSConfig) { c.Key = a.issue("b1", time.Now()).Key },
+		"missing file":         func(c *TLSConfig) { c.CA = filepath.Join(a.dir, "none.pem") },
+		"file without cert":    func(c *TLSConfig) { c.Cert = junk },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/peer/view_pace_test.go
+++ b/pkg/peer/view_pace_test.go
@@ -11,12 +11,12 @@
 	cases := map[string]struct {
 		took, quiet, want time.Duration
 	}{
-		"first change":               {want: viewBatchDelay, quiet: time.Minute},
-		"change after a quiet time":  {took: 3 * time.Millisecond, quiet: time.Second, want: viewBatchDelay},
-		"change soon after a view":   {took: 3 * time.Millisecond, quiet: 100 * time.Millisecond, want: 200 * time.Millisecond},
-		"small installation":         {took: 100 * time.Microsecond, quiet: 0, want: viewBatchDelay},
-		"paused while it was built":  {took: time.Hour, quiet: 0, want: maxViewDelay},
-		"clock that was turned back": {took: -time.Hour, quiet: 0, want: viewBatchDelay},
+		"first change":                {want: viewBatchDelay, quiet: time.Minute},
+		"change after a quiet period": {took: 3 * time.Millisecond, quiet: time.Second, want: viewBatchDelay},
+		"change soon after a view":    {took: 3 * time.Millisecond, quiet: 100 * time.Millisecond, want: 200 * time.Millisecond},
+		"fast build":                  {took: 100 * time.Microsecond, quiet: 0, want: viewBatchDelay},
+		"paused during the build":     {took: time.Hour, quiet: 0, want: maxViewDelay},
+		"clock set back":              {took: -time.Hour, quiet: 0, want: viewBatchDelay},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// While members change all the time, views must take no more than their part of a core, and none may be late.
+// While members change continuously, building views must stay within its fraction of a core, and no view may be late.
 func TestViewsWhileMembersChange(t *testing.T) {
 	const took, step = 4 * time.Millisecond, 10 * time.Millisecond
 	var p viewPace
--- a/pkg/peer/watch_views.go
+++ b/pkg/peer/watch_views.go
@@ -7,8 +7,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// WatchViews builds a view whenever the members or the revision have changed and hands it to onView, until
-// ctx ends. The first view is built once a revision is known.
+// WatchViews builds a view whenever the members or the revision have changed and passes it to onView, until ctx ends.
+// The first view is built once a revision is known.
 func (n *Node) WatchViews(ctx context.Context, onView func(*view.View)) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
