--- a/pkg/balancerd/daemon.go
+++ b/pkg/balancerd/daemon.go
@@ -77,7 +77,7 @@
 		Log:           d.o.Env.Log,
 		Metrics:       d.o.Env.Scope,
 		Refusals:      d.refusals,
-		OnUnreachable: func(a netip.AddrPort) { d.node.RecordUnreachable(a) },
+		OnUnreachable: func(a netip.AddrPort) { d.node.RecordFailure(a) },
 	})
 	return trace.Wrap(err)
 }
--- a/pkg/membership/detector_test.go
+++ b/pkg/membership/detector_test.go
@@ -180,31 +180,31 @@
 		members []Member
 		fault   func(o *observers)
 		after   time.Duration
-		// observers are those whose tables are checked; want are the dead members in each of them.
-		observers []string
-		want      []string
+		// checked are the observers whose tables are checked; want are the dead members in each of them.
+		checked []string
+		want    []string
 	}{
 		"nothing fails": {
-			members: fleet("r", 3, 6, 20), after: 10 * time.Second, observers: []string{"r-b0", "r-b5"},
+			members: fleet("r", 3, 6, 20), after: 10 * time.Second, checked: []string{"r-b0", "r-b5"},
 		},
 		"one target dies": {
-			members: fleet("r", 3, 6, 20), after: 3 * time.Second, observers: []string{"r-b0", "r-b5"}, want: []string{"r-t3"},
+			members: fleet("r", 3, 6, 20), after: 3 * time.Second, checked: []string{"r-b0", "r-b5"}, want: []string{"r-t3"},
 			fault: func(o *observers) { o.silent["r-t3"] = true },
 		},
 		"one balancer and a target die together": {
-			members: fleet("r", 3, 6, 20), after: 8 * time.Second, observers: []string{"r-b1", "r-b5"}, want: []string{"r-b0", "r-t3"},
+			members: fleet("r", 3, 6, 20), after: 8 * time.Second, checked: []string{"r-b1", "r-b5"}, want: []string{"r-b0", "r-t3"},
 			fault: func(o *observers) { o.silent["r-t3"], o.silent["r-b0"] = true, true },
 		},
 		"one of two balancers dies": {
-			members: fleet("r", 2, 2, 8), after: 3 * time.Second, observers: []string{"r-b1"}, want: []string{"r-b0"},
+			members: fleet("r", 2, 2, 8), after: 3 * time.Second, checked: []string{"r-b1"}, want: []string{"r-b0"},
 			fault: func(o *observers) { o.silent["r-b0"] = true },
 		},
 		"target dies before a lone balancer": {
-			members: fleet("r", 1, 1, 3), after: 3 * time.Second, observers: []string{"r-b0"}, want: []string{"r-t1"},
+			members: fleet("r", 1, 1, 3), after: 3 * time.Second, checked: []string{"r-b0"}, want: []string{"r-t1"},
 			fault: func(o *observers) { o.silent["r-t1"] = true },
 		},
 		"one balancer alone doesn't receive a target's heartbeats": {
-			members: fleet("r", 3, 6, 20), after: 10 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2", "r-b3", "r-b4", "r-b5"},
+			members: fleet("r", 3, 6, 20), after: 10 * time.Second, checked: []string{"r-b0", "r-b1", "r-b2", "r-b3", "r-b4", "r-b5"},
 			fault: func(o *observers) {
 				watcher := Watchers(&o.members[9], o.members[:6])[0]
 				target := o.members[9].ID
@@ -212,11 +212,11 @@
 			},
 		},
 		"balancer without inbound traffic declares none dead": {
-			members: fleet("r", 3, 6, 20), after: 30 * time.Second, observers: []string{"r-b2"},
+			members: fleet("r", 3, 6, 20), after: 30 * time.Second, checked: []string{"r-b2"},
 			fault: func(o *observers) { o.cut = func(_, to string) bool { return to == "r-b2" } },
 		},
 		"balancer that reaches no peer declares none dead": {
-			members: fleet("r", 1, 3, 20), after: 30 * time.Second, observers: []string{"r-b2"},
+			members: fleet("r", 1, 3, 20), after: 30 * time.Second, checked: []string{"r-b2"},
 			fault: func(o *observers) {
 				o.cut = func(from, to string) bool {
 					other := func(id string) bool { return id == "r-b0" || id == "r-b1" || id == "r-t3" }
@@ -225,7 +225,7 @@
 			},
 		},
 		"most targets die while peers are reachable": {
-			members: fleet("r", 1, 3, 6), after: 14 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2"},
+			members: fleet("r", 1, 3, 6), after: 14 * time.Second, checked: []string{"r-b0", "r-b1", "r-b2"},
 			want: []string{"r-t0", "r-t1", "r-t2", "r-t3", "r-t4", "r-t5"},
 			fault: func(o *observers) {
 				for i := range 6 {
@@ -234,7 +234,7 @@
 			},
 		},
 		"loss of most targets is held back at first": {
-			members: fleet("r", 1, 3, 6), after: 8 * time.Second, observers: []string{"r-b0", "r-b1", "r-b2"},
+			members: fleet("r", 1, 3, 6), after: 8 * time.Second, checked: []string{"r-b0", "r-b1", "r-b2"},
 			fault: func(o *observers) {
 				for i := range 6 {
 					o.silent[fmt.Sprintf("r-t%d", i)] = true
@@ -242,7 +242,7 @@
 			},
 		},
 		"data centre dies": {
-			members: fleet("r", 4, 12, 40), after: 12 * time.Second, observers: []string{"r-b0", "r-b5"},
+			members: fleet("r", 4, 12, 40), after: 12 * time.Second, checked: []string{"r-b0", "r-b5"},
 			want: idsIn(fleet("r", 4, 12, 40), "r-dc3"),
 			fault: func(o *observers) {
 				for _, id := range idsIn(o.members, "r-dc3") {
@@ -251,7 +251,7 @@
 			},
 		},
 		"isolated data centre declares none dead": {
-			members: fleet("r", 4, 12, 40), after: 30 * time.Second, observers: []string{"r-b3", "r-b7"},
+			members: fleet("r", 4, 12, 40), after: 30 * time.Second, checked: []string{"r-b3", "r-b7"},
 			fault: func(o *observers) {
 				dc := dataCentreOf(o.members)
 				o.cut = func(from, to string) bool { return (dc[from] == "r-dc3") != (dc[to] == "r-dc3") }
@@ -259,14 +259,14 @@
 		},
 		"partition between regions declares none dead on either side": {
 			members: append(fleet("r", 2, 4, 10), fleet("s", 2, 4, 10)...), after: 60 * time.Second,
-			observers: []string{"r-b0", "r-b3", "s-b0", "s-b3"},
+			checked: []string{"r-b0", "r-b3", "s-b0", "s-b3"},
 			fault: func(o *observers) {
 				o.cut = func(from, to string) bool { return from[0] != to[0] }
 			},
 		},
 		"death in one region reaches the other": {
 			members: append(fleet("r", 2, 4, 10), fleet("s", 2, 4, 10)...), after: 3 * time.Second,
-			observers: []string{"r-b0", "s-b3"}, want: []string{"r-t1"},
+			checked: []string{"r-b0", "s-b3"}, want: []string{"r-t1"},
 			fault: func(o *observers) { o.silent["r-t1"] = true },
 		},
 	}
@@ -278,7 +278,7 @@
 				c.fault(o)
 			}
 			o.run(c.after)
-			for _, id := range c.observers {
+			for _, id := range c.checked {
 				require.Equal(t, c.want, o.deadIDs(id), "view of %s", id)
 			}
 		})
@@ -338,7 +338,7 @@
 		"own":                 {votes: []Vote{vote("r-b0"), vote("r-b0")}},
 		"not a watcher":       {votes: []Vote{vote("x"), vote("y")}},
 		"about an old record": {votes: []Vote{old}},
-		"expired":             {votes: []Vote{vote("r-b1")}, age: 4 * time.Second},
+		"outdated":            {votes: []Vote{vote("r-b1")}, age: 4 * time.Second},
 		"withdrawn":           {votes: []Vote{vote("r-b1"), {Voter: "r-b1", Member: "r-t1", Withdrawn: true}}},
 	}
 	for name, c := range cases {
--- a/pkg/peer/control_watch.go
+++ b/pkg/peer/control_watch.go
@@ -27,7 +27,7 @@
 	n := c.node
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.revisionChanges.subscribe()
+	revisions, stop := n.changes.subscribe()
 	defer stop()
 	w := &serviceWatch{node: n, service: r.GetService(), sent: make(map[string][]byte)}
 	for {
--- a/pkg/peer/history.go
+++ b/pkg/peer/history.go
@@ -42,11 +42,11 @@
 func (h *history) add(r resource.Revision) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.latest()
-	if last != nil && r.Number <= last.number {
+	latest := h.latest()
+	if latest != nil && r.Number <= latest.number {
 		return nil
 	}
-	e, err := encodeRevision(r, last)
+	e, err := encodeRevision(r, latest)
 	if err != nil {
 		return err
 	}
@@ -68,14 +68,14 @@
 func (h *history) reply(have uint64) *peerpb.FetchRevisionReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.latest()
-	if last == nil {
+	latest := h.latest()
+	if latest == nil {
 		return &peerpb.FetchRevisionReply{}
 	}
-	if have >= last.number {
-		return &peerpb.FetchRevisionReply{Number: last.number, Base: last.number, Checksum: last.checksum}
+	if have >= latest.number {
+		return &peerpb.FetchRevisionReply{Number: latest.number, Base: latest.number, Checksum: latest.checksum}
 	}
-	return last.difference(h.find(have))
+	return latest.difference(h.find(have))
 }
 
 func (h *history) find(number uint64) *encodedRevision {
--- a/pkg/peer/history_test.go
+++ b/pkg/peer/history_test.go
@@ -73,8 +73,8 @@
 	require.NoError(t, receiver.add(routeRevision(1, "a")))
 	cases := map[string]func(p *peerpb.FetchRevisionReply){
 		"unknown base":     func(p *peerpb.FetchRevisionReply) { p.Base = 77 },
-		"wrong checksum":   func(p *peerpb.FetchRevisionReply) { p.Checksum++ },
-		"wrong number":     func(p *peerpb.FetchRevisionReply) { p.Number++ },
+		"checksum":         func(p *peerpb.FetchRevisionReply) { p.Checksum++ },
+		"number":           func(p *peerpb.FetchRevisionReply) { p.Number++ },
 		"service missing":  func(p *peerpb.FetchRevisionReply) { p.Services = nil },
 		"service not JSON": func(p *peerpb.FetchRevisionReply) { p.Services[0] = []byte("{") },
 		"wrongly removed":  func(p *peerpb.FetchRevisionReply) { p.Removed = []string{"a"} },
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -34,8 +34,8 @@
 	heartbeats *heartbeater
 	server     *grpc.Server
 	metrics    *nodeMetrics
-	// revisionChanges is notified of each adopted revision.
-	revisionChanges *broadcast
+	// changes is notified of each adopted revision.
+	changes *broadcast
 
 	// mu guards random and ackSent; only pushLoop uses pushed and revisionPushed.
 	mu             sync.Mutex
@@ -64,19 +64,19 @@
 		return nil, err
 	}
 	n := &Node{
-		cfg:             cfg,
-		table:           cfg.Table,
-		detector:        membership.NewDetector(cfg.Detector, cfg.Table),
-		regions:         membership.NewRegionReachability(),
-		acks:            membership.NewAcks(),
-		readings:        newReadings(),
-		history:         &history{},
-		self:            newSelf(cfg.Self, cfg.Now),
-		budget:          newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
-		metrics:         newNodeMetrics(cfg.Metrics),
-		revisionChanges: newBroadcast(),
-		fetchAddrs:      make(chan string, 1),
-		random:          rand.New(rand.NewPCG(cfg.Seed, membershipSeed(cfg.Self.ID))),
+		cfg:        cfg,
+		table:      cfg.Table,
+		detector:   membership.NewDetector(cfg.Detector, cfg.Table),
+		regions:    membership.NewRegionReachability(),
+		acks:       membership.NewAcks(),
+		readings:   newReadings(),
+		history:    &history{},
+		self:       newSelf(cfg.Self, cfg.Now),
+		budget:     newBudget(cfg.BytesPerSecond, cfg.Now, cfg.Metrics),
+		metrics:    newNodeMetrics(cfg.Metrics),
+		changes:    newBroadcast(),
+		fetchAddrs: make(chan string, 1),
+		random:     rand.New(rand.NewPCG(cfg.Seed, membershipSeed(cfg.Self.ID))),
 	}
 	n.dialer = newDialer(creds, n.budget, cfg.dial)
 	n.heartbeats = newHeartbeater(n.self, n.dialer, cfg.HeartbeatInterval, cfg.Log)
@@ -201,7 +201,7 @@
 
 // onAdopted adds a revision that this balancer has adopted to the history and notifies the loops that send it.
 func (n *Node) onAdopted(r resource.Revision) {
-	defer n.revisionChanges.notify()
+	defer n.changes.notify()
 	if r.Number == 0 {
 		return
 	}
@@ -238,7 +238,7 @@
 		return
 	}
 	if n.self.refute(seen) {
-		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
+		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted")
 		n.table.Merge(n.self.get(), n.cfg.Now())
 	}
 }
--- a/pkg/peer/node_detect.go
+++ b/pkg/peer/node_detect.go
@@ -9,9 +9,9 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// RecordUnreachable records that the host of an agent refused a datagram. The agent is suspected immediately if this
+// RecordFailure records that the host of an agent refused a datagram. The agent is suspected immediately if this
 // balancer watches it.
-func (n *Node) RecordUnreachable(agent netip.AddrPort) {
+func (n *Node) RecordFailure(agent netip.AddrPort) {
 	for _, m := range n.table.Members() {
 		if m.PacketAddr == agent && m.Role == membership.RoleAgent && m.Live() {
 			n.detector.RecordFailure(m.ID, m.Incarnation)
--- a/pkg/peer/node_exchange.go
+++ b/pkg/peer/node_exchange.go
@@ -33,7 +33,7 @@
 	if !n.budget.isOverdrawn() {
 		return d
 	}
-	n.metrics.delayed.Inc(1)
+	n.metrics.throttled.Inc(1)
 	return d * overdrawnFactor
 }
 
@@ -76,7 +76,7 @@
 // partners returns the peers of one round: some neighbours, and occasionally, or when there are none, a lost peer.
 func (n *Node) partners() []membership.Member {
 	partners := n.pickNeighbours(exchangeFanOut)
-	lost := n.lostPeers()
+	lost := n.lost()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(lost) == 0 || len(partners) > 0 && n.random.IntN(lostPeerOdds) > 0 {
@@ -85,8 +85,8 @@
 	return append(partners, lost[n.random.IntN(len(lost))])
 }
 
-// lostPeers returns the dead balancers and the seeds.
-func (n *Node) lostPeers() []membership.Member {
+// lost returns the dead balancers and the seeds.
+func (n *Node) lost() []membership.Member {
 	lost := n.seeds()
 	for _, b := range n.table.Balancers() {
 		if b.State == membership.StateDead && b.ControlAddr != "" {
--- a/pkg/peer/node_metrics.go
+++ b/pkg/peer/node_metrics.go
@@ -5,7 +5,7 @@
 type nodeMetrics struct {
 	exchanges     tally.Counter
 	exchangeFails tally.Counter
-	delayed       tally.Counter
+	throttled     tally.Counter
 	pushes        tally.Counter
 	merged        tally.Counter
 	votes         tally.Counter
@@ -18,7 +18,7 @@
 	return &nodeMetrics{
 		exchanges:     s.Counter("peer_exchanges"),
 		exchangeFails: s.Counter("peer_exchange_failures"),
-		delayed:       s.Counter("peer_exchanges_delayed"),
+		throttled:     s.Counter("peer_exchanges_delayed"),
 		pushes:        s.Counter("peer_pushes"),
 		merged:        s.Counter("member_changes"),
 		votes:         s.Counter("member_votes_sent"),
--- a/pkg/peer/node_push.go
+++ b/pkg/peer/node_push.go
@@ -14,7 +14,7 @@
 func (n *Node) pushLoop(ctx context.Context) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.revisionChanges.subscribe()
+	revisions, stop := n.changes.subscribe()
 	defer stop()
 	n.pushed = n.table.Version()
 	for {
--- a/pkg/peer/service_state.go
+++ b/pkg/peer/service_state.go
@@ -93,8 +93,8 @@
 	delete(s.sources, addr)
 }
 
-// hasView reports whether the stream to the balancer at addr has sent a view.
-func (s *serviceState) hasView(addr string) bool {
+// ready reports whether the stream to the balancer at addr has sent a view.
+func (s *serviceState) ready(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sources[addr] != nil
--- a/pkg/peer/session.go
+++ b/pkg/peer/session.go
@@ -79,7 +79,7 @@
 	s.heartbeats.loadFunc = cfg.Load
 	s.heartbeats.counts = cfg.Counts
 	s.heartbeats.onAnnounce = s.announceTo
-	s.heartbeats.onWatchers = s.setWatchers
+	s.heartbeats.onWatchers = s.updateWatchers
 	// A failed watcher may soon be replaced, and the others may have failed too; the reply to an announcement contains
 	// the current watchers.
 	s.heartbeats.onFailure = s.self.scheduleAnnounce
@@ -233,7 +233,7 @@
 		return
 	}
 	if s.self.refute(seen) {
-		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
+		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted")
 	}
 }
 
--- a/pkg/peer/session_watch.go
+++ b/pkg/peer/session_watch.go
@@ -38,7 +38,7 @@
 		if s.watches[addr] == nil {
 			s.openWatch(ctx, addr)
 		}
-		if s.state.hasView(addr) {
+		if s.state.ready(addr) {
 			ready++
 		}
 	}
@@ -119,15 +119,15 @@
 		if u.GetSnapshot() {
 			s.notify()
 		}
-		if seen, ok := s.state.member(s.cfg.Self.ID); ok && s.self.refute(seen) {
-			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "recorded as "+seen.State.String()).Msg("refuted with a higher sequence")
+		if member, ok := s.state.member(s.cfg.Self.ID); ok && s.self.refute(member) {
+			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "recorded as "+member.State.String()).Msg("refuted")
 		}
 	}
 }
 
-// setWatchers directs the heartbeats to the given watchers and signals watchLoop, because watchers are the preferred
+// updateWatchers directs the heartbeats to the given watchers and signals watchLoop, because watchers are the preferred
 // balancers for watch streams.
-func (s *Session) setWatchers(addrs []string) {
+func (s *Session) updateWatchers(addrs []string) {
 	s.heartbeats.setWatchers(addrs)
 	s.notify()
 }
--- a/pkg/peer/view_pace.go
+++ b/pkg/peer/view_pace.go
@@ -25,8 +25,8 @@
 	p.buildTime = end.Sub(begin)
 }
 
-// delay returns how long to collect changes from now on.
-func (p *viewPace) delay(now time.Time) time.Duration {
+// wait returns how long to collect changes from now on.
+func (p *viewPace) wait(now time.Time) time.Duration {
 	interval := min(p.buildTime*viewWorkDivisor, maxViewDelay)
 	return max(viewBatchDelay, p.lastBuilt.Add(interval).Sub(now))
 }
--- a/pkg/peer/view_pace_test.go
+++ b/pkg/peer/view_pace_test.go
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			var p viewPace
 			p.record(testTime.Add(-c.took), testTime)
-			require.Equal(t, c.want, p.delay(testTime.Add(c.quiet)))
+			require.Equal(t, c.want, p.wait(testTime.Add(c.quiet)))
 		})
 	}
 }
@@ -36,7 +36,7 @@
 	p.record(now, now)
 	for end := now.Add(time.Minute); now.Before(end); {
 		changed := now
-		now = now.Add(p.delay(now))
+		now = now.Add(p.wait(now))
 		p.record(now, now.Add(took))
 		now = now.Add(took)
 		work += took
--- a/pkg/peer/watch_views.go
+++ b/pkg/peer/watch_views.go
@@ -12,7 +12,7 @@
 func (n *Node) WatchViews(ctx context.Context, onView func(*view.View)) error {
 	changes, cancel := n.table.Subscribe()
 	defer cancel()
-	revisions, stop := n.revisionChanges.subscribe()
+	revisions, stop := n.changes.subscribe()
 	defer stop()
 	var pace viewPace
 	for {
@@ -27,6 +27,6 @@
 		case <-changes:
 		case <-revisions:
 		}
-		_ = wait.For(ctx, pace.delay(n.cfg.Now()))
+		_ = wait.For(ctx, pace.wait(n.cfg.Now()))
 	}
 }
