--- a/pkg/membership/detector_test.go
+++ b/pkg/membership/detector_test.go
@@ -180,7 +180,7 @@
 		members []Member
 		fault   func(o *observers)
 		after   time.Duration
-		// checked are the observers whose tables are checked; want are the dead members in each of them.
+		// want are the dead members in the table of each observer in checked.
 		checked []string
 		want    []string
 	}{
--- a/pkg/peer/node_exchange.go
+++ b/pkg/peer/node_exchange.go
@@ -195,7 +195,7 @@
 	}
 	reachable := n.regions.RecordResult(p.Region, ok, now)
 	if n.table.SetUnreachable(p.Region, !reachable) {
-		n.cfg.Log.Warn().Str("op", "reach region").Str("region", p.Region).Bool("reachable", reachable).Msg("region reachability changed; its members keep their state")
+		n.cfg.Log.Warn().Str("op", "reach region").Str("region", p.Region).Bool("reachable", reachable).Msg("members are kept as they are")
 	}
 }
 
