--- a/pkg/membership/detector.go
+++ b/pkg/membership/detector.go
@@ -92,8 +92,8 @@
 	d.peers.record(id, ok, now)
 }
 
-// RecordVote records the vote of another watcher, or removes it when v is withdrawn.
-func (d *Detector) RecordVote(v Vote, now time.Time) {
+// Vote records the vote of another watcher, or removes it when v is withdrawn.
+func (d *Detector) Vote(v Vote, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	byVoter := d.votes[v.Member]
--- a/pkg/membership/detector_test.go
+++ b/pkg/membership/detector_test.go
@@ -126,7 +126,7 @@
 func (o *observers) sendBallot(b Ballot) {
 	for _, to := range b.To {
 		if o.delivers(b.Vote.Voter, to) {
-			o.detectors[to].RecordVote(b.Vote, o.now)
+			o.detectors[to].Vote(b.Vote, o.now)
 		}
 	}
 }
@@ -351,10 +351,10 @@
 			d.Tick(testTime)
 			d.RecordFailure("r-t1", 1)
 			for _, v := range c.votes {
-				d.RecordVote(v, testTime)
+				d.Vote(v, testTime)
 			}
 			require.Empty(t, d.Tick(testTime.Add(c.age)).Dead)
-			d.RecordVote(vote("r-b2"), testTime.Add(c.age))
+			d.Vote(vote("r-b2"), testTime.Add(c.age))
 			require.Len(t, d.Tick(testTime.Add(c.age)).Dead, 1, "one more valid vote makes a majority")
 		})
 	}
@@ -402,7 +402,7 @@
 	d := NewDetector(DetectorConfig{Self: "r-b0"}, table)
 	d.Tick(testTime)
 	d.RecordFailure("r-t1", 1)
-	d.RecordVote(Vote{Voter: "r-b1", Member: "r-t1", Incarnation: 1, Sequence: 1}, testTime)
+	d.Vote(Vote{Voter: "r-b1", Member: "r-t1", Incarnation: 1, Sequence: 1}, testTime)
 	d.RecordPeerResult("r-b1", false, testTime)
 	d.RecordPeerResult("r-b2", false, testTime)
 	decision := d.Tick(testTime)
--- a/pkg/peer/control.go
+++ b/pkg/peer/control.go
@@ -60,7 +60,7 @@
 
 // Vote implements peerpb.ControlServer.
 func (c *control) Vote(_ context.Context, r *peerpb.VoteRequest) (*peerpb.VoteReply, error) {
-	c.node.detector.RecordVote(membership.Vote{
+	c.node.detector.Vote(membership.Vote{
 		Voter:       r.GetVoter(),
 		Member:      r.GetMember(),
 		Incarnation: r.GetIncarnation(),
