--- a/pkg/membership/detector.go
+++ b/pkg/membership/detector.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
-// minMassLoss is the number of members that a loss must cover to be taken for the observer's own fault.
+// minMassLoss is the smallest number of suspected members that counts as a mass loss, which is first attributed to the
+// observer's own network.
 const minMassLoss = 2
 
-// Detector is the failure detector of one balancer. It watches the members that Watchers gives it, votes against silent
-// ones and finds a member dead when a majority of its watchers agrees. All methods may be called from any goroutine.
+// Detector is the failure detector of one balancer. It watches the members that Watchers assigns to it, votes against
+// silent ones and declares a member dead when a majority of its watchers suspects it. All methods are safe for
+// concurrent use.
 type Detector struct {
 	cfg DetectorConfig
 
@@ -20,7 +22,7 @@
 	balancers []Member
 	watched   map[string]*watched
 	votes     map[string]map[string]receivedVote
-	reach     *peerReach
+	peers     *peerReachability
 	lastTick  time.Time
 	lossSince time.Time
 }
@@ -37,12 +39,13 @@
 		table:   table,
 		watched: make(map[string]*watched),
 		votes:   make(map[string]map[string]receivedVote),
-		reach:   newPeerReach(),
+		peers:   newPeerReachability(),
 	}
 }
 
-// Heartbeat notes that a member was heard. It reports whether the member is watched here.
-func (d *Detector) Heartbeat(id string, incarnation uint64, now time.Time) bool {
+// RecordHeartbeat records a heartbeat of a member and reports whether this detector watches the member. A heartbeat of
+// an earlier incarnation is ignored.
+func (d *Detector) RecordHeartbeat(id string, incarnation uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
@@ -53,42 +56,43 @@
 		return true
 	}
 	w.silentSince = now
-	w.heard = true
-	w.refused = false
+	w.seen = true
+	w.failed = false
 	if w.member.Role == RoleBalancer {
-		d.reach.add(id, true, now)
+		d.peers.record(id, true, now)
 	}
 	return true
 }
 
-// Hears reports whether a member is watched here and was heard.
-func (d *Detector) Hears(id string) bool {
+// HasSeen reports whether this detector watches the member and has received a heartbeat of its current incarnation.
+func (d *Detector) HasSeen(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
-	return ok && w.heard
+	return ok && w.seen
 }
 
-// Refused notes that a member's host refused a packet or that its heartbeat connection broke; it is suspected at once,
-// until it is heard again.
-func (d *Detector) Refused(id string, incarnation uint64) {
+// RecordFailure records that a member's host refused a packet or that its heartbeat stream broke. The member is
+// suspected immediately, until its next heartbeat. Failures of other incarnations are ignored.
+func (d *Detector) RecordFailure(id string, incarnation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w, ok := d.watched[id]
 	if !ok || w.member.Incarnation != incarnation {
 		return
 	}
-	w.refused = true
+	w.failed = true
 }
 
-// PeerResult notes whether a call to another balancer succeeded.
-func (d *Detector) PeerResult(id string, ok bool, now time.Time) {
+// RecordPeerResult records whether a call to another balancer succeeded. The id may be any stable key of the balancer,
+// for example its control address.
+func (d *Detector) RecordPeerResult(id string, ok bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reach.add(id, ok, now)
+	d.peers.record(id, ok, now)
 }
 
-// Vote takes in the vote of another watcher.
+// Vote records the vote of another watcher, or removes it when v is withdrawn.
 func (d *Detector) Vote(v Vote, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,22 +108,23 @@
 	byVoter[v.Voter] = receivedVote{vote: v, at: now}
 }
 
-// Tick judges all watched members. Call it several times a second.
+// Tick evaluates all watched members. It is to be called several times a second.
 func (d *Detector) Tick(now time.Time) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgivePause(now)
+	d.compensatePause(now)
 	d.refresh(now)
-	d.dropOldVotes(now)
-	decision := Decision{CutOff: d.cutOff(now)}
+	d.expireVotes(now)
+	decision := Decision{CutOff: d.isCutOff(now)}
 	for _, id := range sortedKeys(d.watched) {
-		d.judge(d.watched[id], &decision, now)
+		d.evaluate(d.watched[id], &decision, now)
 	}
 	return decision
 }
 
-// forgivePause moves all times on when the observer itself was paused: heartbeats may wait in its sockets.
-func (d *Detector) forgivePause(now time.Time) {
+// compensatePause adds the length of a pause of the observer's own process to the last seen times, because heartbeats
+// that arrived during the pause may still wait in its sockets.
+func (d *Detector) compensatePause(now time.Time) {
 	last := d.lastTick
 	d.lastTick = now
 	if last.IsZero() {
@@ -134,34 +139,35 @@
 	}
 }
 
-// refresh takes over what has changed in the table. When a balancer comes or goes, all members get their watchers anew.
+// refresh applies the changes of the table. When the balancers change, the watchers of all members are assigned again.
 func (d *Detector) refresh(now time.Time) {
 	version := d.table.Version()
 	if version == d.version {
 		return
 	}
 	balancers := d.table.Balancers()
-	moved := !sameBalancers(balancers, d.balancers)
+	reassign := !sameBalancers(balancers, d.balancers)
 	d.balancers = balancers
 	members := d.table.ChangedSince(d.version)
-	if moved {
+	if reassign {
 		members = d.table.Members()
 	}
 	d.version = version
 	for i := range members {
-		if !d.follow(&members[i], moved, now) {
+		if !d.updateWatch(&members[i], reassign, now) {
 			delete(d.watched, members[i].ID)
 		}
 	}
 }
 
-// follow updates what is known of a member and reports whether it is watched here.
-func (d *Detector) follow(m *Member, moved bool, now time.Time) bool {
+// updateWatch updates the state of a member and reports whether this detector watches it. Unless reassign is set, the
+// watchers of a watched member are kept while its location is the same.
+func (d *Detector) updateWatch(m *Member, reassign bool, now time.Time) bool {
 	if !m.Live() || m.ID == d.cfg.Self {
 		return false
 	}
 	w, ok := d.watched[m.ID]
-	if ok && !moved && w.member.Region == m.Region && w.member.DataCentre == m.DataCentre {
+	if ok && !reassign && w.member.Region == m.Region && w.member.DataCentre == m.DataCentre {
 		w.update(m, now)
 		return true
 	}
@@ -178,17 +184,17 @@
 	return true
 }
 
-// update takes over a member's record. A new incarnation gets time to find its watchers.
+// update sets the member's record. A new incarnation gets the grace time to reach its watchers.
 func (w *watched) update(m *Member, now time.Time) {
 	if m.Incarnation > w.member.Incarnation {
-		w.heard = false
-		w.refused = false
+		w.seen = false
+		w.failed = false
 		w.silentSince = now
 	}
 	w.member = *m
 }
 
-func (d *Detector) dropOldVotes(now time.Time) {
+func (d *Detector) expireVotes(now time.Time) {
 	for id, byVoter := range d.votes {
 		for voter, v := range byVoter {
 			if now.Sub(v.at) > d.cfg.VoteLifetime {
@@ -201,61 +207,61 @@
 	}
 }
 
-// cutOff reports whether the observer takes itself for cut off: it reaches none of several peers, or most members fell
-// silent at once. A loss that lasts while the peers can be reached is real.
-func (d *Detector) cutOff(now time.Time) bool {
-	alone := d.reach.none(now)
-	if !d.massLoss(now) {
+// isCutOff reports whether the observer considers itself cut off: several peers were called and none was reachable, or
+// most members are suspect. A mass loss that lasts for MassLossHold while peers are reachable is accepted as real.
+func (d *Detector) isCutOff(now time.Time) bool {
+	isolated := d.peers.noneReachable(now)
+	if !d.hasMassLoss(now) {
 		d.lossSince = time.Time{}
-		return alone
+		return isolated
 	}
 	if d.lossSince.IsZero() {
 		d.lossSince = now
 	}
-	return alone || now.Sub(d.lossSince) < d.cfg.MassLossHold
+	return isolated || now.Sub(d.lossSince) < d.cfg.MassLossHold
 }
 
-// massLoss reports whether more than half of the members that were heard before are silent now.
-func (d *Detector) massLoss(now time.Time) bool {
-	heard, lost := 0, 0
+// hasMassLoss reports whether more than half of the members that have sent a heartbeat are suspect now.
+func (d *Detector) hasMassLoss(now time.Time) bool {
+	seen, lost := 0, 0
 	for _, w := range d.watched {
-		if !w.heard {
+		if !w.seen {
 			continue
 		}
-		heard++
-		if w.missed(&d.cfg, now) {
+		seen++
+		if w.isSuspect(&d.cfg, now) {
 			lost++
 		}
 	}
-	return lost >= minMassLoss && lost*2 > heard
+	return lost >= minMassLoss && lost*2 > seen
 }
 
-func (d *Detector) judge(w *watched, decision *Decision, now time.Time) {
-	if decision.CutOff || !w.missed(&d.cfg, now) {
-		d.withdraw(w, decision)
+func (d *Detector) evaluate(w *watched, decision *Decision, now time.Time) {
+	if decision.CutOff || !w.isSuspect(&d.cfg, now) {
+		d.withdrawVote(w, decision)
 		return
 	}
-	if now.Sub(w.voted) >= d.cfg.VoteRepeat {
-		w.voted = now
+	if now.Sub(w.lastVote) >= d.cfg.VoteRepeat {
+		w.lastVote = now
 		decision.Ballots = append(decision.Ballots, d.ballot(w, false))
 	}
-	if d.agreed(w) {
-		decision.Dead = append(decision.Dead, verdict(w.member, now))
+	if d.hasMajority(w) {
+		decision.Dead = append(decision.Dead, deadRecord(w.member, now))
 	}
 }
 
-func verdict(m Member, now time.Time) Member {
+func deadRecord(m Member, now time.Time) Member {
 	m.State = StateDead
 	m.Changed = now
 	return m
 }
 
-// withdraw takes back the observer's vote when it has given one.
-func (d *Detector) withdraw(w *watched, decision *Decision) {
-	if w.voted.IsZero() {
+// withdrawVote withdraws the observer's vote against the member, if there is one.
+func (d *Detector) withdrawVote(w *watched, decision *Decision) {
+	if w.lastVote.IsZero() {
 		return
 	}
-	w.voted = time.Time{}
+	w.lastVote = time.Time{}
 	decision.Ballots = append(decision.Ballots, d.ballot(w, true))
 }
 
@@ -271,11 +277,11 @@
 	return Ballot{Vote: v, To: others}
 }
 
-// agreed reports whether a majority of the watchers, the observer among them, suspects the member.
-func (d *Detector) agreed(w *watched) bool {
+// hasMajority reports whether a majority of the member's watchers, counting the observer, suspects it.
+func (d *Detector) hasMajority(w *watched) bool {
 	count := 1
 	for voter, v := range d.votes[w.member.ID] {
-		if voter != d.cfg.Self && slices.Contains(w.watchers, voter) && w.current(v.vote) {
+		if voter != d.cfg.Self && slices.Contains(w.watchers, voter) && w.matchesRecord(v.vote) {
 			count++
 		}
 	}
--- a/pkg/peer/control_heartbeat.go
+++ b/pkg/peer/control_heartbeat.go
@@ -12,30 +12,30 @@
 	"github.com/auburnwood/auburnwood/pkg/peer/peerpb"
 )
 
-// beatStream is what a watcher keeps for one heartbeat stream.
-type beatStream struct {
+// heartbeatStream is the state that a watcher keeps for one heartbeat stream.
+type heartbeatStream struct {
 	node                  *Node
 	id                    string
 	incarnation, sequence uint64
 	version               uint64
 	watchers              []string
-	// requests and failures are the counters that the stream sent last.
+	// requests and failures are the last reported counters.
 	requests, failures uint64
 }
 
 // Heartbeat implements peerpb.ControlServer.
 func (c *control) Heartbeat(s peerpb.Control_HeartbeatServer) error {
-	b := &beatStream{node: c.node}
+	b := &heartbeatStream{node: c.node}
 	for {
 		r, err := s.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			b.broken()
+			b.recordFailure()
 			return err
 		}
-		reply, err := b.take(r)
+		reply, err := b.receive(r)
 		if err != nil {
 			return err
 		}
@@ -48,25 +48,25 @@
 	}
 }
 
-// broken notes that the stream ended without a good-bye: the process is likely gone.
-func (b *beatStream) broken() {
+// recordFailure records that the stream broke without an orderly end, which indicates that the process has failed.
+func (b *heartbeatStream) recordFailure() {
 	if b.id != "" {
-		b.node.detector.Refused(b.id, b.incarnation)
+		b.node.detector.RecordFailure(b.id, b.incarnation)
 	}
 }
 
-// take notes a heartbeat and returns what there is to say, or nil.
-func (b *beatStream) take(r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
+// receive records a heartbeat and returns the reply, or nil when none is needed.
+func (b *heartbeatStream) receive(r *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	if r.GetId() != "" {
 		b.id = r.GetId()
 	}
 	if b.id == "" {
-		return nil, status.Error(codes.InvalidArgument, "heartbeat: the first message names no process")
+		return nil, status.Error(codes.InvalidArgument, "heartbeat: the first message has no id")
 	}
 	if r.GetIncarnation() != 0 {
 		b.incarnation, b.sequence = r.GetIncarnation(), r.GetSequence()
 	}
-	b.node.detector.Heartbeat(b.id, b.incarnation, b.node.cfg.Now())
+	b.node.detector.RecordHeartbeat(b.id, b.incarnation, b.node.cfg.Now())
 	if b.node.cfg.OnLoad != nil {
 		b.node.cfg.OnLoad(b.id, r.GetLoad())
 	}
@@ -76,14 +76,15 @@
 	version := b.node.table.Version()
 	m, ok := b.node.table.Get(b.id)
 	if ok && m.Incarnation == b.incarnation {
-		b.node.readings.note(&m, b.requests, b.failures, b.node.cfg.Now())
+		b.node.readings.record(&m, b.requests, b.failures, b.node.cfg.Now())
 	}
 	return b.reply(&m, ok, version), nil
 }
 
-// reply returns what there is to say to the member as it is recorded here; version is that of the table before.
-func (b *beatStream) reply(m *membership.Member, ok bool, version uint64) *peerpb.HeartbeatReply {
-	if !ok || b.outdated(m) {
+// reply returns the reply to a heartbeat, or nil when none is needed. m is the sender's record in the table, if ok, and
+// version the version of the table before m was read.
+func (b *heartbeatStream) reply(m *membership.Member, ok bool, version uint64) *peerpb.HeartbeatReply {
+	if !ok || b.isOutdated(m) {
 		return &peerpb.HeartbeatReply{Announce: true}
 	}
 	if version == b.version {
@@ -98,8 +99,8 @@
 	return &peerpb.HeartbeatReply{Watchers: watchers}
 }
 
-// outdated reports whether the record held here isn't the one that the sender announced last.
-func (b *beatStream) outdated(m *membership.Member) bool {
+// isOutdated reports whether the record in the table is older than the sender's or says that it is dead.
+func (b *heartbeatStream) isOutdated(m *membership.Member) bool {
 	if m.Incarnation != b.incarnation {
 		return m.Incarnation < b.incarnation
 	}
--- a/pkg/peer/node_fetch.go
+++ b/pkg/peer/node_fetch.go
@@ -12,22 +12,22 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// fetchSoon makes fetchLoop ask a peer that has a higher revision. When a fetch is under way, the next exchange brings the
-// peer up again.
-func (n *Node) fetchSoon(addr string) {
+// scheduleFetch makes fetchLoop fetch the revision of the peer at addr. When another fetch is already queued it does
+// nothing: a later exchange schedules the fetch again.
+func (n *Node) scheduleFetch(addr string) {
 	select {
-	case n.higher <- addr:
+	case n.fetchAddrs <- addr:
 	default:
 	}
 }
 
-// fetchLoop takes higher revisions from peers.
+// fetchLoop fetches higher revisions from peers.
 func (n *Node) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case addr := <-n.higher:
+		case addr := <-n.fetchAddrs:
 			n.fetch(ctx, addr)
 		}
 	}
@@ -44,10 +44,11 @@
 	n.cfg.Adopter.Offer(r, revision.SourcePeer)
 }
 
-// fetchFrom asks for the difference to the revision held here, and for the whole revision when that doesn't fit.
+// fetchFrom requests the difference to the current revision, and the whole revision when the difference can't be
+// applied.
 func (n *Node) fetchFrom(ctx context.Context, addr string) (resource.Revision, error) {
 	have := n.cfg.Adopter.Number()
-	reply, err := n.askRevision(ctx, addr, have)
+	reply, err := n.requestRevision(ctx, addr, have)
 	if err != nil {
 		return resource.Revision{}, err
 	}
@@ -55,13 +56,13 @@
 	if err == nil || reply.GetBase() == 0 {
 		return r, err
 	}
-	if reply, err = n.askRevision(ctx, addr, 0); err != nil {
+	if reply, err = n.requestRevision(ctx, addr, 0); err != nil {
 		return resource.Revision{}, err
 	}
 	return n.history.apply(reply)
 }
 
-func (n *Node) askRevision(ctx context.Context, addr string, have uint64) (*peerpb.FetchRevisionReply, error) {
+func (n *Node) requestRevision(ctx context.Context, addr string, have uint64) (*peerpb.FetchRevisionReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client, err := n.dialer.client(addr)
--- a/pkg/peer/node_metrics.go
+++ b/pkg/peer/node_metrics.go
@@ -2,11 +2,10 @@
 
 import "github.com/uber-go/tally/v4"
 
-// nodeMetrics are the counters of a node.
 type nodeMetrics struct {
 	exchanges     tally.Counter
 	exchangeFails tally.Counter
-	stretched     tally.Counter
+	throttled     tally.Counter
 	pushes        tally.Counter
 	merged        tally.Counter
 	votes         tally.Counter
@@ -19,7 +18,7 @@
 	return &nodeMetrics{
 		exchanges:     s.Counter("peer_exchanges"),
 		exchangeFails: s.Counter("peer_exchange_failures"),
-		stretched:     s.Counter("peer_exchanges_delayed"),
+		throttled:     s.Counter("peer_exchanges_delayed"),
 		pushes:        s.Counter("peer_pushes"),
 		merged:        s.Counter("member_changes"),
 		votes:         s.Counter("member_votes_sent"),
--- a/pkg/peer/split_test.go
+++ b/pkg/peer/partition_test.go
@@ -13,15 +13,15 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// boundary opens the connections between two regions and can cut them.
-type boundary struct {
+// partition opens connections and can cut those that cross between regions.
+type partition struct {
 	mu      sync.Mutex
 	cut     bool
 	regions map[string]string
 	conns   []net.Conn
 }
 
-func (b *boundary) dial(region string) dialFunc {
+func (b *partition) dial(region string) dialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-func (b *boundary) set(cut bool) {
+func (b *partition) set(cut bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cut = cut
@@ -47,9 +47,9 @@
 	b.conns = nil
 }
 
-func TestRegionsGoOnApartAndAgreeAfterwards(t *testing.T) {
+func TestPartitionedRegionsConverge(t *testing.T) {
 	regions := []string{"amman-east", "hcm"}
-	b := &boundary{regions: make(map[string]string)}
+	b := &partition{regions: make(map[string]string)}
 	nodes := startNodes(t, 4, func(i int, c *NodeConfig) {
 		region := regions[i/2]
 		b.mu.Lock()
@@ -68,12 +68,12 @@
 	}
 	b.set(true)
 	nodes[0].adopter.Offer(routeRevision(2, "route-svc"), revision.SourceHead)
-	eventually(t, "this side goes on", func() bool { return near[1].adopter.Number() == 2 })
+	eventually(t, "revision adopted on this side", func() bool { return near[1].adopter.Number() == 2 })
 	drained.Drain()
-	eventually(t, "the other side goes on", func() bool { return far[0].state("t1") == membership.StateDraining })
+	eventually(t, "draining seen on the other side", func() bool { return far[0].state("t1") == membership.StateDraining })
 	for _, n := range near {
 		eventually(t, "other side unreachable", func() bool { m, _ := n.table.Get("t1"); return m.Unreachable })
-		require.Equal(t, membership.StateActive, n.state("t1"), "kept as it was")
+		require.Equal(t, membership.StateActive, n.state("t1"), "members of the other side keep their state")
 	}
 	for _, n := range far {
 		eventually(t, "other side unreachable", func() bool { m, _ := n.table.Get("b0"); return m.Unreachable })
--- a/pkg/peer/service_state_test.go
+++ b/pkg/peer/service_state_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// agentState joins updates and remembers what was reported.
+// agentState is a serviceState that records the reported views.
 type agentState struct {
 	*serviceState
 	views   map[string]*view.Service
@@ -23,7 +23,7 @@
 func newAgentState() *agentState {
 	a := &agentState{views: make(map[string]*view.Service)}
 	a.serviceState = newServiceState(SessionConfig{
-		Now:       func() time.Time { return spreadTime },
+		Now:       func() time.Time { return testTime },
 		OnView:    func(v *view.Service) { a.views[v.Name] = v; a.reports++ },
 		OnRemoved: func(name string) { delete(a.views, name) },
 	}.withDefaults())
@@ -54,7 +54,7 @@
 	return states
 }
 
-func TestLaterRevisionOfTwoBalancersCounts(t *testing.T) {
+func TestHigherRevisionOfTwoBalancersWins(t *testing.T) {
 	a := newAgentState()
 	require.NoError(t, a.apply("b0", update(5, true, nil, serviceConfig(t, "web", time.Minute))))
 	require.NoError(t, a.apply("b1", update(4, true, nil, serviceConfig(t, "web", time.Second), serviceConfig(t, "old", 0))))
@@ -65,7 +65,7 @@
 	require.Equal(t, resource.Duration(time.Second), a.views["web"].Spec.DrainTime, "the stream's own last specification")
 	require.Contains(t, a.views, "old")
 	require.NoError(t, a.apply("b1", update(7, false, nil, &peerpb.ServiceConfig{Name: "web"})))
-	require.NotContains(t, a.views, "old", "a service that isn't listed is gone")
+	require.NotContains(t, a.views, "old", "a service that isn't listed is removed")
 }
 
 func TestMembersOfTwoBalancersMerge(t *testing.T) {
@@ -73,24 +73,24 @@
 	config := serviceConfig(t, "web", 0)
 	require.NoError(t, a.apply("b0", update(1, true, poolMember("t0", 3, membership.StateDraining), config)))
 	require.NoError(t, a.apply("b1", update(1, true, poolMember("t0", 2, membership.StateActive), config)))
-	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "an older record reverts nothing")
+	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "an older record doesn't replace a newer one")
 	reports := a.reports
 	require.NoError(t, a.apply("b1", update(1, false, poolMember("t0", 3, membership.StateDraining), &peerpb.ServiceConfig{Name: "web"})))
-	require.Equal(t, reports, a.reports, "what changes nothing isn't reported")
+	require.Equal(t, reports, a.reports, "an update without changes isn't reported")
 	require.NoError(t, a.apply("b1", update(1, false, poolMember("t1", 1, membership.StateActive), &peerpb.ServiceConfig{Name: "web"})))
 	require.NoError(t, a.apply("b0", update(1, true, poolMember("t0", 3, membership.StateDraining), config)))
 	require.Len(t, a.targets("web"), 2, "listed by one of the balancers")
 	require.NoError(t, a.apply("b1", update(1, true, nil, config)))
 	require.Equal(t, map[string]view.TargetState{"t0": view.StateDraining}, a.targets("web"), "listed by none")
-	a.forget("b0")
-	require.Len(t, a.targets("web"), 1, "a lost stream drops nothing")
+	a.removeSource("b0")
+	require.Len(t, a.targets("web"), 1, "the end of a stream removes no members")
 }
 
-func TestUpdatesThatAreRefused(t *testing.T) {
+func TestInvalidUpdatesAreRejected(t *testing.T) {
 	cases := map[string]*peerpb.ServiceConfig{
-		"no specification yet": {Name: "web"},
-		"specification broken": {Name: "web", Spec: []byte("{")},
-		"shares broken":        {Name: "web", Spec: []byte(`{"shares":{}}`)},
+		"no specification yet":  {Name: "web"},
+		"invalid specification": {Name: "web", Spec: []byte("{")},
+		"invalid shares":        {Name: "web", Spec: []byte(`{"shares":{}}`)},
 	}
 	for name, config := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	require.Zero(t, a.views["web"].Targets[0].Weight)
 }
 
-func TestHighestNumberOfAgentsCounts(t *testing.T) {
+func TestHighestNumberOfAgentsIsReported(t *testing.T) {
 	var reports []uint32
 	state := newServiceState(SessionConfig{
 		OnView:   func(*view.Service) {},
@@ -122,14 +122,14 @@
 		require.NoError(t, state.apply(addr, u))
 	}
 	apply("b0", true, 0)
-	require.Empty(t, reports, "a balancer that doesn't count")
+	require.Empty(t, reports, "a balancer that sends no number")
 	apply("b0", true, 3000)
 	apply("b1", true, 1)
-	require.Equal(t, []uint32{3000}, reports, "one that has just started knows too few")
+	require.Equal(t, []uint32{3000}, reports, "the lower number of a balancer that has just started is ignored")
 	apply("b1", false, 3300)
 	apply("b1", false, 3300)
 	require.Equal(t, []uint32{3000, 3300}, reports)
-	state.forget("b1")
+	state.removeSource("b1")
 	apply("b0", false, 2900)
 	require.Equal(t, []uint32{3000, 3300, 2900}, reports)
 }
