--- a/internal/lab/policy/nodes.go
+++ b/internal/lab/policy/nodes.go
@@ -41,7 +41,7 @@
 // stayAwake notes for ever that the balancer runs.
 func (b *balancerNode) stayAwake() {
 	if b.up {
-		b.core.Awake(b.w.now())
+		b.core.MarkRunning(b.w.now())
 	}
 	b.w.after(awakeTime, b.stayAwake)
 }
@@ -73,7 +73,7 @@
 
 // welcome answers an announcement with what other targets' answers are like.
 func (b *balancerNode) welcome(to netip.AddrPort) {
-	usual := b.core.Usual(b.w.now(), to)
+	usual := b.core.MedianResponses(b.w.now(), to)
 	for _, a := range b.w.agents {
 		if a.address == to {
 			b.w.carry(b.w.between(b.index, a.index), func() { a.table.Usual(usual) })
@@ -117,7 +117,7 @@
 // Refused implements dispatch.Output.
 func (b *balancerNode) Refused(r dispatch.Refusal) {
 	b.w.result.Refusals++
-	if r.Told {
+	if r.Notified {
 		b.w.result.Told++
 	}
 }
--- a/internal/lab/policy/world.go
+++ b/internal/lab/policy/world.go
@@ -141,5 +141,5 @@
 	if w.o.Announce > 0 {
 		return w.o.Announce
 	}
-	return max(roster.IntervalFor(w.o.Targets), time.Duration(float64(w.o.Balancers)/roster.SentMessages*float64(time.Second)))
+	return max(roster.IntervalFor(w.o.Targets), time.Duration(float64(w.o.Balancers)/roster.SendRate*float64(time.Second)))
 }
--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -35,7 +35,7 @@
 	// cold is what its target takes while it warms up.
 	cold warmup.Limit
 	// answers are the least of its target's last answers, by the hash of the address.
-	answers map[uint32]outlier.Answer
+	answers map[uint32]outlier.Response
 	// failing is set while the agent's target fails more than a healthy one, as the agent says.
 	failing bool
 	// suspect is set when the agent left a packet unanswered, until it is heard of again.
@@ -44,7 +44,9 @@
 
 // silence is how long the agent may say nothing until it is not used any more. A dead one is found earlier, by the first offer that
 // it does not answer.
-func (a *agent) silence() time.Duration { return max(AgentSilence, silentAnnouncements*a.interval) }
+func (a *agent) silence() time.Duration {
+	return max(AgentSilenceTimeout, silentAnnouncements*a.interval)
+}
 
 // alive reports whether the agent was heard of lately.
 func (a *agent) alive(now time.Time) bool { return now.Sub(a.heard) <= a.silence() }
@@ -67,7 +69,7 @@
 // reported become free at the target's pace.
 func (a *agent) load(now time.Time) float64 {
 	slots := float64(max(1, a.slots))
-	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.work, StartWork))
+	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.work, InitialWorkTime))
 	return (max(0, float64(a.busy)-freed) + float64(a.asked) + 1) / slots
 }
 
--- a/pkg/dsr/dispatch/agents.go
+++ b/pkg/dsr/dispatch/agents.go
@@ -22,8 +22,8 @@
 	return living, ready
 }
 
-// LastHeard is when any agent was last heard of; the start when none was.
-func (b *Balancer) LastHeard() time.Time { return b.lastHeard }
+// LastSeen is when any agent was last heard of; the start when none was.
+func (b *Balancer) LastSeen() time.Time { return b.lastHeard }
 
 // AgentService names an agent and its service.
 type AgentService struct {
@@ -31,8 +31,8 @@
 	Service string
 }
 
-// WithoutTarget returns the living agents whose targets have not announced themselves.
-func (b *Balancer) WithoutTarget(now time.Time) []AgentService {
+// AgentsWithoutTarget returns the living agents whose targets have not announced themselves.
+func (b *Balancer) AgentsWithoutTarget(now time.Time) []AgentService {
 	var out []AgentService
 	for _, a := range b.order {
 		if a.alive(now) && a.state == dsrpb.State_STATE_ABSENT {
--- a/pkg/dsr/dispatch/balancer.go
+++ b/pkg/dsr/dispatch/balancer.go
@@ -56,7 +56,7 @@
 	// hedgeBudget bounds the unanswered offers about which the next agent is asked.
 	hedgeBudget *limit.Budget
 	// answer learns how long agents take to answer an offer, works the usual work of each service.
-	answer estimate.Answer
+	answer estimate.Latency
 	works  map[string]*estimate.Mean
 	// spreads compare the own data centre with others, by service.
 	spreads map[string]spread
@@ -87,7 +87,7 @@
 
 		searchMessages: SearchBurst,
 		searchedAt:     now,
-		hedgeBudget:    limit.NewBudget(HedgeShare, HedgeBurst),
+		hedgeBudget:    limit.NewBudget(HedgeRatio, HedgeBurst),
 	}
 }
 
@@ -120,8 +120,8 @@
 // Flows is the number of flows that are known.
 func (b *Balancer) Flows() int { return len(b.flows) }
 
-// Open is the number of flows that saw a packet within the time and have not been closed by their caller.
-func (b *Balancer) Open(now time.Time, within time.Duration) int {
+// OpenFlows is the number of flows that saw a packet within the time and have not been closed by their caller.
+func (b *Balancer) OpenFlows(now time.Time, within time.Duration) int {
 	n := 0
 	for _, f := range b.flows {
 		if !f.closed && f.phase != refused && now.Sub(f.touched) <= within {
@@ -131,17 +131,17 @@
 	return n
 }
 
-// Awake notes that the process runs; it is called every 50 ms. A process that was stopped, or whose VM stood still, then finds
+// MarkRunning notes that the process runs; it is called every 50 ms. A process that was stopped, or whose VM stood still, then finds
 // packets in its socket that look new: their copies may have opened flows by way of other balancers, which must not be reset.
-func (b *Balancer) Awake(now time.Time) {
+func (b *Balancer) MarkRunning(now time.Time) {
 	b.noteStandstill(now)
 	b.awake = now
 }
 
 // noteStandstill begins the time of doubt when the process has not run.
 func (b *Balancer) noteStandstill(now time.Time) {
-	if !b.awake.IsZero() && now.Sub(b.awake) > StandstillAfter {
-		b.doubted = now.Add(DoubtTime)
+	if !b.awake.IsZero() && now.Sub(b.awake) > StallThreshold {
+		b.doubted = now.Add(StallBacklogTime)
 	}
 }
 
--- a/pkg/dsr/dispatch/balancer_test.go
+++ b/pkg/dsr/dispatch/balancer_test.go
@@ -297,13 +297,13 @@
 		f.pass(HedgeAfter)
 	}
 	offers := len(f.take())
-	require.LessOrEqual(t, offers, flows+HedgeBurst+int(HedgeShare*1.2*flows))
+	require.LessOrEqual(t, offers, flows+HedgeBurst+int(HedgeRatio*1.2*flows))
 	require.Greater(t, offers, flows+HedgeBurst-1, "what the budget allows is asked")
 	f.now = f.now.Add(50 * time.Millisecond)
 	before := len(f.out.messages)
 	f.open(flows)
 	require.Len(t, f.out.messages, before+1, "the caller's next copy is offered on")
-	for range OpeningPatience / HedgeAfter {
+	for range OpeningTimeout / HedgeAfter {
 		f.pass(HedgeAfter)
 	}
 	require.Len(t, f.out.refusals, flows, "nothing waits for ever")
@@ -343,7 +343,7 @@
 	}
 	require.Len(t, f.out.refusals, 1)
 	require.Equal(t, refusal.RunUnknown, f.out.refusals[0].Run)
-	require.False(t, f.out.refusals[0].Told)
+	require.False(t, f.out.refusals[0].Notified)
 	require.Empty(t, f.out.resets)
 }
 
@@ -359,19 +359,19 @@
 			open := func(port int) {
 				f.packet(dsrtest.Packet{Source: caller(port), Destination: netip.MustParseAddrPort("198.18.0.9:80"), Flags: segment.SYN})
 			}
-			f.b.Awake(f.now)
+			f.b.MarkRunning(f.now)
 			f.now = f.now.Add(c.gap)
 			open(1)
 			require.Len(t, f.out.resets, c.resets)
 			require.Len(t, f.out.refusals, 1)
 			require.Equal(t, c.resets == 1, f.out.refusals[0].Run == refusal.RunNo)
-			f.b.Awake(f.now)
+			f.b.MarkRunning(f.now)
 			f.now = f.now.Add(time.Millisecond)
 			open(2)
 			require.Len(t, f.out.resets, 2*c.resets, "more may wait")
-			for range DoubtTime / (50 * time.Millisecond) {
+			for range StallBacklogTime / (50 * time.Millisecond) {
 				f.now = f.now.Add(50 * time.Millisecond)
-				f.b.Awake(f.now)
+				f.b.MarkRunning(f.now)
 			}
 			open(3)
 			require.Len(t, f.out.resets, 2*c.resets+1, "what comes later is new")
@@ -510,7 +510,7 @@
 	for i := 1; i <= 3; i++ {
 		f.ready(i, "dc-1", 0)
 	}
-	f.pass(StartedTogether + time.Millisecond)
+	f.pass(StartedTogetherWindow + time.Millisecond)
 	for i := 1; i <= 4; i++ {
 		f.ready(i, "dc-1", 0)
 	}
@@ -552,7 +552,7 @@
 			}
 		}
 		f.pass(ProbeTimeout)
-		f.pass(LocateAgain)
+		f.pass(LocateRetryInterval)
 	}
 	probes := 0
 	for _, d := range f.out.decisions {
@@ -597,7 +597,7 @@
 func TestACutOffBalancerLetsNewFlowsWait(t *testing.T) {
 	f := newFixture(t)
 	f.ready(1, "dc-1", 0)
-	f.now = f.now.Add(AgentSilence + IsolatedAfter)
+	f.now = f.now.Add(AgentSilenceTimeout + IsolatedAfter)
 	f.open(1)
 	require.Empty(t, f.out.resets)
 	f.ready(1, "dc-1", 0)
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -96,14 +96,14 @@
 
 // sample keeps the agents that are compared for a place in a queue: some of them, others for each flow, those that are not suspect first.
 func (b *Balancer) sample(f *flowState, list []*agent) []*agent {
-	if b.cfg.Without.SampledQueues || len(list) <= QueueSample {
+	if b.cfg.Without.SampledQueues || len(list) <= QueueSampleSize {
 		return list
 	}
 	draw := f.hash + uint64(f.tries)
 	slices.SortFunc(list, func(x, y *agent) int {
 		return cmp.Or(compareTrue(!x.suspect, !y.suspect), cmp.Compare(tieOf(draw, x.addr), tieOf(draw, y.addr)))
 	})
-	return list[:QueueSample]
+	return list[:QueueSampleSize]
 }
 
 // rank is the order of two agents for one flow.
--- a/pkg/dsr/dispatch/learning.go
+++ b/pkg/dsr/dispatch/estimates.go
@@ -22,9 +22,9 @@
 // usualWork is the usual work of a service's requests.
 func (b *Balancer) usualWork(service string) time.Duration {
 	if m := b.works[service]; m != nil {
-		return m.Or(StartWork)
+		return m.ValueOr(InitialWorkTime)
 	}
-	return StartWork
+	return InitialWorkTime
 }
 
 // slow reports whether a target takes much longer than is usual for its service.
@@ -37,15 +37,15 @@
 
 // hedgeAfter is how long an agent may take to answer an opening packet until the next one is asked.
 func (b *Balancer) hedgeAfter() time.Duration {
-	return min(b.answer.Longest(HedgeAfter-OfferWait)+OfferWait, maxTimeout)
+	return min(b.answer.Timeout(HedgeAfter-OfferWait)+OfferWait, maxTimeout)
 }
 
 // locateTimeout is how long agents may take to say whether they hold a flow.
 func (b *Balancer) locateTimeout() time.Duration {
-	return min(max(LocateTimeout, b.answer.Longest(0)), maxTimeout)
+	return min(max(LocateTimeout, b.answer.Timeout(0)), maxTimeout)
 }
 
 // probeTimeout is how long an agent may take to say whether its target returned a packet.
 func (b *Balancer) probeTimeout() time.Duration {
-	return min(max(ProbeTimeout, b.answer.Longest(0)+ProbeWait), maxTimeout)
+	return min(max(ProbeTimeout, b.answer.Timeout(0)+ProbeWait), maxTimeout)
 }
--- a/pkg/dsr/dispatch/usual.go
+++ b/pkg/dsr/dispatch/median.go
@@ -19,7 +19,7 @@
 
 // usualAnswer is the median of the least answers to requests for one address.
 type usualAnswer struct {
-	answer outlier.Answer
+	answer outlier.Response
 	known  bool
 	at     time.Time
 }
@@ -31,16 +31,16 @@
 }
 
 // answersOf reads what an agent says of its target's answers.
-func answersOf(list []*dsrpb.Answer) map[uint32]outlier.Answer {
-	out := make(map[uint32]outlier.Answer, len(list))
+func answersOf(list []*dsrpb.Answer) map[uint32]outlier.Response {
+	out := make(map[uint32]outlier.Response, len(list))
 	for _, a := range list {
-		out[a.Address] = outlier.Answer{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
+		out[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
 	}
 	return out
 }
 
-// Usual are the least answers of the median target of an agent's service, for the addresses that the agent has named.
-func (b *Balancer) Usual(now time.Time, agent netip.AddrPort) []*dsrpb.Answer {
+// MedianResponses are the least answers of the median target of an agent's service, for the addresses that the agent has named.
+func (b *Balancer) MedianResponses(now time.Time, agent netip.AddrPort) []*dsrpb.Answer {
 	a := b.agents[agent]
 	if a == nil {
 		return nil
@@ -74,7 +74,7 @@
 	}
 	u := usualAnswer{at: now, known: len(times) >= medianOf}
 	if u.known {
-		u.answer = outlier.Answer{Time: median(times), Bytes: median(sizes)}
+		u.answer = outlier.Response{Time: median(times), Bytes: median(sizes)}
 	}
 	b.usual[k] = u
 	return u
--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -85,12 +85,12 @@
 // over; one that announces itself rarely, and was not heard of lately, has to answer in time.
 func (b *Balancer) copyOfQueued(now time.Time, f *flowState, s segment.Segment) {
 	a := b.agents[f.asked]
-	if a == nil || a.suspect || now.Sub(a.heard) > max(FreshAnswer, 2*a.interval) {
+	if a == nil || a.suspect || now.Sub(a.heard) > max(RecentlySeen, 2*a.interval) {
 		b.offerPast(now, f)
 		return
 	}
 	b.forward(now, f, f.asked, s.Raw, false, dsrpb.Patience_PATIENCE_QUEUE)
-	if now.Sub(a.heard) > FreshAnswer {
+	if now.Sub(a.heard) > RecentlySeen {
 		b.expectAnswer(now, f)
 	}
 }
@@ -105,9 +105,9 @@
 // patience is how long a caller waits for an answer to its opening packet.
 func patience(timeout time.Duration) time.Duration {
 	if timeout == 0 {
-		return OpeningPatience
+		return OpeningTimeout
 	}
-	return min(timeout, OpeningPatience)
+	return min(timeout, OpeningTimeout)
 }
 
 // place finds the service of a new flow and asks the first agent.
@@ -194,7 +194,7 @@
 // off, and refuses it else. A cut-off balancer is about to leave the rotation: the next copy of the opening packet reaches
 // another balancer, while a refusal would use up the caller's tries.
 func (b *Balancer) parkOrRefuse(now time.Time, f *flowState, reason refusal.Reason) {
-	if !b.cfg.Without.Parking && now.Sub(f.arrived) < ParkTime && (b.starting(now, f.service) || now.Sub(b.LastHeard()) > IsolatedAfter) {
+	if !b.cfg.Without.Parking && now.Sub(f.arrived) < ParkTimeout && (b.starting(now, f.service) || now.Sub(b.LastSeen()) > IsolatedAfter) {
 		b.park(now, f)
 		return
 	}
@@ -203,11 +203,11 @@
 
 // starting reports whether agents of the service may be about to announce a target.
 func (b *Balancer) starting(now time.Time, service string) bool {
-	if now.Sub(b.started) < StartTime {
+	if now.Sub(b.started) < StartupGrace {
 		return true
 	}
 	return slices.ContainsFunc(b.order, func(a *agent) bool {
-		return a.service == service && a.state == dsrpb.State_STATE_ABSENT && now.Sub(a.started) < StartTime
+		return a.service == service && a.state == dsrpb.State_STATE_ABSENT && now.Sub(a.started) < StartupGrace
 	})
 }
 
@@ -242,7 +242,7 @@
 		b.place(now, f)
 		return
 	}
-	if now.Sub(f.since) > StaleTime {
+	if now.Sub(f.since) > StaleConfigurationTimeout {
 		b.refuse(now, f, refusal.ReasonNoConfiguration)
 		return
 	}
@@ -277,7 +277,7 @@
 
 // awaitAnswer waits on for an answer until the caller has left.
 func (b *Balancer) awaitAnswer(now time.Time, f *flowState) {
-	if now.Sub(f.arrived) < OpeningPatience {
+	if now.Sub(f.arrived) < OpeningTimeout {
 		b.hedges = append(b.hedges, due{flow: f, at: now.Add(b.hedgeAfter())})
 		return
 	}
--- a/pkg/dsr/dispatch/output.go
+++ b/pkg/dsr/dispatch/output.go
@@ -31,9 +31,9 @@
 	Reason  refusal.Reason
 	// Run says whether work may have been done for the flow.
 	Run refusal.Run
-	// Told is set when the caller was told at once. It is not when the flow may be open elsewhere: callers then go on
+	// Notified is set when the caller was told at once. It is not when the flow may be open elsewhere: callers then go on
 	// waiting, and their next copy is a new try.
-	Told bool
+	Notified bool
 	// Tried is the number of agents that were asked, Waited the time since the opening packet came.
 	Tried         int
 	Waited        time.Duration
--- a/pkg/dsr/dispatch/report.go
+++ b/pkg/dsr/dispatch/report.go
@@ -30,7 +30,7 @@
 // refuse ends a flow that cannot be served.
 func (b *Balancer) refuse(now time.Time, f *flowState, reason refusal.Reason) {
 	f.packet, f.held = nil, nil
-	f.reset = !f.uncertain && now.Sub(f.arrived) < FirstCopy
+	f.reset = !f.uncertain && now.Sub(f.arrived) < FirstRetransmission
 	if f.reset {
 		b.out.Reset(f.key, 0)
 	}
@@ -51,7 +51,7 @@
 		Service:       f.service,
 		Reason:        reason,
 		Run:           run,
-		Told:          told,
+		Notified:      told,
 		Tried:         f.tries,
 		Waited:        now.Sub(f.arrived),
 		Configuration: b.routes.Version(),
--- a/pkg/dsr/dispatch/searching.go
+++ b/pkg/dsr/dispatch/search.go
@@ -23,7 +23,7 @@
 // search asks the agents who holds the flow of a packet whose owner is not known. A packet that finds the budget spent is
 // dropped; its sender repeats it.
 func (b *Balancer) search(now time.Time, f *flowState, s segment.Segment) {
-	if f.phase == lost && !f.since.IsZero() && now.Sub(f.since) < LocateAgain {
+	if f.phase == lost && !f.since.IsZero() && now.Sub(f.since) < LocateRetryInterval {
 		return
 	}
 	if !b.maySearch(now) {
@@ -37,7 +37,7 @@
 // searchHeld asks for the owner of the packets that are held.
 func (b *Balancer) searchHeld(now time.Time, f *flowState) {
 	f.phase, f.unknown, f.unanswered, f.wide = locating, nil, nil, false
-	f.unasked, f.step = b.likelyOwners(f), SearchFirst
+	f.unasked, f.step = b.likelyOwners(f), SearchInitialAgents
 	b.askMore(now, f)
 }
 
@@ -112,7 +112,7 @@
 func (b *Balancer) missing(now time.Time, f *flowState) bool {
 	return slices.ContainsFunc(f.unanswered, func(addr netip.AddrPort) bool {
 		a := b.agents[addr]
-		return a != nil && now.Sub(a.heard) <= AgentSilence
+		return a != nil && now.Sub(a.heard) <= AgentSilenceTimeout
 	})
 }
 
@@ -189,7 +189,7 @@
 			newest = at
 		}
 	}
-	latest := func(a netip.AddrPort) bool { return newest.Sub(b.startOf(a)) <= StartedTogether }
+	latest := func(a netip.AddrPort) bool { return newest.Sub(b.startOf(a)) <= StartedTogetherWindow }
 	handed := func(a netip.AddrPort) bool { return slices.Contains(f.handed, a) }
 	slices.SortFunc(f.unknown, func(x, y netip.AddrPort) int {
 		return cmp.Or(
--- a/pkg/dsr/dispatch/searching_test.go
+++ b/pkg/dsr/dispatch/search_test.go
@@ -124,7 +124,7 @@
 		owner := f.b.best(f.now, &flowState{key: keyOf(port), hash: keyOf(port).Hash(), service: "route-svc"}, true)
 		f.data(port, 1001, "tail")
 		asked := f.take()
-		require.Len(t, asked, SearchFirst)
+		require.Len(t, asked, SearchInitialAgents)
 		require.Contains(t, targets(asked), owner.addr)
 		i := int(owner.addr.Addr().As4()[3])
 		f.located(i, port, dsrpb.Verdict_VERDICT_HELD)
@@ -150,7 +150,7 @@
 			f.located(int(m.to.Addr().As4()[3]), 1, dsrpb.Verdict_VERDICT_NOT_HELD)
 		}
 	}
-	require.Equal(t, []int{SearchFirst, SearchFirst * SearchGrowth, agents - SearchFirst - SearchFirst*SearchGrowth}, steps)
+	require.Equal(t, []int{SearchInitialAgents, SearchInitialAgents * SearchGrowth, agents - SearchInitialAgents - SearchInitialAgents*SearchGrowth}, steps)
 	require.Equal(t, EventLost, f.out.decisions[len(f.out.decisions)-1].Event)
 }
 
@@ -167,7 +167,7 @@
 	}
 	require.Empty(t, f.take())
 	f.pass(LocateTimeout)
-	require.Len(t, f.take(), 1+20-SearchFirst, "the silent one and all others")
+	require.Len(t, f.take(), 1+20-SearchInitialAgents, "the silent one and all others")
 }
 
 // Agents that start again and again can never tell whether they hold a flow, and come first as those that have seen least. The one that
--- a/pkg/dsr/dispatch/tick.go
+++ b/pkg/dsr/dispatch/tick.go
@@ -67,7 +67,7 @@
 	}
 	kept := b.order[:0]
 	for _, a := range b.order {
-		if now.Sub(a.heard) > a.silence()+ForgetAgent {
+		if now.Sub(a.heard) > a.silence()+AgentExpiry {
 			b.leave(a)
 			delete(b.agents, a.addr)
 			continue
--- a/pkg/dsr/estimate/estimate.go
+++ b/pkg/dsr/estimate/estimate.go
@@ -26,26 +26,26 @@
 	m.value += time.Duration(max(weight, 1/float64(m.count)) * float64(sample-m.value))
 }
 
-// Known reports whether there was a sample.
-func (m *Mean) Known() bool { return m.count > 0 }
+// HasSample reports whether there was a sample.
+func (m *Mean) HasSample() bool { return m.count > 0 }
 
-// Or returns the mean, or the start value when there was no sample.
-func (m *Mean) Or(start time.Duration) time.Duration {
+// ValueOr returns the mean, or the start value when there was no sample.
+func (m *Mean) ValueOr(start time.Duration) time.Duration {
 	if m.count == 0 {
 		return start
 	}
 	return m.value
 }
 
-// Answer learns how long answers take. The zero value has no sample.
-type Answer struct {
+// Latency learns how long answers take. The zero value has no sample.
+type Latency struct {
 	mean      Mean
 	deviation time.Duration
 }
 
 // Add takes the time of an answer.
-func (a *Answer) Add(sample time.Duration) {
-	if !a.mean.Known() {
+func (a *Latency) Add(sample time.Duration) {
+	if !a.mean.HasSample() {
 		a.deviation = sample / 2
 	} else {
 		off := (sample - a.mean.value).Abs()
@@ -55,11 +55,11 @@
 }
 
 // Mean returns the mean, or the start value when there was no sample.
-func (a *Answer) Mean(start time.Duration) time.Duration { return a.mean.Or(start) }
+func (a *Latency) Mean(start time.Duration) time.Duration { return a.mean.ValueOr(start) }
 
-// Longest returns the time after which an answer is overdue, or the start value when there was no sample.
-func (a *Answer) Longest(start time.Duration) time.Duration {
-	if !a.mean.Known() {
+// Timeout returns the time after which an answer is overdue, or the start value when there was no sample.
+func (a *Latency) Timeout(start time.Duration) time.Duration {
+	if !a.mean.HasSample() {
 		return start
 	}
 	return a.mean.value + deviations*a.deviation
--- a/pkg/dsr/estimate/estimate_test.go
+++ b/pkg/dsr/estimate/estimate_test.go
@@ -11,12 +11,12 @@
 
 func TestTheFirstSampleReplacesTheStartValue(t *testing.T) {
 	var m Mean
-	require.Equal(t, 30*ms, m.Or(30*ms))
-	require.False(t, m.Known())
+	require.Equal(t, 30*ms, m.ValueOr(30*ms))
+	require.False(t, m.HasSample())
 	m.Add(90 * ms)
-	require.Equal(t, 90*ms, m.Or(30*ms))
+	require.Equal(t, 90*ms, m.ValueOr(30*ms))
 	m.Add(110 * ms)
-	require.Equal(t, 100*ms, m.Or(30*ms))
+	require.Equal(t, 100*ms, m.ValueOr(30*ms))
 }
 
 // A change by a factor of three is followed to within a tenth after 40 samples.
@@ -28,17 +28,17 @@
 	for range 40 {
 		m.Add(60 * ms)
 	}
-	require.InDelta(t, float64(60*ms), float64(m.Or(0)), float64(6*ms))
+	require.InDelta(t, float64(60*ms), float64(m.ValueOr(0)), float64(6*ms))
 }
 
 func TestAnAnswerIsOverdueBeyondItsUsualSpread(t *testing.T) {
-	var a Answer
-	require.Equal(t, 25*ms, a.Longest(25*ms))
+	var a Latency
+	require.Equal(t, 25*ms, a.Timeout(25*ms))
 	for i := range 200 {
 		a.Add(time.Duration(20+i%5) * ms)
 	}
-	require.Greater(t, a.Longest(0), 24*ms)
-	require.Less(t, a.Longest(0), 32*ms)
+	require.Greater(t, a.Timeout(0), 24*ms)
+	require.Less(t, a.Timeout(0), 32*ms)
 }
 
 func TestARateFollowsWhatHappens(t *testing.T) {
@@ -47,7 +47,7 @@
 	require.Zero(t, r.PerSecond(now))
 	for range 2000 {
 		now = now.Add(20 * time.Millisecond)
-		r.Note(now)
+		r.Add(now)
 		if now.Sub(time.Unix(1000, 0)) == 2*time.Second {
 			require.InDelta(t, 50, r.PerSecond(now), 3, "soon after the start")
 		}
--- a/pkg/dsr/estimate/rate.go
+++ b/pkg/dsr/estimate/rate.go
@@ -15,8 +15,8 @@
 	at, since time.Time
 }
 
-// Note counts an event.
-func (r *Rate) Note(now time.Time) {
+// Add counts an event.
+func (r *Rate) Add(now time.Time) {
 	if r.since.IsZero() {
 		r.since = now
 	}
--- a/pkg/dsr/outlier/detector.go
+++ b/pkg/dsr/outlier/detector.go
@@ -16,14 +16,14 @@
 	// Window is the number of last requests that are looked at, Failures the number of failed ones among them that takes a target
 	// out. A target that fails all is found after 8, one that fails 40 of 100 after about 20; one of which 5 of 100 requests end without an
 	// answer, since they are for something that it does not serve, hardly ever.
-	Window   = 20
-	Failures = 8
-	// FirstRest is how long a target is left out at first; each further time in a row doubles it up to MaxRest. One request is
+	Window           = 20
+	FailureThreshold = 8
+	// BaseEjection is how long a target is left out at first; each further time in a row doubles it up to MaxRest. One request is
 	// lost for each try, and a target that has recovered is missed for as long.
-	FirstRest = time.Second
-	MaxRest   = 8 * time.Second
-	// Recovered is the number of requests in a row that must succeed after a rest until the target counts as healthy.
-	Recovered = 3
+	BaseEjection = time.Second
+	MaxEjection  = 8 * time.Second
+	// RecoverySuccesses is the number of requests in a row that must succeed after a rest until the target counts as healthy.
+	RecoverySuccesses = 3
 )
 
 // Detector judges one target. The zero value takes it for healthy.
@@ -44,10 +44,10 @@
 const (
 	// Healthy: it takes requests as usual.
 	Healthy State = iota
-	// Resting: it takes none as long as others can.
-	Resting
-	// Tried: it takes one at a time.
-	Tried
+	// Ejected: it takes none as long as others can.
+	Ejected
+	// Probing: it takes one at a time.
+	Probing
 )
 
 // String names a state.
@@ -59,51 +59,51 @@
 	case d.rest == 0:
 		return Healthy
 	case now.Before(d.until):
-		return Resting
+		return Ejected
 	}
-	return Tried
+	return Probing
 }
 
-// Ends returns the end of the present rest, or zero.
-func (d *Detector) Ends(now time.Time) time.Time {
-	if d.State(now) == Resting {
+// EjectedUntil returns the end of the present rest, or zero.
+func (d *Detector) EjectedUntil(now time.Time) time.Time {
+	if d.State(now) == Ejected {
 		return d.until
 	}
 	return time.Time{}
 }
 
-// Count is the number of failed ones among the last requests.
-func (d *Detector) Count() int { return bits.OnesCount32(d.failed) }
+// FailureCount is the number of failed ones among the last requests.
+func (d *Detector) FailureCount() int { return bits.OnesCount32(d.failed) }
 
 // note adds an outcome.
 func (d *Detector) note(failed uint32) { d.failed = (d.failed<<1 | failed) & (1<<Window - 1) }
 
-// Succeeded takes an answered request. It reports whether the state has changed.
-func (d *Detector) Succeeded(now time.Time) bool {
+// RecordSuccess takes an answered request. It reports whether the state has changed.
+func (d *Detector) RecordSuccess(now time.Time) bool {
 	d.note(0)
-	if d.State(now) != Tried {
+	if d.State(now) != Probing {
 		return false
 	}
 	d.succeeded++
-	if d.succeeded < Recovered {
+	if d.succeeded < RecoverySuccesses {
 		return false
 	}
 	*d = Detector{}
 	return true
 }
 
-// Failed takes a request that the target reset, or left without an answer. It reports whether the state has changed.
-func (d *Detector) Failed(now time.Time) bool {
+// RecordFailure takes a request that the target reset, or left without an answer. It reports whether the state has changed.
+func (d *Detector) RecordFailure(now time.Time) bool {
 	d.note(1)
 	switch d.State(now) {
-	case Resting:
+	case Ejected:
 		return false
 	case Healthy:
-		if d.Count() < Failures {
+		if d.FailureCount() < FailureThreshold {
 			return false
 		}
 	}
-	d.rest = min(max(FirstRest, 2*d.rest), MaxRest)
+	d.rest = min(max(BaseEjection, 2*d.rest), MaxEjection)
 	d.until, d.succeeded = now.Add(d.rest), 0
 	return true
 }
--- a/pkg/dsr/outlier/detector_test.go
+++ b/pkg/dsr/outlier/detector_test.go
@@ -12,42 +12,42 @@
 
 func TestATargetThatFailsAllIsLeftOut(t *testing.T) {
 	var d Detector
-	for range Failures - 1 {
-		require.False(t, d.Failed(now))
+	for range FailureThreshold - 1 {
+		require.False(t, d.RecordFailure(now))
 	}
 	require.Equal(t, Healthy, d.State(now))
-	require.True(t, d.Failed(now))
-	require.Equal(t, Resting, d.State(now))
-	require.False(t, d.Failed(now), "what was under way changes nothing")
-	require.Equal(t, now.Add(FirstRest), d.Ends(now))
+	require.True(t, d.RecordFailure(now))
+	require.Equal(t, Ejected, d.State(now))
+	require.False(t, d.RecordFailure(now), "what was under way changes nothing")
+	require.Equal(t, now.Add(BaseEjection), d.EjectedUntil(now))
 }
 
 func TestATargetComesBackAfterTries(t *testing.T) {
 	var d Detector
-	for range Failures {
-		d.Failed(now)
+	for range FailureThreshold {
+		d.RecordFailure(now)
 	}
-	at := now.Add(FirstRest)
-	require.Equal(t, Tried, d.State(at))
-	require.False(t, d.Succeeded(at))
-	require.False(t, d.Succeeded(at))
-	require.True(t, d.Succeeded(at))
+	at := now.Add(BaseEjection)
+	require.Equal(t, Probing, d.State(at))
+	require.False(t, d.RecordSuccess(at))
+	require.False(t, d.RecordSuccess(at))
+	require.True(t, d.RecordSuccess(at))
 	require.Equal(t, Healthy, d.State(at))
-	require.Zero(t, d.Count())
+	require.Zero(t, d.FailureCount())
 }
 
 func TestEachFailedTryDoublesTheRest(t *testing.T) {
 	var d Detector
-	for range Failures {
-		d.Failed(now)
+	for range FailureThreshold {
+		d.RecordFailure(now)
 	}
 	at := now
 	for _, want := range []time.Duration{2, 4, 8, 8} {
-		at = d.Ends(at)
-		require.Equal(t, Tried, d.State(at))
-		d.Succeeded(at)
-		require.True(t, d.Failed(at))
-		require.Equal(t, at.Add(want*time.Second), d.Ends(at))
+		at = d.EjectedUntil(at)
+		require.Equal(t, Probing, d.State(at))
+		d.RecordSuccess(at)
+		require.True(t, d.RecordFailure(at))
+		require.Equal(t, at.Add(want*time.Second), d.EjectedUntil(at))
 	}
 }
 
@@ -60,13 +60,13 @@
 	for at := time.Duration(0); at < length; at += step {
 		t := now.Add(at)
 		switch {
-		case d.State(t) == Resting:
+		case d.State(t) == Ejected:
 			resting += step
 		case random.Float64() < share:
 			lost++
-			d.Failed(t)
+			d.RecordFailure(t)
 		default:
-			d.Succeeded(t)
+			d.RecordSuccess(t)
 		}
 	}
 	return lost, float64(resting) / float64(length)
--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -54,7 +54,7 @@
 	if !e.reply.pending {
 		return
 	}
-	a := outlier.Answer{Time: e.reply.took, Bytes: e.reply.end - e.reply.begin}
+	a := outlier.Response{Time: e.reply.took, Bytes: e.reply.end - e.reply.begin}
 	e.reply.pending = false
 	address := flow.AddrHash(key.Destination)
 	t.keepAnswer(address, a)
@@ -68,18 +68,18 @@
 // noteOutcome counts an answered request; it reports whether that changes what the target is taken for.
 func (t *Table) noteOutcome(now time.Time, failed bool) bool {
 	if failed {
-		return t.outcomes.Failed(now)
+		return t.outcomes.RecordFailure(now)
 	}
-	return t.outcomes.Succeeded(now)
+	return t.outcomes.RecordSuccess(now)
 }
 
-func (t *Table) keepAnswer(address uint32, a outlier.Answer) {
+func (t *Table) keepAnswer(address uint32, a outlier.Response) {
 	l := t.answers[address]
 	if l == nil {
 		if len(t.answers) >= maxAnswers {
 			clear(t.answers)
 		}
-		l = new(outlier.Least)
+		l = new(outlier.ResponseWindow)
 		t.answers[address] = l
 	}
 	l.Add(a)
@@ -91,7 +91,7 @@
 		clear(t.usual)
 	}
 	for _, a := range answers {
-		t.usual[a.Address] = outlier.Answer{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
+		t.usual[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
 	}
 }
 
@@ -102,7 +102,7 @@
 	})
 	var out []*dsrpb.Answer
 	for _, address := range most[:min(len(most), toldAnswers)] {
-		if least, known := t.answers[address].Value(); known {
+		if least, known := t.answers[address].Minimum(); known {
 			out = append(out, &dsrpb.Answer{
 				Address:    address,
 				LeastUs:    uint32(least.Time / time.Microsecond),
--- a/pkg/dsr/ownership/answers_test.go
+++ b/pkg/dsr/ownership/answers_test.go
@@ -36,7 +36,7 @@
 		f.answerAfter(port, 40*time.Millisecond, 1000)
 	}
 	require.False(t, f.announced())
-	for port := 200; port < 200+outlier.Failures; port++ {
+	for port := 200; port < 200+outlier.FailureThreshold; port++ {
 		f.answerAfter(port, 2*time.Millisecond, 171)
 	}
 	require.True(t, f.announced())
@@ -75,7 +75,7 @@
 
 func TestBalancersAreToldTheLeastAnswers(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.LeastOf; port++ {
+	for port := 1; port <= outlier.ResponseWindowSize; port++ {
 		require.Empty(t, f.table.Announcement(f.now, true, 0).Announcement.Answers)
 		f.answerAfter(port, time.Duration(20+port)*time.Millisecond, 400+port)
 	}
@@ -89,7 +89,7 @@
 // Packets of an answer may overtake each other, and the target's FIN may overtake them all.
 func TestTheSizeOfAnAnswerIsThatOfAllItsPackets(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.LeastOf; port++ {
+	for port := 1; port <= outlier.ResponseWindowSize; port++ {
 		f.request(port)
 		f.pass(20 * time.Millisecond)
 		f.target(port, segment.ACK|segment.FIN, uint32(port)*1000+1+600, strings.Repeat("x", 50))
--- a/pkg/dsr/ownership/cold.go
+++ b/pkg/dsr/ownership/cold.go
@@ -47,7 +47,7 @@
 
 // handed counts a new flow that the target is handed.
 func (t *Table) handed(now time.Time) {
-	t.rate.Note(now)
+	t.rate.Add(now)
 	t.cold.window.Note(now)
 	t.cold.learner.Given(t.cold.window.Count())
 }
--- a/pkg/dsr/ownership/from_balancer.go
+++ b/pkg/dsr/ownership/from_balancer.go
@@ -120,12 +120,12 @@
 
 // failing reports whether the target is left out as long as others can serve.
 func (t *Table) failing(now time.Time) bool {
-	return t.outcomes.State(now) == outlier.Resting && !t.cfg.Without.FailingLast
+	return t.outcomes.State(now) == outlier.Ejected && !t.cfg.Without.FailingLast
 }
 
 // limit is the number of requests that the target is handed at once.
 func (t *Table) limit(now time.Time) int {
-	if t.outcomes.State(now) == outlier.Tried && !t.cfg.Without.FailingLast {
+	if t.outcomes.State(now) == outlier.Probing && !t.cfg.Without.FailingLast {
 		return 1
 	}
 	slots := t.slots()
--- a/pkg/dsr/ownership/outcome.go
+++ b/pkg/dsr/ownership/outcome.go
@@ -53,7 +53,7 @@
 	if len(t.served) > 0 && !t.served[key.Destination] {
 		return
 	}
-	if t.outcomes.Failed(now) {
+	if t.outcomes.RecordFailure(now) {
 		t.judged(now, Judgement{})
 	}
 }
@@ -68,11 +68,11 @@
 // judged reports that the target is left out, or in use again; the balancers are told at once.
 func (t *Table) judged(now time.Time, j Judgement) {
 	j.State = t.outcomes.State(now)
-	j.Failures = t.outcomes.Count()
-	j.Until = t.outcomes.Ends(now)
+	j.Failures = t.outcomes.FailureCount()
+	j.Until = t.outcomes.EjectedUntil(now)
 	j.Pace, j.Busy = t.pace(), t.Busy()
 	t.out.Judged(j)
-	if t.outcomes.State(now) == outlier.Resting {
+	if t.outcomes.State(now) == outlier.Ejected {
 		t.giveBackAll(now, dsrpb.Verdict_VERDICT_BUSY)
 	}
 }
@@ -89,5 +89,5 @@
 	// LooksFailed is set when the last request was answered, but with much less than usual; Answer is that answer, Usual the least one of the
 	// median target.
 	LooksFailed   bool
-	Answer, Usual outlier.Answer
+	Answer, Usual outlier.Response
 }
--- a/pkg/dsr/ownership/outcome_test.go
+++ b/pkg/dsr/ownership/outcome_test.go
@@ -44,7 +44,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, Config{})
-			for port := 1; port <= outlier.Failures; port++ {
+			for port := 1; port <= outlier.FailureThreshold; port++ {
 				require.False(t, f.announced())
 				f.request(port)
 				fail(f, port)
@@ -53,8 +53,8 @@
 			}
 			require.True(t, f.announced())
 			require.Len(t, f.out.judgements, 1)
-			require.Equal(t, outlier.Resting, f.out.judgements[0].State)
-			require.Equal(t, outlier.Failures, f.out.judgements[0].Failures)
+			require.Equal(t, outlier.Ejected, f.out.judgements[0].State)
+			require.Equal(t, outlier.FailureThreshold, f.out.judgements[0].Failures)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 // time after its rest.
 func TestATargetThatIsLeftOutIsTriedAgain(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.Failures; port++ {
+	for port := 1; port <= outlier.FailureThreshold; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -78,13 +78,13 @@
 	require.Len(t, f.out.target, 1)
 	f.target(11, segment.RST, 0, "")
 
-	f.now = f.now.Add(outlier.FirstRest)
+	f.now = f.now.Add(outlier.BaseEjection)
 	f.announce(0)
 	require.False(t, f.announced())
 	ask(12, dsrpb.Patience_PATIENCE_FREE_SLOT)
 	ask(13, dsrpb.Patience_PATIENCE_FREE_SLOT)
 	require.Len(t, f.out.target, 2, "one at a time")
-	for port := 20; port < 20+outlier.Recovered; port++ {
+	for port := 20; port < 20+outlier.RecoverySuccesses; port++ {
 		f.target(12, segment.RST, 0, "")
 		f.request(port)
 		f.target(port, segment.ACK|segment.FIN, uint32(port)*1000+1, "200")
@@ -129,7 +129,7 @@
 	}
 	require.Empty(t, f.out.judgements)
 	service = served
-	for port := 20; port < 20+outlier.Failures; port++ {
+	for port := 20; port < 20+outlier.FailureThreshold; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -138,7 +138,7 @@
 
 func TestANewLifeIsNotJudgedByTheEarlierOne(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.Failures; port++ {
+	for port := 1; port <= outlier.FailureThreshold; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -151,7 +151,7 @@
 // it neither keeps a slot busy nor counts as one that got no answer.
 func TestARepeatedRequestIsNoNewOne(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.Failures; port++ {
+	for port := 1; port <= outlier.FailureThreshold; port++ {
 		f.request(port)
 		f.target(port, segment.ACK, uint32(port)*1000+1, "200")
 		f.data(port, uint32(port)*1000+1, true)
@@ -189,7 +189,7 @@
 // flows when their time is over, and close at once.
 func TestATargetThatClosesAfterItsCallerDoesNotFail(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= 3*outlier.Failures; port++ {
+	for port := 1; port <= 3*outlier.FailureThreshold; port++ {
 		f.request(port)
 		f.forward(closing(port), &dsrpb.Message{Owner: true})
 		f.target(port, segment.FIN|segment.ACK, uint32(port)*1000+1, "")
--- a/pkg/dsr/ownership/pace.go
+++ b/pkg/dsr/ownership/pace.go
@@ -10,7 +10,7 @@
 )
 
 // pace is the target's time for one request.
-func (t *Table) pace() time.Duration { return t.worked.Or(StartWork) }
+func (t *Table) pace() time.Duration { return t.worked.ValueOr(StartWork) }
 
 // learnWork takes the time of a request that had a slot at once.
 func (t *Table) learnWork(now time.Time, work time.Duration) {
@@ -23,10 +23,10 @@
 
 // toldWork is the target's time for one request as the balancers are told, in microseconds; 0 when it is not known.
 func (t *Table) toldWork(now time.Time) uint32 {
-	if !t.worked.Known() || now.Sub(t.paced) > PaceAge {
+	if !t.worked.HasSample() || now.Sub(t.paced) > PaceAge {
 		return 0
 	}
-	return uint32(t.worked.Or(0) / time.Microsecond)
+	return uint32(t.worked.ValueOr(0) / time.Microsecond)
 }
 
 // learnTrip takes a caller's first data on a flow that the target has answered. Two such trips lie between the answer to the
@@ -51,5 +51,5 @@
 
 // halfOpen is how long a flow counts as work whose caller has not sent its request.
 func (t *Table) halfOpen() time.Duration {
-	return min(max(HalfOpenBusy, t.trip.Longest(0)), maxRoundTrip)
+	return min(max(HalfOpenBusy, t.trip.Timeout(0)), maxRoundTrip)
 }
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -35,7 +35,7 @@
 	queue  admission.Queue
 	worked estimate.Mean
 	paced  time.Time
-	trip   estimate.Answer
+	trip   estimate.Latency
 	// due are the flows that are looked at after a time, in order of their time.
 	due []waiting
 	// outcomes judges the target by the ends of its requests.
@@ -43,8 +43,8 @@
 	// served are the addresses for which the target has answered a request.
 	served map[netip.AddrPort]bool
 	// answers are the target's last answers by the hash of the address, usual the least answers of the median target of the service.
-	answers map[uint32]*outlier.Least
-	usual   map[uint32]outlier.Answer
+	answers map[uint32]*outlier.ResponseWindow
+	usual   map[uint32]outlier.Response
 	// notHeld are flows that the target has returned since the agent started.
 	notHeld map[flow.Key]time.Time
 	// silent is when the target first left an opening packet unanswered; zero when it answers. silentOffer is the time of
@@ -77,8 +77,8 @@
 		flows:   make(map[flow.Key]*entry),
 		notHeld: make(map[flow.Key]time.Time),
 		served:  make(map[netip.AddrPort]bool),
-		answers: make(map[uint32]*outlier.Least),
-		usual:   make(map[uint32]outlier.Answer),
+		answers: make(map[uint32]*outlier.ResponseWindow),
+		usual:   make(map[uint32]outlier.Response),
 		queue:   admission.Queue{Without: cfg.Without},
 		swept:   now,
 	}
--- a/pkg/dsr/roster/peers.go
+++ b/pkg/dsr/roster/peers.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Heard notes a message of a peer; it reports whether the peer is new or was quiet.
-func (p *Peers) Heard(now time.Time, a netip.AddrPort) bool {
+// MarkSeen notes a message of a peer; it reports whether the peer is new or was quiet.
+func (p *Peers) MarkSeen(now time.Time, a netip.AddrPort) bool {
 	p.Add(now, a)
 	e := p.m[a]
 	fresh := e.heard.IsZero() || now.Sub(e.heard) > e.silence()
@@ -56,25 +56,25 @@
 	return fresh
 }
 
-// Says notes the time between two messages of a peer, as the peer says. It may be silent for four times that.
-func (p *Peers) Says(a netip.AddrPort, interval time.Duration) {
+// SetSendInterval notes the time between two messages of a peer, as the peer says. It may be silent for four times that.
+func (p *Peers) SetSendInterval(a netip.AddrPort, interval time.Duration) {
 	if e := p.m[a]; e != nil {
 		e.says = min(interval, MaxInterval)
 	}
 }
 
-// Wants notes the time that a peer asks for between two messages to it.
-func (p *Peers) Wants(a netip.AddrPort, interval time.Duration) {
+// SetRequestedInterval notes the time that a peer asks for between two messages to it.
+func (p *Peers) SetRequestedInterval(a netip.AddrPort, interval time.Duration) {
 	if e := p.m[a]; e != nil {
 		e.wants = min(interval, MaxInterval)
 	}
 }
 
 // silence is how long the peer may say nothing until it is taken for gone.
-func (e *peer) silence() time.Duration { return max(QuietAfter, quietMessages*e.says) }
+func (e *peer) silence() time.Duration { return max(SilenceTimeout, quietMessages*e.says) }
 
-// Knows reports whether the peer is known.
-func (p *Peers) Knows(a netip.AddrPort) bool { return p.m[a] != nil }
+// Contains reports whether the peer is known.
+func (p *Peers) Contains(a netip.AddrPort) bool { return p.m[a] != nil }
 
 // Alive reports whether the peer was heard of lately.
 func (p *Peers) Alive(now time.Time, a netip.AddrPort) bool {
@@ -86,8 +86,8 @@
 	return !e.heard.IsZero() && now.Sub(e.heard) <= e.silence()
 }
 
-// Lost returns the peers that have fallen silent since the last call.
-func (p *Peers) Lost(now time.Time) []netip.AddrPort {
+// NewlySilent returns the peers that have fallen silent since the last call.
+func (p *Peers) NewlySilent(now time.Time) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range p.order {
 		if e := p.m[a]; e.lively && !e.alive(now) {
@@ -101,7 +101,7 @@
 // Due returns the peers that are to be told something now, and notes that they were. Peers that were silent for long are
 // forgotten.
 func (p *Peers) Due(now time.Time) []netip.AddrPort {
-	p.Forget(now)
+	p.Expire(now)
 	var due []netip.AddrPort
 	for _, a := range p.order {
 		e := p.m[a]
@@ -120,7 +120,7 @@
 	atOnce := e.told.IsZero()
 	e.told, e.part = now, 1
 	e.sends++
-	if !e.alive(now) || p.Interval(e.wants) == LivelyInterval {
+	if !e.alive(now) || p.Interval(e.wants) == MinInterval {
 		return
 	}
 	drawn := p.draw(a, e.sends)
@@ -141,16 +141,16 @@
 	switch {
 	case e.alive(now):
 		return p.Interval(e.wants)
-	case now.Sub(e.added) < EagerTime, now.Sub(e.heard) < e.silence()+EagerTime-QuietAfter:
-		return max(EagerInterval, perSecond(len(p.order), EagerMessages))
+	case now.Sub(e.added) < EagerTime, now.Sub(e.heard) < e.silence()+EagerTime-SilenceTimeout:
+		return max(EagerInterval, perSecond(len(p.order), EagerRate))
 	}
-	return max(QuietInterval, perSecond(len(p.order), QuietMessages))
+	return max(SilentInterval, perSecond(len(p.order), SilentRate))
 }
 
 // Interval is the time between two messages to a peer that is heard of and asks for one in the given time: the longer, the more
 // peers there are, so that their number does not change what this process sends.
 func (p *Peers) Interval(wanted time.Duration) time.Duration {
-	return max(LivelyInterval, perSecond(len(p.order), SentMessages), wanted)
+	return max(MinInterval, perSecond(len(p.order), SendRate), wanted)
 }
 
 // IntervalTo is the time between two messages to a peer that is heard of.
@@ -158,17 +158,17 @@
 	if e := p.m[a]; e != nil {
 		return p.Interval(e.wants)
 	}
-	return LivelyInterval
+	return MinInterval
 }
 
 // IntervalFor is what one of a number of processes is asked to leave between two messages to the same receiver, so that their
 // number does not change what the receiver hears.
 func IntervalFor(senders int) time.Duration {
-	return min(max(LivelyInterval, perSecond(senders, HeardMessages)), MaxInterval)
+	return min(max(MinInterval, perSecond(senders, ReceiveRate)), MaxInterval)
 }
 
-// FarIntervalFor is IntervalFor for senders of other data centres than the receiver's.
-func FarIntervalFor(senders int) time.Duration {
+// RemoteIntervalFor is IntervalFor for senders of other data centres than the receiver's.
+func RemoteIntervalFor(senders int) time.Duration {
 	near := IntervalFor(senders)
 	if near <= farAfter {
 		return near
@@ -181,8 +181,8 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-// Now makes the next call of Due return every peer.
-func (p *Peers) Now() {
+// MakeAllDue makes the next call of Due return every peer.
+func (p *Peers) MakeAllDue() {
 	for _, e := range p.m {
 		e.told = time.Time{}
 	}
@@ -216,12 +216,12 @@
 	return out
 }
 
-// Forget drops the peers that were silent for ForgetAfter.
-func (p *Peers) Forget(now time.Time) {
+// Expire drops the peers that were silent for ExpireAfter.
+func (p *Peers) Expire(now time.Time) {
 	kept := p.order[:0]
 	for _, a := range p.order {
 		e := p.m[a]
-		if now.Sub(e.added) > ForgetAfter && now.Sub(e.heard) > max(ForgetAfter, e.silence()) {
+		if now.Sub(e.added) > ExpireAfter && now.Sub(e.heard) > max(ExpireAfter, e.silence()) {
 			delete(p.m, a)
 			continue
 		}
--- a/pkg/dsr/roster/peers_test.go
+++ b/pkg/dsr/roster/peers_test.go
@@ -18,46 +18,46 @@
 	var p Peers
 	require.True(t, p.Add(start, one))
 	require.False(t, p.Add(start, one))
-	require.True(t, p.Heard(start, two))
+	require.True(t, p.MarkSeen(start, two))
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(start))
 	require.Empty(t, p.Due(start.Add(EagerInterval/2)))
 	require.Equal(t, []netip.AddrPort{one}, p.Due(start.Add(EagerInterval)), "one is new and has not answered")
-	require.Equal(t, []netip.AddrPort{one, two}, p.Due(start.Add(LivelyInterval)))
+	require.Equal(t, []netip.AddrPort{one, two}, p.Due(start.Add(MinInterval)))
 
 	later := start.Add(EagerTime + time.Second)
-	p.Heard(later, two)
+	p.MarkSeen(later, two)
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later))
-	require.Equal(t, []netip.AddrPort{two}, p.Due(later.Add(LivelyInterval)), "one has been silent for long")
-	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(QuietInterval)))
-	p.Now()
-	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(QuietInterval)))
+	require.Equal(t, []netip.AddrPort{two}, p.Due(later.Add(MinInterval)), "one has been silent for long")
+	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(SilentInterval)))
+	p.MakeAllDue()
+	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(SilentInterval)))
 }
 
 func TestASilentPeerIsNotAliveAndIsFreshAgainLater(t *testing.T) {
 	var p Peers
-	p.Heard(start, one)
-	require.True(t, p.Alive(start.Add(QuietAfter), one))
-	require.False(t, p.Alive(start.Add(QuietAfter+1), one))
-	require.False(t, p.Heard(start.Add(QuietAfter/2), one))
-	require.True(t, p.Heard(start.Add(3*QuietAfter), one))
+	p.MarkSeen(start, one)
+	require.True(t, p.Alive(start.Add(SilenceTimeout), one))
+	require.False(t, p.Alive(start.Add(SilenceTimeout+1), one))
+	require.False(t, p.MarkSeen(start.Add(SilenceTimeout/2), one))
+	require.True(t, p.MarkSeen(start.Add(3*SilenceTimeout), one))
 }
 
 func TestASilentPeerIsReportedOnce(t *testing.T) {
 	var p Peers
-	p.Heard(start, one)
+	p.MarkSeen(start, one)
 	p.Add(start, two)
-	require.Empty(t, p.Lost(start.Add(QuietAfter)))
-	require.Equal(t, []netip.AddrPort{one}, p.Lost(start.Add(QuietAfter+1)), "two was never heard of")
-	require.Empty(t, p.Lost(start.Add(QuietAfter+2)))
-	p.Heard(start.Add(2*QuietAfter), one)
-	require.Equal(t, []netip.AddrPort{one}, p.Lost(start.Add(4*QuietAfter)))
+	require.Empty(t, p.NewlySilent(start.Add(SilenceTimeout)))
+	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(SilenceTimeout+1)), "two was never heard of")
+	require.Empty(t, p.NewlySilent(start.Add(SilenceTimeout+2)))
+	p.MarkSeen(start.Add(2*SilenceTimeout), one)
+	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(4*SilenceTimeout)))
 }
 
 func TestAPeerIsForgottenAfterALongSilence(t *testing.T) {
 	var p Peers
-	p.Heard(start, one)
+	p.MarkSeen(start, one)
 	p.Add(start.Add(time.Minute), two)
-	require.Equal(t, []netip.AddrPort{two}, p.Due(start.Add(ForgetAfter+time.Second)))
+	require.Equal(t, []netip.AddrPort{two}, p.Due(start.Add(ExpireAfter+time.Second)))
 	require.Equal(t, []netip.AddrPort{two}, p.All())
 }
 
@@ -76,7 +76,7 @@
 	for at := time.Duration(0); at < length; at += EagerInterval {
 		now := start.Add(at)
 		for _, a := range addresses {
-			p.Heard(now, a)
+			p.MarkSeen(now, a)
 		}
 		sent += len(p.Due(now))
 	}
@@ -89,32 +89,32 @@
 		var p Peers
 		addresses := many(n)
 		for _, a := range addresses {
-			p.Heard(start, a)
+			p.MarkSeen(start, a)
 		}
 		p.Due(start)
-		require.LessOrEqual(t, lively(&p, addresses, 3*time.Minute), SentMessages*1.25, "%d peers", n)
+		require.LessOrEqual(t, lively(&p, addresses, 3*time.Minute), SendRate*1.25, "%d peers", n)
 	}
 }
 
 func TestAPeerIsToldAsRarelyAsItAsks(t *testing.T) {
 	var p Peers
-	p.Heard(start, one)
+	p.MarkSeen(start, one)
 	p.Due(start)
-	p.Wants(one, 10*time.Second)
+	p.SetRequestedInterval(one, 10*time.Second)
 	require.InDelta(t, 0.1/(1-steadySpread/2), lively(&p, []netip.AddrPort{one}, 10*time.Minute), 0.01)
 	require.Equal(t, 10*time.Second, p.IntervalTo(one))
-	p.Wants(one, time.Hour)
+	p.SetRequestedInterval(one, time.Hour)
 	require.Equal(t, MaxInterval, p.IntervalTo(one), "nobody may ask for silence")
 }
 
 func TestAPeerThatSpeaksRarelyIsAliveForLonger(t *testing.T) {
 	var p Peers
-	p.Heard(start, one)
-	p.Says(one, 2*time.Second)
+	p.MarkSeen(start, one)
+	p.SetSendInterval(one, 2*time.Second)
 	require.True(t, p.Alive(start.Add(8*time.Second), one))
 	require.False(t, p.Alive(start.Add(8*time.Second+1), one))
-	require.False(t, p.Heard(start.Add(8*time.Second), one))
-	require.Equal(t, []netip.AddrPort{one}, p.Lost(start.Add(17*time.Second)))
+	require.False(t, p.MarkSeen(start.Add(8*time.Second), one))
+	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(17*time.Second)))
 }
 
 // Processes that tell everybody at once when power is back would all be silent until the next interval together.
@@ -124,12 +124,12 @@
 	heard := make([]bool, int(interval/EagerInterval)+1)
 	for seed := range processes {
 		p := Peers{Seed: uint64(seed)}
-		p.Heard(start, one)
-		p.Wants(one, interval)
+		p.MarkSeen(start, one)
+		p.SetRequestedInterval(one, interval)
 		require.Len(t, p.Due(start), 1)
 		for i := range heard {
 			now := start.Add(time.Duration(i) * EagerInterval)
-			p.Heard(now, one)
+			p.MarkSeen(now, one)
 			if i > 0 && len(p.Due(now)) > 0 {
 				heard[i] = true
 			}
@@ -152,7 +152,7 @@
 	for i, a := range addresses {
 		p.Add(start, a)
 		if i < 20 {
-			p.Heard(start, a)
+			p.MarkSeen(start, a)
 		}
 	}
 	seen := make(map[netip.AddrPort]int)
@@ -174,13 +174,13 @@
 		senders   int
 		near, far time.Duration
 	}{
-		{11, LivelyInterval, LivelyInterval},
+		{11, MinInterval, MinInterval},
 		{45, time.Second, time.Second},
 		{90, 2 * time.Second, 8 * time.Second},
 		{3300, 73333333333, 4 * 73333333333},
 		{20_000, MaxInterval, MaxInterval},
 	} {
 		require.Equal(t, c.near, IntervalFor(c.senders))
-		require.Equal(t, c.far, FarIntervalFor(c.senders))
+		require.Equal(t, c.far, RemoteIntervalFor(c.senders))
 	}
 }
--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -178,7 +178,7 @@
 
 // announceLocked tells every balancer at once. a.mu is held.
 func (a *Agent) announceLocked(now time.Time) {
-	a.balancers.Now()
+	a.balancers.MakeAllDue()
 	a.announceDue(now)
 }
 
@@ -249,7 +249,7 @@
 func (a *Agent) heardFrom(now time.Time, from netip.AddrPort) {
 	cutOff := !a.lastHeard.IsZero() && now.Sub(a.lastHeard) > cutOffAfter
 	a.lastHeard = now
-	if a.balancers.Heard(now, from) {
+	if a.balancers.MarkSeen(now, from) {
 		a.noteRegained(from)
 		a.tell(now, from)
 	}
@@ -268,8 +268,8 @@
 		a.tell(now, from)
 	}
 	a.table.Usual(r.Usual)
-	a.balancers.Wants(from, milliseconds(r.IntervalMs))
-	a.balancers.Says(from, answeredAnnouncements*a.balancers.IntervalTo(from))
+	a.balancers.SetRequestedInterval(from, milliseconds(r.IntervalMs))
+	a.balancers.SetSendInterval(from, answeredAnnouncements*a.balancers.IntervalTo(from))
 	if a.know(now, decodeAddresses(r.Balancers)) {
 		// Those that the agent knew already hear of it when their turn comes: telling all of them for each one that is new would be the square
 		// of their number in messages.
--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -85,7 +85,7 @@
 		line = line.Dur("rest_ms", time.Until(j.Until))
 	}
 	line.Msg("the target's failures were judged")
-	o.a.balancers.Now()
+	o.a.balancers.MakeAllDue()
 }
 
 func (o *agentOutput) counter(k decisionKey) tally.Counter {
--- a/pkg/dsrd/balancer.go
+++ b/pkg/dsrd/balancer.go
@@ -161,7 +161,7 @@
 			return
 		}
 		b.mu.Lock()
-		open := b.core.Open(time.Now(), quietTime)
+		open := b.core.OpenFlows(time.Now(), quietTime)
 		b.mu.Unlock()
 		if open == 0 && time.Since(began) >= rotationTime {
 			break
@@ -191,7 +191,7 @@
 		return errors.New("no configuration yet")
 	}
 	// Callers of a cut-off balancer are better served by another.
-	if now.Sub(b.core.LastHeard()) > dispatch.IsolatedAfter && now.Sub(b.started) >= readyWithoutAgents {
+	if now.Sub(b.core.LastSeen()) > dispatch.IsolatedAfter && now.Sub(b.started) >= readyWithoutAgents {
 		return errors.New("no agent is heard of")
 	}
 	if _, ready := b.core.Agents(now); ready == 0 && now.Sub(b.started) < readyWithoutAgents {
@@ -254,9 +254,9 @@
 	}
 	if m.Announcement != nil {
 		b.agents.Add(now, from)
-		b.agents.Says(from, milliseconds(m.Announcement.IntervalMs))
+		b.agents.SetSendInterval(from, milliseconds(m.Announcement.IntervalMs))
 	}
-	if b.agents.Heard(now, from) {
+	if b.agents.MarkSeen(now, from) {
 		b.regainedAgents = append(b.regainedAgents, from)
 	}
 	b.core.FromAgent(now, from, m)
--- a/pkg/dsrd/balancer_output.go
+++ b/pkg/dsrd/balancer_output.go
@@ -74,7 +74,7 @@
 		Run:         r.Run,
 	})
 	o.b.log.Warn().Str("op", "refuse").Str("record", id).Uint64("flow", r.Hash).Stringer("caller", r.Key.Source).
-		Stringer("destination", r.Key.Destination).Str("service", r.Service).Str("reason", string(r.Reason)).Str("run", string(r.Run)).Bool("told", r.Told).
+		Stringer("destination", r.Key.Destination).Str("service", r.Service).Str("reason", string(r.Reason)).Str("run", string(r.Run)).Bool("told", r.Notified).
 		Int("tried", r.Tried).Dur("waited_ms", r.Waited).Uint64("configuration", configuration.ShownVersion(r.Configuration)).Msg("flow refused")
 }
 
--- a/pkg/dsrd/cleanup_test.go
+++ b/pkg/dsrd/cleanup_test.go
@@ -30,7 +30,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), cleanupInterval+time.Minute)
 				defer cancel()
 				for _, a := range c.peers {
-					b.balancers.Heard(time.Now().Add(cleanupInterval), a)
+					b.balancers.MarkSeen(time.Now().Add(cleanupInterval), a)
 				}
 				require.ErrorIs(t, b.cleanUp(ctx), context.DeadlineExceeded)
 				items, _, err := s.List(t.Context(), old)
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -56,8 +56,8 @@
 	version, age, checked := b.keeper.state(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.Awake(now)
-	agentLost.log(b.log, b.agents.Lost(now))
+	b.core.MarkRunning(now)
+	agentLost.log(b.log, b.agents.NewlySilent(now))
 	agentRegained.log(b.log, b.regainedAgents)
 	b.regainedAgents = b.regainedAgents[:0]
 	b.logBalancers(now)
@@ -89,9 +89,9 @@
 
 // forget drops what is kept of processes that were silent for long. b.mu is held.
 func (b *Balancer) forget(now time.Time) {
-	b.agents.Forget(now)
-	maps.DeleteFunc(b.welcomed, func(a netip.AddrPort, _ time.Time) bool { return !b.agents.Knows(a) })
-	maps.DeleteFunc(b.readers, func(a netip.AddrPort, _ uint32) bool { return !b.balancers.Knows(a) })
+	b.agents.Expire(now)
+	maps.DeleteFunc(b.welcomed, func(a netip.AddrPort, _ time.Time) bool { return !b.agents.Contains(a) })
+	maps.DeleteFunc(b.readers, func(a netip.AddrPort, _ uint32) bool { return !b.balancers.Contains(a) })
 }
 
 // gossipAtOnce tells balancers now that the configuration was checked or has changed: all of them in a small deployment, in a larger
@@ -134,10 +134,10 @@
 	if r == nil || from == b.self {
 		return
 	}
-	if b.balancers.Heard(now, from) {
+	if b.balancers.MarkSeen(now, from) {
 		b.noteRegained(from)
 	}
-	b.balancers.Says(from, milliseconds(r.IntervalMs))
+	b.balancers.SetSendInterval(from, milliseconds(r.IntervalMs))
 	if r.ReadsPerSecond > 0 {
 		b.readers[from] = r.ReadsPerSecond
 	}
@@ -203,7 +203,7 @@
 	b.welcomed[from] = now
 	m := b.welcomeMessage(now, service)
 	if a.DataCentre != b.cfg.DataCentre {
-		m.Roster.IntervalMs = uint32(roster.FarIntervalFor(b.agents.Len()) / time.Millisecond)
+		m.Roster.IntervalMs = uint32(roster.RemoteIntervalFor(b.agents.Len()) / time.Millisecond)
 	}
 	if a.Joined {
 		// An agent that has heard of this balancer lately knows most others.
@@ -212,7 +212,7 @@
 	if a.State != dsrpb.State_STATE_ABSENT {
 		m.Roster.HealthPath = ""
 	}
-	m.Roster.Usual = b.core.Usual(now, from)
+	m.Roster.Usual = b.core.MedianResponses(now, from)
 	b.send(from, m)
 }
 
@@ -225,7 +225,7 @@
 // tellHealthPaths tells agents without a target how to ask it whether it is ready, which they learn from the configuration.
 // b.mu is held.
 func (b *Balancer) tellHealthPaths(now time.Time) {
-	for _, a := range b.core.WithoutTarget(now) {
+	for _, a := range b.core.AgentsWithoutTarget(now) {
 		b.send(a.Address, b.welcomeMessage(now, a.Service))
 	}
 }
--- a/pkg/dsrd/log_volume_test.go
+++ b/pkg/dsrd/log_volume_test.go
@@ -59,7 +59,7 @@
 				o.Decided(dispatch.Decision{Event: dispatch.EventPlaced, Key: key, Hash: key.Hash(), Service: "manifest-post-service", Agent: key.Source, Load: 1.0 / 3, Tried: 2})
 			}
 			for range refusedBy / int(time.Second/step) {
-				o.Refused(dispatch.Refusal{Key: key, Hash: key.Hash(), Service: "manifest-post-service", Reason: refusal.ReasonAllFull, Run: refusal.RunNo, Told: true, Tried: 5})
+				o.Refused(dispatch.Refusal{Key: key, Hash: key.Hash(), Service: "manifest-post-service", Reason: refusal.ReasonAllFull, Run: refusal.RunNo, Notified: true, Tried: 5})
 			}
 			time.Sleep(step)
 		}
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -83,7 +83,7 @@
 	a := &Agent{node: testNode(t)}
 	a.table = ownership.NewTable(ownership.Config{}, dsrtest.Codec{}, nil, a.started)
 	now := a.started
-	a.balancers.Heard(now, known.address())
+	a.balancers.MarkSeen(now, known.address())
 	a.announceDue(now)
 	require.Len(t, known.received(), 1)
 	a.welcomed(now, known.address(), &dsrpb.Roster{Balancers: encodeAddresses([]netip.AddrPort{known.address(), fresh.address()})})
@@ -96,13 +96,13 @@
 	peer := newListener(t)
 	b := testBalancer(t)
 	now := b.started
-	b.balancers.Heard(now, peer.address())
+	b.balancers.MarkSeen(now, peer.address())
 	for _, a := range strangers(58) {
-		b.balancers.Heard(now, a)
+		b.balancers.MarkSeen(now, a)
 	}
-	b.agents.Heard(now, strangers(1)[0])
+	b.agents.MarkSeen(now, strangers(1)[0])
 	interval := uint32(b.balancers.IntervalTo(peer.address()) / time.Millisecond)
-	require.Greater(t, interval, uint32(roster.LivelyInterval/time.Millisecond))
+	require.Greater(t, interval, uint32(roster.MinInterval/time.Millisecond))
 	b.tellAgents(now, peer.address())
 	b.tell(now, []netip.AddrPort{peer.address()}, b.gossipMessage(1, 0, true))
 	sent := peer.received()
@@ -117,7 +117,7 @@
 	b := testBalancer(t)
 	agents := strangers(400)
 	for _, a := range agents {
-		b.agents.Heard(b.started, a)
+		b.agents.MarkSeen(b.started, a)
 	}
 	b.tellAgents(b.started, peer.address())
 	var named []netip.AddrPort
@@ -131,12 +131,12 @@
 	b := testBalancer(t)
 	now := b.started
 	for _, a := range strangers(100) {
-		b.agents.Heard(now, a)
+		b.agents.MarkSeen(now, a)
 		b.welcomed[a] = now
-		b.balancers.Heard(now, a)
+		b.balancers.MarkSeen(now, a)
 		b.readers[a] = 1
 	}
-	later := now.Add(roster.ForgetAfter + time.Second)
+	later := now.Add(roster.ExpireAfter + time.Second)
 	b.balancers.Due(later)
 	b.forget(later)
 	require.Empty(t, b.welcomed)
@@ -152,10 +152,10 @@
 	b := testBalancer(t)
 	now := b.started
 	for _, a := range strangers(490) {
-		b.balancers.Heard(now, a)
+		b.balancers.MarkSeen(now, a)
 	}
 	for _, a := range strangers(3300) {
-		b.agents.Heard(now, a)
+		b.agents.MarkSeen(now, a)
 	}
 	size := func(m *dsrpb.Message) float64 { return float64(m.SizeVT() + udpHeader) }
 	evacuated := &dsrpb.Evacuations{Version: 1 << 30, DataCentres: []string{"ain-ghazal-hall"}}
@@ -184,7 +184,7 @@
 		near  = 1.0 / 7
 	)
 	agents := float64(b.agents.Len())
-	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.FarIntervalFor(b.agents.Len()).Seconds()) / early
+	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
 	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(strangers(1)[0]).Seconds() / early
 	perSecond := heard*size(announced) + heard/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
 	require.LessOrEqual(t, perSecond, 12_000.0)
--- a/pkg/dsrd/node.go
+++ b/pkg/dsrd/node.go
@@ -115,7 +115,7 @@
 
 // logBalancers logs which balancers were lost and regained since the last call. n.mu is held.
 func (n *node) logBalancers(now time.Time) {
-	balancerLost.log(n.log, n.balancers.Lost(now))
+	balancerLost.log(n.log, n.balancers.NewlySilent(now))
 	balancerRegained.log(n.log, n.regained)
 	n.regained = n.regained[:0]
 }
--- a/pkg/dsrd/spread_test.go
+++ b/pkg/dsrd/spread_test.go
@@ -42,7 +42,7 @@
 	for _, node := range w.order {
 		for _, other := range w.order {
 			if other != node {
-				node.peers.Heard(w.now, other.address)
+				node.peers.MarkSeen(w.now, other.address)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 			out = append(out, w.nodes[a])
 		}
 	}
-	if w.random.Float64() < roster.SentMessages*spreadStep.Seconds() {
+	if w.random.Float64() < roster.SendRate*spreadStep.Seconds() {
 		out = append(out, w.order[w.random.IntN(len(w.order))])
 	}
 	return out
