--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/warmup"
 )
 
-// agent is what the balancer believes of one agent and its target.
+// agent is the balancer's view of an agent and its target.
 type agent struct {
 	addr        netip.AddrPort
 	dataCentre  string
@@ -19,74 +19,75 @@
 	state       dsrpb.State
 	slots       int
 	incarnation uint64
-	// started is when the balancer first heard of the agent's incarnation.
-	started time.Time
-	heard   time.Time
-	// interval is the time between two announcements, as the agent says.
+	// started is when the balancer received the first announcement of the agent's current incarnation.
+	started  time.Time
+	lastSeen time.Time
+	// interval is the time between two announcements, as reported by the agent.
 	interval time.Duration
-	// busy is what the agent last reported, reported when; asked is the number of flows offered since then.
+	// busy is the number of requests that the target was working on or had queued at the last report, reported the time
+	// of that report, and offered the number of flows offered since then.
 	busy     int
 	reported time.Time
-	asked    int
-	// work is how long its target lately took for a request; 0 when the agent does not know.
-	work time.Duration
-	// rate is the number of new flows that its target lately got in a second.
+	offered  int
+	// workTime is the target's recent time per request, as reported; 0 when the agent does not know it.
+	workTime time.Duration
+	// rate is the target's reported rate of new flows, per second.
 	rate float64
-	// cold is what its target takes while it warms up.
-	cold warmup.Limit
-	// answers are the least of its target's last answers, by the hash of the address.
-	answers map[uint32]outlier.Response
-	// failing is set while the agent's target fails more than a healthy one, as the agent says.
+	// coldLimit is the reported limit on new flows while the target warms up.
+	coldLimit warmup.Limit
+	// responses are the minimum response times and sizes of the target, by the hash of the address.
+	responses map[uint32]outlier.Response
+	// failing is set while the agent reports that its target fails more requests than a healthy one.
 	failing bool
-	// suspect is set when the agent left a packet unanswered, until it is heard of again.
+	// suspect is set when the agent left an offer unanswered, until its next message.
 	suspect bool
 }
 
-// silence is how long the agent may say nothing until it is not used any more. A dead one is found earlier, by the first offer that
-// it does not answer.
-func (a *agent) silence() time.Duration {
-	return max(AgentSilenceTimeout, silentAnnouncements*a.interval)
+// silenceTimeout is how long the agent may be silent before it is no longer used. A dead one is noticed earlier, by the
+// first offer that it does not answer.
+func (a *agent) silenceTimeout() time.Duration {
+	return max(AgentSilenceTimeout, silentIntervals*a.interval)
 }
 
-// alive reports whether the agent was heard of lately.
-func (a *agent) alive(now time.Time) bool { return now.Sub(a.heard) <= a.silence() }
+func (a *agent) isAlive(now time.Time) bool { return now.Sub(a.lastSeen) <= a.silenceTimeout() }
 
-// takes reports whether the agent is worth asking about a new flow.
-func (a *agent) takes(now time.Time) bool {
-	return a.state == dsrpb.State_STATE_READY && a.alive(now)
+// canAccept reports whether a new flow may be offered to the agent.
+func (a *agent) canAccept(now time.Time) bool {
+	return a.state == dsrpb.State_STATE_READY && a.isAlive(now)
 }
 
-// report takes over what every message of an agent names: the load and the pace of its target.
-func (a *agent) report(now time.Time, m *dsrpb.Message) {
-	a.busy, a.reported, a.asked = int(m.Busy), now, 0
-	a.work = time.Duration(m.WorkUs) * time.Microsecond
-	a.cold = coldOf(now, m.Cold)
+// recordReport records the target's state, which every message of an agent carries.
+func (a *agent) recordReport(now time.Time, m *dsrpb.Message) {
+	a.busy, a.reported, a.offered = int(m.Busy), now, 0
+	a.workTime = time.Duration(m.WorkUs) * time.Microsecond
+	a.coldLimit = coldLimitOf(now, m.Cold)
 	a.rate = float64(m.FlowsPerSecond)
-	a.heard, a.suspect = now, false
+	a.lastSeen, a.suspect = now, false
 }
 
-// load estimates the target's requests for each of its slots, one new one included. Slots that were busy when the agent last
-// reported become free at the target's pace.
+// load estimates the target's requests per slot, including one new request. Slots that were busy at the last report are
+// assumed to become free at the target's reported rate of work.
 func (a *agent) load(now time.Time) float64 {
 	slots := float64(max(1, a.slots))
-	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.work, InitialWorkTime))
-	return (max(0, float64(a.busy)-freed) + float64(a.asked) + 1) / slots
+	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.workTime, InitialWorkTime))
+	return (max(0, float64(a.busy)-freed) + float64(a.offered) + 1) / slots
 }
 
-// finish estimates the time until the target has answered one more request.
-func (a *agent) finish(now time.Time, usual time.Duration) time.Duration {
-	work := cmp.Or(a.work, usual)
+// completionTime estimates the time until the target has answered one more request. The typical work time of the
+// service stands in for one that the agent does not know.
+func (a *agent) completionTime(now time.Time, typical time.Duration) time.Duration {
+	work := cmp.Or(a.workTime, typical)
 	finish := time.Duration(max(1, a.load(now)) * float64(work))
-	if !a.cold.Holds(now) {
+	if !a.coldLimit.Holds(now) {
 		return finish
 	}
-	ahead := max(0, a.busy-a.slots) + a.asked
-	return max(finish, a.coldNow(now).Wait(now, ahead, 0)+work)
+	ahead := max(0, a.busy-a.slots) + a.offered
+	return max(finish, a.coldLimitAt(now).Wait(now, ahead, 0)+work)
 }
 
-// free reports whether the target seems to have a free slot, and room for a new flow while it is cold.
-func (a *agent) free(now time.Time) bool {
-	if a.cold.Holds(now) && a.coldNow(now).Room <= a.asked {
+// hasFreeSlot reports whether the target is estimated to have a free slot and, while it is cold, room for a new flow.
+func (a *agent) hasFreeSlot(now time.Time) bool {
+	if a.coldLimit.Holds(now) && a.coldLimitAt(now).Room <= a.offered {
 		return false
 	}
 	return a.load(now) <= 1
--- a/pkg/dsr/dispatch/agents.go
+++ b/pkg/dsr/dispatch/agents.go
@@ -9,10 +9,10 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
 )
 
-// Agents is the number of living agents, and of those whose targets take new flows.
+// Agents returns the number of living agents, and of those whose targets take new flows.
 func (b *Balancer) Agents(now time.Time) (living, ready int) {
 	for _, a := range b.order {
-		if a.alive(now) {
+		if a.isAlive(now) {
 			living++
 			if a.state == dsrpb.State_STATE_READY {
 				ready++
@@ -22,10 +22,9 @@
 	return living, ready
 }
 
-// LastSeen is when any agent was last heard of; the start when none was.
-func (b *Balancer) LastSeen() time.Time { return b.lastHeard }
+// LastSeen returns the time of the last message of any agent, or the start time when there was none.
+func (b *Balancer) LastSeen() time.Time { return b.lastSeen }
 
-// AgentService names an agent and its service.
 type AgentService struct {
 	Address netip.AddrPort
 	Service string
@@ -35,7 +34,7 @@
 func (b *Balancer) AgentsWithoutTarget(now time.Time) []AgentService {
 	var out []AgentService
 	for _, a := range b.order {
-		if a.alive(now) && a.state == dsrpb.State_STATE_ABSENT {
+		if a.isAlive(now) && a.state == dsrpb.State_STATE_ABSENT {
 			out = append(out, AgentService{Address: a.addr, Service: a.service})
 		}
 	}
@@ -46,32 +45,30 @@
 func (b *Balancer) AgentsOf(now time.Time, dataCentre string) []AgentService {
 	var out []AgentService
 	for _, a := range b.order {
-		if a.alive(now) && a.dataCentre == dataCentre {
+		if a.isAlive(now) && a.dataCentre == dataCentre {
 			out = append(out, AgentService{Address: a.addr, Service: a.service})
 		}
 	}
 	return out
 }
 
-// report takes over what every message of an agent names.
-func (b *Balancer) report(now time.Time, a *agent, m *dsrpb.Message) {
-	b.lastHeard = now
-	a.report(now, m)
-	b.learnWork(a)
+func (b *Balancer) recordReport(now time.Time, a *agent, m *dsrpb.Message) {
+	b.lastSeen = now
+	a.recordReport(now, m)
+	b.recordWorkTime(a)
 }
 
-// join puts an agent among those of its service.
-func (b *Balancer) join(a *agent, service string) {
+// addToService lists an agent under a service, and no longer under its previous one.
+func (b *Balancer) addToService(a *agent, service string) {
 	if a.service == service && slices.Contains(b.services[service], a) {
 		return
 	}
-	b.leave(a)
+	b.removeFromService(a)
 	a.service = service
 	b.services[service] = append(b.services[service], a)
 }
 
-// leave takes an agent from those of its service.
-func (b *Balancer) leave(a *agent) {
+func (b *Balancer) removeFromService(a *agent) {
 	rest := slices.DeleteFunc(b.services[a.service], func(other *agent) bool { return other == a })
 	b.services[a.service] = rest
 	if len(rest) == 0 {
@@ -79,7 +76,7 @@
 	}
 }
 
-// announced takes an agent's word about itself.
+// announced applies an agent's announcement.
 func (b *Balancer) announced(now time.Time, from netip.AddrPort, a *agent, m *dsrpb.Message) {
 	n := m.Announcement
 	if n == nil {
@@ -90,19 +87,19 @@
 		b.agents[from] = a
 		b.order = append(b.order, a)
 	}
-	// Incarnations have no order, since the time of day may jump: one that differs is taken for the present one. A late
-	// datagram of an earlier life is corrected by the next announcement.
+	// Incarnations have no order, since the wall clock may jump: one that differs is taken for the current one. A late
+	// datagram of an earlier incarnation is corrected by the next announcement.
 	if n.Incarnation != a.incarnation {
 		a.started = now
 	}
 	before := a.state
 	// The message refers to the receive buffer.
 	a.dataCentre, a.region = strings.Clone(n.DataCentre), strings.Clone(n.Region)
-	b.join(a, strings.Clone(m.Service))
+	b.addToService(a, strings.Clone(m.Service))
 	a.state, a.slots, a.incarnation, a.failing = n.State, int(n.Slots), n.Incarnation, n.Failing
-	a.answers = answersOf(n.Answers)
+	a.responses = responsesOf(n.Answers)
 	a.interval = min(time.Duration(n.IntervalMs)*time.Millisecond, MaxAnnounceInterval)
-	b.report(now, a, m)
+	b.recordReport(now, a, m)
 	if a.state == dsrpb.State_STATE_READY && before != a.state {
 		b.retryParked(now, false)
 	}
--- a/pkg/dsr/dispatch/answers.go
+++ b/pkg/dsr/dispatch/answers.go
@@ -8,28 +8,28 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// accepted notes that a target holds the flow.
+// accepted records that a target holds the flow.
 func (b *Balancer) accepted(now time.Time, f *flowState, from netip.AddrPort, m *dsrpb.Message) {
 	if a := b.agents[from]; a != nil && f.service == "" {
 		f.service = a.service
 	}
 	if f.phase == opening && f.asked == from {
-		b.learnAnswer(now, f)
+		b.recordAnswerTime(now, f)
 	}
 	f.addOwner(owner{agent: from, hasSequence: m.HasSequence, sequence: m.Reference})
-	if f.phase == open || f.phase == refused || !b.claimed(f) {
+	if f.phase == open || f.phase == refused || !b.hasChosenOwner(f) {
 		return
 	}
 	event := EventPlaced
 	if f.phase == locating || f.phase == probing {
 		event = EventLocated
 	}
-	b.decided(now, event, f, from, m.Verdict)
+	b.reportDecision(now, event, f, from, m.Verdict)
 	b.opened(now, f)
 }
 
-// claimed reports whether a known owner is the one that the caller chose, as far as its waiting packets tell.
-func (b *Balancer) claimed(f *flowState) bool {
+// hasChosenOwner reports whether the target that the caller chose is a known owner, as far as the held packets show.
+func (b *Balancer) hasChosenOwner(f *flowState) bool {
 	if len(f.held) == 0 {
 		return true
 	}
@@ -41,11 +41,11 @@
 	return ok
 }
 
-// opened sends what waited for the owner.
+// opened marks the flow as open and sends the packets that were held for its owner.
 func (b *Balancer) opened(now time.Time, f *flowState) {
 	f.phase, f.since = open, now
 	f.packet, f.tried, f.failed = nil, nil, nil
-	f.unknown, f.unasked, f.unanswered, f.handed = nil, nil, nil, nil
+	f.undetermined, f.unasked, f.unanswered, f.probedAgents = nil, nil, nil, nil
 	held := f.held
 	f.held = nil
 	for _, raw := range held {
@@ -56,11 +56,11 @@
 	}
 }
 
-// returned takes the word of an agent that it did not take a packet.
+// returned handles an agent's message that it did not take a packet.
 func (b *Balancer) returned(now time.Time, f *flowState, from netip.AddrPort, m *dsrpb.Message) {
 	if m.Verdict == dsrpb.Verdict_VERDICT_RESET {
 		f.owners = nil
-		b.record(now, f, refusal.ReasonTargetDied, refusal.RunUnknown, true)
+		b.recordRefusal(now, f, refusal.ReasonTargetDied, refusal.RunUnknown, true)
 		return
 	}
 	if m.Verdict == dsrpb.Verdict_VERDICT_NOT_HELD || len(m.Packet) > 0 {
@@ -71,13 +71,13 @@
 		return
 	}
 	if f.phase == opening && m.Verdict != dsrpb.Verdict_VERDICT_SILENT {
-		b.learnAnswer(now, f)
+		b.recordAnswerTime(now, f)
 	}
 	if m.Verdict == dsrpb.Verdict_VERDICT_QUEUED {
 		f.phase = queued
 		return
 	}
-	b.decided(now, EventDeclined, f, from, m.Verdict)
+	b.reportDecision(now, EventDeclined, f, from, m.Verdict)
 	switch m.Verdict {
 	case dsrpb.Verdict_VERDICT_STALE:
 		b.park(now, f)
@@ -89,19 +89,19 @@
 	case dsrpb.Verdict_VERDICT_BUSY:
 	default:
 		f.failed = append(f.failed, from)
-		if a := b.agents[from]; a != nil && takesNone(m.Verdict) {
+		if a := b.agents[from]; a != nil && declinesAllFlows(m.Verdict) {
 			a.state = dsrpb.State_STATE_LEAVING
 		}
 	}
 	b.offerNext(now, f)
 }
 
-// takesNone reports whether an agent that gives a verdict takes no other new flow either.
-func takesNone(v dsrpb.Verdict) bool {
+// declinesAllFlows reports whether an agent that gives this verdict declines every new flow.
+func declinesAllFlows(v dsrpb.Verdict) bool {
 	return v == dsrpb.Verdict_VERDICT_LEAVING || v == dsrpb.Verdict_VERDICT_EVACUATED
 }
 
-// notHeld takes a packet back whose flow the agent's target does not hold.
+// notHeld takes back a packet of a flow that the agent's target does not hold.
 func (b *Balancer) notHeld(now time.Time, f *flowState, from netip.AddrPort, m *dsrpb.Message) {
 	f.dropOwner(from)
 	if f.phase == probing && f.asked == from {
--- a/pkg/dsr/dispatch/balancer.go
+++ b/pkg/dsr/dispatch/balancer.go
@@ -14,54 +14,56 @@
 	"github.com/auburnwood/auburnwood/pkg/limit"
 )
 
-// due is a flow that has to be looked at at a time.
+// due is a flow with the time of its next check.
 type due struct {
 	flow *flowState
 	at   time.Time
-	// begun is when the phase began that the entry belongs to, where a flow may have entered it again since.
-	begun time.Time
+	// phaseStart is the start of the phase that the entry belongs to; the flow may have entered that phase again since.
+	phaseStart time.Time
 }
 
-// Balancer holds the flows and agents that one balancer knows. It is not safe for concurrent use.
+// Balancer holds the state of all flows and agents of one balancer. It is not safe for concurrent use.
 type Balancer struct {
 	cfg     Config
 	codec   segment.Codec
 	out     Output
 	started time.Time
 	routes  *routing.Table
-	// evacuations are the data centres whose targets take no new flows.
+	// evacuations are the data centres whose targets get no new flows.
 	evacuations evacuation.Set
 	agents      map[netip.AddrPort]*agent
-	// order keeps the order in which agents came, so that every walk is the same; services has those of each service, in order too.
+	// order lists the agents in order of arrival, so that iteration is deterministic; services does so by service.
 	order    []*agent
 	services map[string][]*agent
-	// candidates is the space of the agents among which one is chosen.
+	// candidates is the reused buffer of eligibleAgents.
 	candidates []*agent
-	// lastHeard is when any agent was last heard of.
-	lastHeard time.Time
-	flows     map[flow.Key]*flowState
-	// hedges, locates, probes, later and parks are queues by time: entries of one wait the same, or nearly so.
-	hedges  []due
-	locates []due
-	probes  []due
-	later   []due
-	parks   []due
-	swept   time.Time
-	// searchMessages is the number of messages that searches may send now, searchedAt when it was worked out.
-	searchMessages float64
-	searchedAt     time.Time
-	// awake is the last call of Awake; until doubted, packets may have waited in the socket.
-	awake   time.Time
-	doubted time.Time
-	// hedgeBudget bounds the unanswered offers about which the next agent is asked.
+	// lastSeen is the time of the last message of any agent.
+	lastSeen time.Time
+	flows    map[flow.Key]*flowState
+	// hedges, locates, probes, secondSearches and parkedFlows are queues in order of time: all entries of one queue
+	// have (nearly) the same delay.
+	hedges         []due
+	locates        []due
+	probes         []due
+	secondSearches []due
+	parkedFlows    []due
+	lastSweep      time.Time
+	// searchBudget is the number of messages that searches may send, as of searchBudgetAt.
+	searchBudget   float64
+	searchBudgetAt time.Time
+	// lastRunning is the time of the last call of MarkRunning. Until backlogUntil, packets may have waited in the
+	// socket during a stall.
+	lastRunning  time.Time
+	backlogUntil time.Time
+	// hedgeBudget limits the unanswered offers that are followed by an offer to the next agent.
 	hedgeBudget *limit.Budget
-	// answer learns how long agents take to answer an offer, works the usual work of each service.
-	answer estimate.Latency
-	works  map[string]*estimate.Mean
-	// spreads compare the own data centre with others, by service.
+	// answerLatency estimates how long agents take to answer an offer, workTimes the mean work time of each service.
+	answerLatency estimate.Latency
+	workTimes     map[string]*estimate.Mean
+	// spreads compares the load of the balancer's data centre with that of all, by service.
 	spreads map[string]spread
-	// usual are the least answers of the median target of a service.
-	usual map[usualKey]usualAnswer
+	// medians caches the median of the minimum responses, by service and address.
+	medians map[responseKey]medianResponse
 
 	message dsrpb.Message
 }
@@ -76,22 +78,23 @@
 		started: now,
 		agents:  make(map[netip.AddrPort]*agent),
 
-		services:  make(map[string][]*agent),
-		lastHeard: now,
+		services: make(map[string][]*agent),
+		lastSeen: now,
 
-		flows:   make(map[flow.Key]*flowState),
-		works:   make(map[string]*estimate.Mean),
-		spreads: make(map[string]spread),
-		usual:   make(map[usualKey]usualAnswer),
-		swept:   now,
+		flows:     make(map[flow.Key]*flowState),
+		workTimes: make(map[string]*estimate.Mean),
+		spreads:   make(map[string]spread),
+		medians:   make(map[responseKey]medianResponse),
+		lastSweep: now,
 
-		searchMessages: SearchBurst,
-		searchedAt:     now,
+		searchBudget:   SearchBurst,
+		searchBudgetAt: now,
 		hedgeBudget:    limit.NewBudget(HedgeRatio, HedgeBurst),
 	}
 }
 
-// SetRoutes takes a configuration into force. An older one than that in force is left out.
+// SetRoutes puts a configuration in force. It ignores one that is not newer than the one in force, and reports whether
+// it was applied.
 func (b *Balancer) SetRoutes(now time.Time, t *routing.Table) bool {
 	if b.routes != nil && t.Version() <= b.routes.Version() {
 		return false
@@ -101,7 +104,8 @@
 	return true
 }
 
-// SetEvacuations takes the evacuated data centres into force. An earlier set than that in force is left out.
+// SetEvacuations puts a set of evacuated data centres in force. It ignores a set that does not replace the one in
+// force, and reports whether it was applied.
 func (b *Balancer) SetEvacuations(now time.Time, s evacuation.Set) bool {
 	if !s.Replaces(b.evacuations) {
 		return false
@@ -111,16 +115,16 @@
 	return true
 }
 
-// Evacuations are the evacuated data centres.
 func (b *Balancer) Evacuations() evacuation.Set { return b.evacuations }
 
-// Routes is the configuration in force, or nil.
+// Routes returns the configuration in force, or nil.
 func (b *Balancer) Routes() *routing.Table { return b.routes }
 
-// Flows is the number of flows that are known.
+// Flows returns the number of tracked flows.
 func (b *Balancer) Flows() int { return len(b.flows) }
 
-// OpenFlows is the number of flows that saw a packet within the time and have not been closed by their caller.
+// OpenFlows returns the number of flows with a packet of the caller within the given time that are neither closed by
+// their caller nor refused.
 func (b *Balancer) OpenFlows(now time.Time, within time.Duration) int {
 	n := 0
 	for _, f := range b.flows {
@@ -131,21 +135,22 @@
 	return n
 }
 
-// MarkRunning notes that the process runs; it is called every 50 ms. A process that was stopped, or whose VM stood still, then finds
-// packets in its socket that look new: their copies may have opened flows by way of other balancers, which must not be reset.
+// MarkRunning records that the process runs; it must be called every 50 ms. After a stall of the process or its VM,
+// packets in the socket look new although their retransmissions may have opened flows through other balancers; these
+// flows must not be reset.
 func (b *Balancer) MarkRunning(now time.Time) {
-	b.noteStandstill(now)
-	b.awake = now
+	b.detectStall(now)
+	b.lastRunning = now
 }
 
-// noteStandstill begins the time of doubt when the process has not run.
-func (b *Balancer) noteStandstill(now time.Time) {
-	if !b.awake.IsZero() && now.Sub(b.awake) > StallThreshold {
-		b.doubted = now.Add(StallBacklogTime)
+// detectStall starts the backlog period when the process has not run for longer than StallThreshold.
+func (b *Balancer) detectStall(now time.Time) {
+	if !b.lastRunning.IsZero() && now.Sub(b.lastRunning) > StallThreshold {
+		b.backlogUntil = now.Add(StallBacklogTime)
 	}
 }
 
-// FromCaller takes a packet of a caller.
+// FromCaller handles a packet of a caller.
 func (b *Balancer) FromCaller(now time.Time, s segment.Segment) {
 	key := s.CallerKey()
 	f := b.flows[key]
@@ -174,7 +179,7 @@
 	}
 }
 
-// toOwner sends a packet of an open flow to the agent that holds it.
+// toOwner sends a packet of an open flow to the agent whose target holds it, or searches for that agent.
 func (b *Balancer) toOwner(now time.Time, f *flowState, s segment.Segment) {
 	a, ok := f.ownerOf(s.Acknowledgement)
 	if !ok {
@@ -184,7 +189,7 @@
 	b.forward(now, f, a, s.Raw, true, dsrpb.Patience_PATIENCE_QUEUE)
 }
 
-// forward sends a caller's packet to an agent.
+// forward sends a caller's packet to an agent. With owns set, the agent's target is expected to hold the flow.
 func (b *Balancer) forward(now time.Time, f *flowState, to netip.AddrPort, raw []byte, owns bool, p dsrpb.Patience) {
 	service := f.service
 	if a := b.agents[to]; a != nil && owns {
@@ -206,11 +211,11 @@
 	b.out.ToAgent(to, &b.message)
 }
 
-// FromAgent takes a message of an agent.
+// FromAgent handles a message of an agent.
 func (b *Balancer) FromAgent(now time.Time, from netip.AddrPort, m *dsrpb.Message) {
 	a := b.agents[from]
 	if a != nil {
-		b.report(now, a, m)
+		b.recordReport(now, a, m)
 	}
 	if m.Configuration > b.routes.Version() {
 		b.out.Outdated(m.Configuration)
--- a/pkg/dsr/dispatch/balancer_test.go
+++ b/pkg/dsr/dispatch/balancer_test.go
@@ -27,17 +27,17 @@
 
 // sent is one message to an agent.
 type sent struct {
-	to       netip.AddrPort
-	kind     dsrpb.Kind
-	service  string
-	patience dsrpb.Patience
-	owner    bool
-	packet   string
-	opens    bool
-	age      time.Duration
+	to        netip.AddrPort
+	kind      dsrpb.Kind
+	service   string
+	queueMode dsrpb.Patience
+	owner     bool
+	packet    string
+	opens     bool
+	age       time.Duration
 }
 
-// recorder keeps what a balancer sends.
+// recorder records the output of a balancer.
 type recorder struct {
 	messages  []sent
 	resets    []flow.Key
@@ -47,7 +47,7 @@
 }
 
 func (r *recorder) ToAgent(to netip.AddrPort, m *dsrpb.Message) {
-	one := sent{to: to, kind: m.Kind, service: m.Service, patience: m.Patience, owner: m.Owner}
+	one := sent{to: to, kind: m.Kind, service: m.Service, queueMode: m.Patience, owner: m.Owner}
 	if s, err := (dsrtest.Codec{}).Decode(m.Packet); err == nil {
 		one.packet, one.opens, one.age = string(dsrtest.Data(m.Packet)), s.Opens(), s.Age
 	}
@@ -58,12 +58,12 @@
 func (r *recorder) Decided(d Decision)           { r.decisions = append(r.decisions, d) }
 func (r *recorder) Outdated(v uint64)            { r.outdated = v }
 
-// keyOf is the flow of a caller's port.
+// keyOf returns the key of the flow from a caller's port.
 func keyOf(port int) flow.Key {
 	return flow.Key{Source: caller(port), Destination: service, Protocol: flow.ProtocolTCP}
 }
 
-// fixture is a balancer in data centre dc-1, old enough to refuse.
+// fixture is a balancer in data centre dc-1 that started long enough ago to refuse flows.
 type fixture struct {
 	*testing.T
 	b   *Balancer
@@ -90,7 +90,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 7200)
 }
 
-// announce makes agent i known.
+// announce delivers an announcement of agent i.
 func (f *fixture) announce(i int, service, dataCentre string, state dsrpb.State, busy uint32) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: service, Busy: busy,
@@ -98,7 +98,7 @@
 	})
 }
 
-func (f *fixture) ready(i int, dataCentre string, busy uint32) {
+func (f *fixture) announceReady(i int, dataCentre string, busy uint32) {
 	f.announce(i, "route-svc", dataCentre, dsrpb.State_STATE_READY, busy)
 }
 
@@ -125,7 +125,7 @@
 	f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.ACK, Acknowledgement: ack, Data: []byte(text)})
 }
 
-// answer is an agent's answer about a caller's flow.
+// answer delivers an agent's answer about the flow from a caller's port.
 func (f *fixture) answer(i, port int, kind dsrpb.Kind, v dsrpb.Verdict, change func(*dsrpb.Message)) {
 	m := &dsrpb.Message{
 		Kind: kind, Verdict: v, Configuration: 5, Service: "route-svc",
@@ -147,27 +147,27 @@
 	f.answer(i, port, dsrpb.Kind_KIND_RETURNED, v, nil)
 }
 
-// take returns the messages since the last call.
-func (f *fixture) take() []sent {
+// takeSent returns the messages since the last call.
+func (f *fixture) takeSent() []sent {
 	m := f.out.messages
 	f.out.messages = nil
 	return m
 }
 
-// asked is the agent that the only message since the last call went to.
-func (f *fixture) asked() sent {
+// onlySent returns the single message since the last call.
+func (f *fixture) onlySent() sent {
 	f.Helper()
-	m := f.take()
+	m := f.takeSent()
 	require.Len(f, m, 1)
 	return m[0]
 }
 
-func TestANewFlowGoesToAFreeSlotOfTheSameDataCentre(t *testing.T) {
+func TestNewFlowPrefersAFreeSlotInTheSameDataCentre(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		near, near2, remote uint32
 		want                int
-		patience            dsrpb.Patience
+		queueMode           dsrpb.Patience
 	}{
 		{"near and free", 0, 1, 0, 1, dsrpb.Patience_PATIENCE_FREE_SLOT},
 		{"near and least busy", 1, 0, 0, 2, dsrpb.Patience_PATIENCE_FREE_SLOT},
@@ -176,96 +176,96 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.ready(1, "dc-1", c.near)
-			f.ready(2, "dc-1", c.near2)
-			f.ready(3, "dc-2", c.remote)
+			f.announceReady(1, "dc-1", c.near)
+			f.announceReady(2, "dc-1", c.near2)
+			f.announceReady(3, "dc-2", c.remote)
 			f.announce(4, "reports-svc", "dc-1", dsrpb.State_STATE_READY, 0)
 			f.announce(5, "route-svc", "dc-1", dsrpb.State_STATE_LEAVING, 0)
 			f.open(1)
-			m := f.asked()
+			m := f.onlySent()
 			require.Equal(t, agentAt(c.want), m.to)
-			require.Equal(t, c.patience, m.patience)
+			require.Equal(t, c.queueMode, m.queueMode)
 			require.Equal(t, "route-svc", m.service)
 		})
 	}
 }
 
-func TestPacketsFollowTheOwnerThatTheCallerChose(t *testing.T) {
+func TestPacketsGoToTheOwnerChosenByTheCaller(t *testing.T) {
 	for chosen, ack := range map[int]uint32{1: 1001, 2: 4_000_000_001} {
 		f := newFixture(t)
-		f.ready(1, "dc-1", 0)
-		f.ready(2, "dc-1", 0)
+		f.announceReady(1, "dc-1", 0)
+		f.announceReady(2, "dc-1", 0)
 		f.open(1)
-		first := f.asked().to
+		first := f.onlySent().to
 		f.pass(HedgeAfter)
-		second := f.asked().to
-		require.ElementsMatch(t, []netip.AddrPort{agentAt(1), agentAt(2)}, []netip.AddrPort{first, second}, "the next agent is asked when the first is silent")
+		second := f.onlySent().to
+		require.ElementsMatch(t, []netip.AddrPort{agentAt(1), agentAt(2)}, []netip.AddrPort{first, second}, "the next agent is asked when the first does not answer")
 		f.accept(1, 1, 1000)
 		f.accept(2, 1, 4_000_000_000)
 		f.data(1, ack, "GET")
-		m := f.asked()
+		m := f.onlySent()
 		require.Equal(t, agentAt(chosen), m.to)
 		require.True(t, m.owner)
 		f.data(1, ack+3_000_000_000, "GET")
-		require.Equal(t, agentAt(chosen), f.asked().to, "the numbers of a long flow move away")
+		require.Equal(t, agentAt(chosen), f.onlySent().to, "the sequence numbers of a long flow move away")
 	}
 }
 
 // The answer of the target that the caller chose may be the one that was lost.
-func TestAPacketForAnUnknownOwnerIsNotSentToAnother(t *testing.T) {
+func TestPacketForAnUnknownOwnerIsNotSentToAnother(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-1", 0)
 	f.open(1)
 	f.pass(HedgeAfter)
 	f.accept(1, 1, 1000)
-	f.take()
+	f.takeSent()
 	f.data(1, 4_000_000_001, "GET")
-	for _, m := range f.take() {
+	for _, m := range f.takeSent() {
 		require.Equal(t, dsrpb.Kind_KIND_LOCATE, m.kind)
 	}
 	f.answer(1, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, func(m *dsrpb.Message) { m.HasSequence, m.Reference = true, 1000 })
-	require.Empty(t, f.take(), "the half-open flow of the other target is not the caller's")
+	require.Empty(t, f.takeSent(), "the half-open flow of the other target is not the caller's")
 	f.answer(2, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, func(m *dsrpb.Message) { m.HasSequence, m.Reference = true, 4_000_000_000 })
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 }
 
-func TestPacketsBeforeTheAnswerWaitForTheOwner(t *testing.T) {
+func TestPacketsAreHeldUntilTheOwnerIsKnown(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.open(1)
-	f.take()
+	f.takeSent()
 	f.data(1, 1001, "one")
 	f.data(1, 1001, "two")
-	require.Empty(t, f.take())
+	require.Empty(t, f.takeSent())
 	f.accept(1, 1, 1000)
-	m := f.take()
+	m := f.takeSent()
 	require.Len(t, m, 2)
 	require.Equal(t, "one", m[0].packet)
 	require.Equal(t, "two", m[1].packet)
 }
 
-func TestAnUnansweredAgentIsSuspectUntilItSpeaks(t *testing.T) {
+func TestUnresponsiveAgentIsSuspectUntilItsNextMessage(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 0)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 	f.pass(HedgeAfter)
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.asked().to, "the next flow is not offered to the silent one")
-	f.ready(1, "dc-1", 0)
+	require.Equal(t, agentAt(2), f.onlySent().to, "the next flow is not offered to the suspect agent")
+	f.announceReady(1, "dc-1", 0)
 	f.open(3)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 }
 
-// Anybody can send opening packets; what is kept of them is bounded, and open flows go on.
+// Anybody can send opening packets: the number of tracked flows is bounded, and open flows still work at the bound.
 func TestTheNumberOfFlowsIsBounded(t *testing.T) {
 	const most = 10
 	f := newFixture(t)
 	f.b.cfg.MaxFlows = most
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.open(1)
 	f.accept(1, 1, 1000)
 	for port := 2; port <= 3*most; port++ {
@@ -275,53 +275,53 @@
 	require.Len(t, f.out.resets, 2*most)
 	require.Equal(t, refusal.ReasonTooManyFlows, f.out.refusals[0].Reason)
 	require.Equal(t, refusal.RunNo, f.out.refusals[0].Run)
-	f.take()
+	f.takeSent()
 	f.data(5000, 1001, "of nobody")
-	require.Empty(t, f.take())
+	require.Empty(t, f.takeSent())
 	f.data(1, 1001, "hello")
-	require.Equal(t, "hello", f.asked().packet)
+	require.Equal(t, "hello", f.onlySent().packet)
 }
 
-// When answers are late because of an overload, asking others about every flow would feed it.
-func TestUnansweredOffersCostABoundedNumberOfMessages(t *testing.T) {
+// During an overload answers are late; hedging every offer would add to the overload.
+func TestHedgeBudgetBoundsOffers(t *testing.T) {
 	const flows = 1000
 	f := newFixture(t)
 	for i := 1; i <= 20; i++ {
-		f.ready(i, "dc-1", 0)
+		f.announceReady(i, "dc-1", 0)
 	}
-	f.take()
+	f.takeSent()
 	for port := 1; port <= flows; port++ {
 		f.open(port)
 	}
 	for range 6 {
 		f.pass(HedgeAfter)
 	}
-	offers := len(f.take())
+	offers := len(f.takeSent())
 	require.LessOrEqual(t, offers, flows+HedgeBurst+int(HedgeRatio*1.2*flows))
-	require.Greater(t, offers, flows+HedgeBurst-1, "what the budget allows is asked")
+	require.Greater(t, offers, flows+HedgeBurst-1, "the whole budget is used")
 	f.now = f.now.Add(50 * time.Millisecond)
 	before := len(f.out.messages)
 	f.open(flows)
-	require.Len(t, f.out.messages, before+1, "the caller's next copy is offered on")
+	require.Len(t, f.out.messages, before+1, "the caller's next retransmission is offered to another agent")
 	for range OpeningTimeout / HedgeAfter {
 		f.pass(HedgeAfter)
 	}
-	require.Len(t, f.out.refusals, flows, "nothing waits for ever")
+	require.Len(t, f.out.refusals, flows, "every flow is refused in the end")
 	require.Equal(t, refusal.RunUnknown, f.out.refusals[0].Run)
 	require.Empty(t, f.b.hedges)
 }
 
-func TestAFlowThatNobodyTakesIsRefusedAtOnce(t *testing.T) {
+func TestFlowThatEveryAgentDeclinesIsRefused(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 9)
+	f.announceReady(1, "dc-1", 9)
 	f.open(1)
-	f.take()
+	f.takeSent()
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_BUSY)
 	require.Len(t, f.out.resets, 1)
 	require.Equal(t, refusal.ReasonAllFull, f.out.refusals[0].Reason)
 	f.open(1)
-	require.Len(t, f.out.resets, 2, "a copy gets the same answer")
-	require.Len(t, f.out.refusals, 1, "and no second record")
+	require.Len(t, f.out.resets, 2, "a retransmission is reset too")
+	require.Len(t, f.out.refusals, 1, "a flow is recorded as refused once")
 	f.packet(dsrtest.Packet{Source: caller(2), Destination: netip.MustParseAddrPort("198.18.0.9:1"), Flags: segment.SYN})
 	require.Equal(t, refusal.ReasonUnknownAddress, f.out.refusals[1].Reason)
 	f.packet(dsrtest.Packet{Source: caller(3), Destination: reports, Flags: segment.SYN})
@@ -329,13 +329,13 @@
 	require.Equal(t, refusal.RunNo, f.out.refusals[2].Run)
 }
 
-// An agent that did not answer may have opened the flow all the same.
-func TestARefusalSaysNotRunOnlyWhenEveryAgentHasAnswered(t *testing.T) {
+// An agent that did not answer may still have opened the flow.
+func TestRefusalIsNotRunOnlyWhenEveryAgentAnswered(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-1", 0)
 	f.open(1)
-	first := int(f.asked().to.Addr().As4()[3])
+	first := int(f.onlySent().to.Addr().As4()[3])
 	second := 3 - first
 	f.pass(HedgeAfter)
 	for range 2 {
@@ -347,13 +347,14 @@
 	require.Empty(t, f.out.resets)
 }
 
-// Packets that waited in the socket of a balancer that stood still look new, while their copies have opened flows elsewhere.
-func TestABalancerThatStoodStillResetsNothing(t *testing.T) {
+// Packets from the socket backlog of a stalled balancer look new, while their retransmissions have opened flows
+// elsewhere.
+func TestStalledBalancerSendsNoResets(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		gap    time.Duration
 		resets int
-	}{{"running", 50 * time.Millisecond, 1}, {"stood still", time.Second, 0}} {
+	}{{"running", 50 * time.Millisecond, 1}, {"after a stall", time.Second, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			open := func(port int) {
@@ -368,20 +369,20 @@
 			f.b.MarkRunning(f.now)
 			f.now = f.now.Add(time.Millisecond)
 			open(2)
-			require.Len(t, f.out.resets, 2*c.resets, "more may wait")
+			require.Len(t, f.out.resets, 2*c.resets, "more packets may wait in the socket")
 			for range StallBacklogTime / (50 * time.Millisecond) {
 				f.now = f.now.Add(50 * time.Millisecond)
 				f.b.MarkRunning(f.now)
 			}
 			open(3)
-			require.Len(t, f.out.resets, 2*c.resets+1, "what comes later is new")
+			require.Len(t, f.out.resets, 2*c.resets+1, "packets after the backlog are new")
 		})
 	}
 }
 
-func TestAFlowThatItsTargetLostHasARecord(t *testing.T) {
+func TestResetByTargetIsRecorded(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.open(1)
 	f.accept(1, 1, 1000)
 	f.answer(1, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_RESET, nil)
@@ -391,44 +392,44 @@
 	require.Empty(t, f.out.resets, "the agent has reset it")
 }
 
-func TestALeavingAgentIsPassedOver(t *testing.T) {
+func TestLeavingAgentIsSkipped(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 0)
 	f.open(1)
-	f.take()
+	f.takeSent()
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_LEAVING)
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.asked().to, "it is remembered")
+	require.Equal(t, agentAt(2), f.onlySent().to, "the leaving agent gets no further offers")
 }
 
-func TestNewFlowsWaitForAStartingBalancer(t *testing.T) {
+func TestNewFlowsAreParkedWhileTheBalancerStarts(t *testing.T) {
 	f := newFixture(t)
 	f.b = NewBalancer(Config{DataCentre: "dc-1"}, dsrtest.Codec{}, f.out, start)
 	f.open(1)
 	require.Empty(t, f.out.resets)
 	f.b.SetRoutes(f.now, table(5, route(service, "route-svc")))
-	require.Empty(t, f.take())
-	f.ready(1, "dc-1", 0)
-	require.Equal(t, agentAt(1), f.asked().to, "the first agent gets it at once")
+	require.Empty(t, f.takeSent())
+	f.announceReady(1, "dc-1", 0)
+	require.Equal(t, agentAt(1), f.onlySent().to, "the flow is offered to the first agent at once")
 	f.packet(dsrtest.Packet{Source: caller(2), Destination: reports, Flags: segment.SYN})
 	require.Len(t, f.out.resets, 1, "an address without a route is refused")
 }
 
-// An agent takes a caller whose copies it does not see for gone.
-func TestAWaitingFlowIsOfferedByItsLastCopy(t *testing.T) {
+// An agent takes a caller for gone when it sees none of its retransmissions.
+func TestParkedFlowIsOfferedWithItsLastRetransmission(t *testing.T) {
 	f := newFixture(t)
 	f.b.started = f.now
 	f.open(1)
 	f.pass(200 * time.Millisecond)
 	f.packet(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.SYN, Copy: 1, Sequence: 7})
-	f.take()
-	f.ready(1, "dc-1", 0)
-	require.Equal(t, 200*time.Millisecond, f.asked().age)
+	f.takeSent()
+	f.announceReady(1, "dc-1", 0)
+	require.Equal(t, 200*time.Millisecond, f.onlySent().age)
 }
 
-func TestAWaitingFlowIsRefusedWhenNothingComes(t *testing.T) {
+func TestParkedFlowIsRefusedAfterParkTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.b = NewBalancer(Config{DataCentre: "dc-1"}, dsrtest.Codec{}, f.out, start)
 	f.open(1)
@@ -439,25 +440,25 @@
 	require.Equal(t, refusal.ReasonNoConfiguration, f.out.refusals[0].Reason)
 }
 
-func TestAnOldConfigurationIsNotServedOn(t *testing.T) {
+func TestStaleConfigurationParksNewFlows(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.open(1)
-	f.take()
+	f.takeSent()
 	f.answer(1, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_STALE, func(m *dsrpb.Message) { m.Configuration = 6 })
 	require.Equal(t, uint64(6), f.out.outdated)
 	f.pass(parkInterval)
-	require.Empty(t, f.take(), "it waits")
-	require.False(t, f.b.SetRoutes(f.now, table(4)), "an older one is not taken")
+	require.Empty(t, f.takeSent(), "the flow is parked")
+	require.False(t, f.b.SetRoutes(f.now, table(4)), "an older configuration is ignored")
 	f.announce(2, "reports-svc", "dc-1", dsrpb.State_STATE_READY, 0)
 	f.b.SetRoutes(f.now, table(6, route(service, "reports-svc")))
-	require.Equal(t, agentAt(2), f.asked().to, "the route's new service gets it")
+	require.Equal(t, agentAt(2), f.onlySent().to, "the flow goes to the route's new service")
 	require.Empty(t, f.out.refusals)
 }
 
-func TestAnOldConfigurationThatStaysIsARefusal(t *testing.T) {
+func TestFlowIsRefusedWhenTheConfigurationStaysStale(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.open(1)
 	f.answer(1, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_STALE, func(m *dsrpb.Message) { m.Configuration = 6 })
 	for range 30 {
@@ -466,87 +467,88 @@
 	require.Equal(t, refusal.ReasonNoConfiguration, f.out.refusals[0].Reason)
 }
 
-func TestTheOwnerOfAnUnknownFlowIsSearched(t *testing.T) {
+func TestOwnerOfAnUnknownFlowIsLocated(t *testing.T) {
 	f := newFixture(t)
 	for i := 1; i <= 3; i++ {
-		f.ready(i, "dc-1", 0)
+		f.announceReady(i, "dc-1", 0)
 	}
 	f.data(1, 1001, "tail")
-	require.Len(t, f.take(), 3, "every agent is asked, and gets no packet")
+	require.Len(t, f.takeSent(), 3, "every agent is asked and none is sent the packet")
 	f.answer(1, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_NOT_HELD, nil)
 	f.answer(3, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, nil)
-	m := f.asked()
+	m := f.onlySent()
 	require.Equal(t, agentAt(3), m.to)
 	require.Equal(t, "tail", m.packet)
 }
 
-func TestPacketsOfNoFlowCostABoundedNumberOfSearches(t *testing.T) {
+func TestSearchBudgetBoundsSearchesForUnknownFlows(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	for port := range 3 * SearchBurst {
 		f.data(port+1, 1001, "garbage")
 	}
-	require.Len(t, f.take(), SearchBurst)
-	require.Equal(t, SearchBurst, f.b.Flows(), "nothing is kept of the rest")
+	require.Len(t, f.takeSent(), SearchBurst)
+	require.Equal(t, SearchBurst, f.b.Flows(), "the rest is not tracked")
 	f.pass(LocateTimeout)
-	require.LessOrEqual(t, len(f.take()), int(LocateTimeout.Seconds()*SearchMessagesPerSecond), "asking again has no budget of its own")
+	require.LessOrEqual(t, len(f.takeSent()), int(LocateTimeout.Seconds()*SearchMessagesPerSecond), "repeated rounds draw on the same budget")
 	for range LocateRounds {
 		f.pass(LocateTimeout)
 	}
-	f.take()
-	f.b.searchMessages, f.b.searchedAt = 0, f.now
+	f.takeSent()
+	f.b.searchBudget, f.b.searchBudgetAt = 0, f.now
 	f.now = f.now.Add(time.Second)
 	for port := range 2 * SearchMessagesPerSecond {
 		f.data(port+20000, 1001, "garbage")
 	}
-	require.Len(t, f.take(), SearchMessagesPerSecond)
-	f.ready(1, "dc-1", 0)
+	require.Len(t, f.takeSent(), SearchMessagesPerSecond)
+	f.announceReady(1, "dc-1", 0)
 	f.open(50000)
-	require.Equal(t, dsrpb.Kind_KIND_FORWARD, f.asked().kind, "new flows are placed all the same")
+	require.Equal(t, dsrpb.Kind_KIND_FORWARD, f.onlySent().kind, "new flows are still placed")
 }
 
-func TestAtMostTwoTargetsGetAPacketOnSuspicion(t *testing.T) {
+func TestProbesAreBounded(t *testing.T) {
 	f := newFixture(t)
 	for i := 1; i <= 3; i++ {
-		f.ready(i, "dc-1", 0)
+		f.announceReady(i, "dc-1", 0)
 	}
 	f.pass(StartedTogetherWindow + time.Millisecond)
 	for i := 1; i <= 4; i++ {
-		f.ready(i, "dc-1", 0)
+		f.announceReady(i, "dc-1", 0)
 	}
-	// Of those that started together the one comes first that the flow would be offered to when all are equally busy.
+	// Agents that started together are probed in the order in which the flow is offered to them when all are equally
+	// busy.
 	likely := slices.MinFunc([]netip.AddrPort{agentAt(1), agentAt(2), agentAt(3)}, func(x, y netip.AddrPort) int {
-		return cmp.Compare(tieOf(keyOf(1).Hash(), x), tieOf(keyOf(1).Hash(), y))
+		return cmp.Compare(tieBreak(keyOf(1).Hash(), x), tieBreak(keyOf(1).Hash(), y))
 	})
 	lose := func() {
 		f.data(1, 1001, "tail")
 		for i := 1; i <= 4; i++ {
 			f.answer(i, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_UNKNOWN, nil)
 		}
-		for _, m := range f.take() {
+		for _, m := range f.takeSent() {
 			require.Equal(t, dsrpb.Kind_KIND_LOCATE, m.kind, "an agent that has just joined may not be known yet")
 		}
 	}
 	lose()
 	f.pass(SettleTime)
 	for i := 1; i <= 4; i++ {
-		f.ready(i, "dc-1", 0)
+		f.announceReady(i, "dc-1", 0)
 	}
-	f.take()
+	f.takeSent()
 	for round := range 4 {
 		f.data(1, 1001, "tail")
 		for i := 1; i <= 4; i++ {
 			f.answer(i, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_UNKNOWN, nil)
 		}
-		for _, m := range f.take() {
+		for _, m := range f.takeSent() {
 			if m.kind == dsrpb.Kind_KIND_FORWARD && round == 0 {
-				require.Equal(t, agentAt(4), m.to, "the agent that started last goes first")
+				require.Equal(t, agentAt(4), m.to, "the agent that started last is probed first")
 				f.answer(4, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_NOT_HELD, func(m *dsrpb.Message) {
 					m.Packet = dsrtest.Encode(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.ACK, Data: []byte("tail")})
 				})
 			}
 		}
-		for _, m := range f.take() {
+		for _, m := range f.takeSent() {
 			if m.kind == dsrpb.Kind_KIND_FORWARD {
 				require.Equal(t, likely, m.to)
 			}
@@ -561,48 +563,48 @@
 		}
 	}
 	require.Equal(t, 5, probes, "each search ends")
-	require.Empty(t, f.out.resets, "nobody knows that the flow has ended")
+	require.Empty(t, f.out.resets, "the flow may still be open")
 }
 
-func TestAPacketThatTheOwnerDoesNotHoldFindsTheOther(t *testing.T) {
+func TestReturnedPacketGoesToTheOtherOwner(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-1", 0)
 	f.open(1)
 	f.pass(HedgeAfter)
 	f.accept(1, 1, 1000)
 	f.accept(2, 1, 9000)
-	f.take()
+	f.takeSent()
 	f.answer(1, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_NOT_HELD, func(m *dsrpb.Message) {
 		m.Packet = dsrtest.Encode(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.ACK, Acknowledgement: 9001, Data: []byte("x")})
 	})
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 }
 
-func TestAFlowThatWaitsAtASilentAgentIsPlacedAnew(t *testing.T) {
+func TestFlowQueuedAtASilentAgentIsOfferedElsewhere(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 5)
+	f.announceReady(1, "dc-1", 5)
 	f.open(1)
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_QUEUED)
 	f.pass(200 * time.Millisecond)
-	f.take()
+	f.takeSent()
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to, "a copy goes to the agent where the flow waits")
+	require.Equal(t, agentAt(1), f.onlySent().to, "a retransmission goes to the agent where the flow is queued")
 	f.now = f.now.Add(700 * time.Millisecond)
-	f.ready(2, "dc-1", 0)
+	f.announceReady(2, "dc-1", 0)
 	f.open(1)
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 }
 
-func TestACutOffBalancerLetsNewFlowsWait(t *testing.T) {
+func TestIsolatedBalancerParksNewFlows(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.now = f.now.Add(AgentSilenceTimeout + IsolatedAfter)
 	f.open(1)
 	require.Empty(t, f.out.resets)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	f.pass(parkInterval)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 }
 
 func BenchmarkPacketOfAKnownFlow(b *testing.B) {
@@ -628,7 +630,7 @@
 	}
 }
 
-// discard drops what a balancer sends.
+// discard drops the output of a balancer.
 type discard struct{}
 
 func (discard) ToAgent(netip.AddrPort, *dsrpb.Message) {}
--- a/pkg/dsr/dispatch/bench_test.go
+++ b/pkg/dsr/dispatch/bench_test.go
@@ -10,8 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
 )
 
-// BenchmarkPlace is the cost of placing a new flow at one of the targets of a service. Before the allowed regions were looked up once for a
-// flow: 14.5 us among 50 targets, 29.0 us among 109; since: 14.5 us, 26.7 us.
+// BenchmarkPlace measures the placement of a new flow at one of the targets of a service.
 func BenchmarkPlace(b *testing.B) {
 	for _, targets := range []int{50, 109} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -10,39 +10,40 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// choice is the agent that a new flow is offered to next.
+// choice is the agent that a new flow is offered to next, and whether the flow may be queued there.
 type choice struct {
-	agent    *agent
-	patience dsrpb.Patience
+	agent     *agent
+	queueMode dsrpb.Patience
 }
 
-// choose returns the next agent for a new flow that tried others before, or nothing when no agent is worth asking.
+// choose returns the next agent for a new flow, or false when no eligible agent is left. It turns from free slots to
+// queues once free slots or tries are used up.
 func (b *Balancer) choose(now time.Time, f *flowState) (choice, bool) {
-	if f.patience == dsrpb.Patience_PATIENCE_FREE_SLOT && len(f.tried) < MaxFreeTries {
+	if f.queueMode == dsrpb.Patience_PATIENCE_FREE_SLOT && len(f.tried) < MaxFreeTries {
 		if a := b.best(now, f, true); a != nil {
-			return choice{agent: a, patience: dsrpb.Patience_PATIENCE_FREE_SLOT}, true
+			return choice{agent: a, queueMode: dsrpb.Patience_PATIENCE_FREE_SLOT}, true
 		}
 	}
-	if f.patience == dsrpb.Patience_PATIENCE_FREE_SLOT {
-		f.patience = dsrpb.Patience_PATIENCE_QUEUE
+	if f.queueMode == dsrpb.Patience_PATIENCE_FREE_SLOT {
+		f.queueMode = dsrpb.Patience_PATIENCE_QUEUE
 		f.tried = append(f.tried[:0], f.failed...)
 	}
 	if len(f.tried)-len(f.failed) >= MaxQueueTries {
 		return choice{}, false
 	}
 	if a := b.best(now, f, false); a != nil {
-		return choice{agent: a, patience: dsrpb.Patience_PATIENCE_QUEUE}, true
+		return choice{agent: a, queueMode: dsrpb.Patience_PATIENCE_QUEUE}, true
 	}
 	return choice{}, false
 }
 
-// best returns the untried agent with the lowest load; with free set, one that seems to have a free slot, in the own data
-// centre where there is one. Suspect agents come last. Those whose targets fail are left out, as long as they are the fewer.
+// best returns the best-ranked untried agent. With free set, only targets that seem to have a free slot count; else a
+// sample of all targets is compared. Suspect agents come last. Failing targets are excluded while they are no majority.
 func (b *Balancer) best(now time.Time, f *flowState, free bool) *agent {
-	usual := b.usualWork(f.service)
-	list := b.worthAsking(now, f)
+	typical := b.typicalWorkTime(f.service)
+	list := b.eligibleAgents(now, f)
 	if free {
-		list = slices.DeleteFunc(list, func(a *agent) bool { return a.suspect || !a.free(now) || a.slow(usual) })
+		list = slices.DeleteFunc(list, func(a *agent) bool { return a.suspect || !a.hasFreeSlot(now) || a.isSlow(typical) })
 		list = b.spreadOut(now, f, list)
 	} else {
 		list = b.sample(f, list)
@@ -50,20 +51,21 @@
 	var best *agent
 	var bestRank rank
 	for _, a := range list {
-		if r := b.rank(now, a, f.hash, free, usual); best == nil || r.before(bestRank) {
+		if r := b.rank(now, a, f.hash, free, typical); best == nil || r.before(bestRank) {
 			best, bestRank = a, r
 		}
 	}
 	return best
 }
 
-// worthAsking are the untried agents that take flows of the service, in a slice that is valid until the next call.
-func (b *Balancer) worthAsking(now time.Time, f *flowState) []*agent {
-	leaveOut := b.leaveFailingOut(now, f.service)
+// eligibleAgents returns the untried agents that a flow may be offered to, in a slice that is valid until the next
+// call.
+func (b *Balancer) eligibleAgents(now time.Time, f *flowState) []*agent {
+	leaveOut := b.excludesFailing(now, f.service)
 	regions := b.routes.Regions(b.routes.Route(f.key.Destination), f.service)
 	b.candidates = b.candidates[:0]
 	for _, a := range b.services[f.service] {
-		if !b.usable(now, a) || a.failing && leaveOut || !regions.Allow(a.region) || slices.Contains(f.tried, a.addr) {
+		if !b.isUsable(now, a) || a.failing && leaveOut || !regions.Allow(a.region) || slices.Contains(f.tried, a.addr) {
 			continue
 		}
 		b.candidates = append(b.candidates, a)
@@ -71,20 +73,21 @@
 	return b.candidates
 }
 
-// usable reports whether the agent is worth asking about a new flow, and its data centre is in use.
-func (b *Balancer) usable(now time.Time, a *agent) bool {
-	return a.takes(now) && !b.evacuations.Covers(a.dataCentre)
+// isUsable reports whether the agent accepts new flows and its data centre is not evacuated.
+func (b *Balancer) isUsable(now time.Time, a *agent) bool {
+	return a.canAccept(now) && !b.evacuations.Covers(a.dataCentre)
 }
 
-// leaveFailingOut reports whether the targets that fail are the fewer ones of a service. When most seem to fail, the reason is not theirs.
-func (b *Balancer) leaveFailingOut(now time.Time, service string) bool {
+// excludesFailing reports whether the failing targets of a service are to be excluded: not when they are the majority,
+// since the cause is then unlikely to be in the targets.
+func (b *Balancer) excludesFailing(now time.Time, service string) bool {
 	if b.cfg.Without.FailingLast {
 		return false
 	}
 	healthy, failing := 0, 0
 	for _, a := range b.services[service] {
 		switch {
-		case !b.usable(now, a):
+		case !b.isUsable(now, a):
 		case a.failing:
 			failing++
 		default:
@@ -94,51 +97,52 @@
 	return healthy >= failing
 }
 
-// sample keeps the agents that are compared for a place in a queue: some of them, others for each flow, those that are not suspect first.
+// sample returns the agents that are compared for a place in a queue: a few that differ from flow to flow, suspect ones
+// last.
 func (b *Balancer) sample(f *flowState, list []*agent) []*agent {
 	if b.cfg.Without.SampledQueues || len(list) <= QueueSampleSize {
 		return list
 	}
 	draw := f.hash + uint64(f.tries)
 	slices.SortFunc(list, func(x, y *agent) int {
-		return cmp.Or(compareTrue(!x.suspect, !y.suspect), cmp.Compare(tieOf(draw, x.addr), tieOf(draw, y.addr)))
+		return cmp.Or(compareTrue(!x.suspect, !y.suspect), cmp.Compare(tieBreak(draw, x.addr), tieBreak(draw, y.addr)))
 	})
 	return list[:QueueSampleSize]
 }
 
-// rank is the order of two agents for one flow.
+// rank holds the sort keys of an agent for one flow, the most significant first.
 type rank struct {
-	suspect bool
-	remote  bool
-	finish  time.Duration
-	load    float64
-	tie     uint64
+	suspect    bool
+	remote     bool
+	completion time.Duration
+	load       float64
+	tie        uint64
 }
 
 func (r rank) before(o rank) bool {
 	return cmp.Or(
 		compareTrue(o.suspect, r.suspect),
 		compareTrue(o.remote, r.remote),
-		cmp.Compare(r.finish, o.finish),
+		cmp.Compare(r.completion, o.completion),
 		cmp.Compare(r.load, o.load),
 		cmp.Compare(r.tie, o.tie),
 	) < 0
 }
 
-// rank compares free targets by place: one of the same data centre serves as early as any other. Busy ones are compared by when
-// they will have answered.
-func (b *Balancer) rank(now time.Time, a *agent, hash uint64, free bool, usual time.Duration) rank {
+// rank prefers free targets in the balancer's data centre, then those with the lowest load. Busy targets are ranked by
+// estimated completion time wherever they are.
+func (b *Balancer) rank(now time.Time, a *agent, hash uint64, free bool, typical time.Duration) rank {
 	r := rank{
 		suspect: a.suspect,
 		remote:  free && a.dataCentre != b.cfg.DataCentre && !b.cfg.Without.NearFirst,
 		load:    a.load(now),
-		tie:     tieOf(hash, a.addr),
+		tie:     tieBreak(hash, a.addr),
 	}
 	if !free {
-		r.finish = a.finish(now, usual)
+		r.completion = a.completionTime(now, typical)
 	}
 	return r
 }
 
-// tieOf orders equally busy agents for one flow.
-func tieOf(hash uint64, a netip.AddrPort) uint64 { return flow.Mix(hash ^ flow.AddrBits(a)) }
+// tieBreak orders equally ranked agents for one flow; every balancer computes the same order.
+func tieBreak(hash uint64, a netip.AddrPort) uint64 { return flow.Mix(hash ^ flow.AddrBits(a)) }
--- a/pkg/dsr/dispatch/cold.go
+++ b/pkg/dsr/dispatch/cold.go
@@ -7,8 +7,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/warmup"
 )
 
-// coldOf reads what an agent says of its target while that warms up; a message without it has no limit.
-func coldOf(now time.Time, m *dsrpb.Cold) warmup.Limit {
+// coldLimitOf reads the reported limit of a target that warms up; a message without one means no limit.
+func coldLimitOf(now time.Time, m *dsrpb.Cold) warmup.Limit {
 	if m == nil {
 		return warmup.Limit{}
 	}
@@ -19,9 +19,10 @@
 	}
 }
 
-// coldNow is what the target takes now by the last report: what it had room for then, and what has become free since.
-func (a *agent) coldNow(now time.Time) warmup.Limit {
-	l := a.cold
+// coldLimitAt returns the limit with its room extrapolated from the last report: it grows by the rate, up to one
+// second's worth of flows.
+func (a *agent) coldLimitAt(now time.Time) warmup.Limit {
+	l := a.coldLimit
 	freed := l.PerSecond * now.Sub(a.reported).Seconds()
 	l.Room = int(min(float64(l.Room)+freed, l.PerSecond))
 	return l
--- a/pkg/dsr/dispatch/config.go
+++ b/pkg/dsr/dispatch/config.go
@@ -6,106 +6,111 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/policy"
 )
 
-// Times and limits of the decisions.
+// Timeouts and limits.
 const (
-	// HedgeAfter, LocateTimeout and ProbeTimeout are how long an agent may take to answer an opening packet, to say whether it holds
-	// a flow, and whether its target returned a packet, until the balancer has learnt how long answers take. Then an opening packet
-	// has OfferWait (what an agent waits for its target) beyond the longest usual answer, a probe ProbeWait; the start values are
-	// the least for the other two. maxTimeout bounds all, since callers repeat opening packets after 200 ms.
+	// HedgeAfter, LocateTimeout and ProbeTimeout are how long an agent may take to answer an offer, to say whether its
+	// target holds a flow, and whether its target returned a packet, until answer times have been observed. From then
+	// on an offer has OfferWait (what an agent waits for its target) beyond the estimated answer timeout, a probe
+	// ProbeWait; the initial values remain the minimum for the other two. maxTimeout bounds all three, since callers
+	// retransmit opening packets after 200 ms.
 	HedgeAfter    = 25 * time.Millisecond
 	LocateTimeout = 20 * time.Millisecond
 	ProbeTimeout  = 35 * time.Millisecond
 	OfferWait     = 12 * time.Millisecond
 	ProbeWait     = 20 * time.Millisecond
 	maxTimeout    = 150 * time.Millisecond
-	// SearchMessagesPerSecond and SearchBurst bound the questions of one balancer about owners, since a search asks every
-	// agent of a service and anybody can send packets of flows that do not exist. The rate is what the smallest VMs can bear, the burst
-	// covers the open flows that a balancer takes over from one that left.
+	// SearchMessagesPerSecond and SearchBurst limit the messages of searches by one balancer, since a search asks every
+	// agent of a service and anybody can send packets of flows that do not exist. The rate is what the smallest VMs can
+	// bear, the burst covers the open flows that a balancer takes over from one that left.
 	SearchMessagesPerSecond = 500
 	SearchBurst             = 2000
 	// SettleTime is how long a balancer that has started may not know every agent, and every balancer an agent that has
-	// joined: two announcements and a lost one's margin. Until then no target gets a packet on suspicion.
+	// joined: two announcement intervals and a margin for a lost one. Until then no target is probed.
 	SettleTime = 600 * time.Millisecond
-	// SearchInitialAgents is the number of agents that a search asks first, those to which the flow would be offered first when all targets are
-	// free. What they do not hold is searched at SearchGrowth times as many others, and so on: asking all at once would spend the budget of
-	// searches on a few flows where a service has many agents.
+	// SearchInitialAgents is the number of agents that a search asks first: those to which the flow is offered first
+	// when all targets are free. Each further step asks SearchGrowth times as many others. Asking all agents of a large
+	// service at once would spend the search budget on a few flows.
 	SearchInitialAgents = 8
 	SearchGrowth        = 4
-	// LocateRounds is the number of times that agents are asked in one search; a question or an answer may be lost.
+	// LocateRounds is the maximum number of times that the last step of a search asks the agents that have not
+	// answered, as messages may be lost.
 	LocateRounds = 3
-	// LocateRetryInterval is the time between two searches for the owner of one flow that nobody holds.
+	// LocateRetryInterval is the minimum time from the end of an unsuccessful search to the next one for the same flow.
 	LocateRetryInterval = 150 * time.Millisecond
-	// MaxProbes is the number of targets that may be handed a packet of one flow on suspicion within ProbeWindow. A target
-	// returns a packet of a flow that it does not hold, but each costs it work.
+	// MaxProbes is the number of targets that may be sent a packet of a flow that they may not hold, within
+	// ProbeWindow. A target returns such a packet, but each costs it work.
 	MaxProbes   = 2
 	ProbeWindow = 2500 * time.Millisecond
-	// StartedTogetherWindow is how far apart agents may start that were ended by the same failure.
+	// StartedTogetherWindow is how far apart agents may start that were stopped by the same failure.
 	StartedTogetherWindow = 2 * time.Second
-	// MaxFreeTries is the number of agents that are asked about one new flow for a free slot, MaxQueueTries for a place in the
-	// queue: the two that seem to have the shortest. When their queues are too long, so are the others'.
+	// MaxFreeTries is the number of agents that are asked for a free slot for one new flow, MaxQueueTries for a place
+	// in the queue: when the queues that seem to be the shortest two are too long, so are the others.
 	MaxFreeTries  = 5
 	MaxQueueTries = 2
-	// QueueSampleSize is the number of agents that are compared for a place in a queue. What a balancer knows of queues is old: if all balancers
-	// compared all targets, they would send their flows to the same shortest queue until the next report.
+	// QueueSampleSize is the number of agents that are compared for a place in a queue. Reported queue lengths are old:
+	// if all balancers compared all targets, they would send their flows to the same shortest queue until the next
+	// report.
 	QueueSampleSize = 3
-	// HedgeRatio is the number of unanswered offers for each offer that the next agent may be asked about, HedgeBurst that many
-	// at once. A dead agent is asked a few times until it is suspect, and a bad link loses some messages. More unanswered offers mean that
-	// answers are late because balancers or links are overloaded, and further offers would feed the overload.
+	// HedgeRatio is the number of hedged offers allowed per offer, HedgeBurst the number allowed at once. A dead agent
+	// is asked a few times until it is suspect, and a bad link loses some messages. More unanswered offers mean that
+	// balancers or links are overloaded, and further offers would add to the overload.
 	HedgeRatio = 0.1
 	HedgeBurst = 50
-	// MaxHeld is the number of packets of one flow that wait for its owner: what one end may have under way.
+	// MaxHeld is the number of packets of one flow that are held until its owner is known: what one end may have in
+	// flight.
 	MaxHeld = 16
-	// FirstRetransmission is the time after which the first copy of an opening packet may have been sent, perhaps through another
-	// balancer: callers send it after 200 ms. A flow that is older is not reset, since it may be open.
+	// FirstRetransmission is the time after which a caller may have retransmitted its opening packet, perhaps through
+	// another balancer: callers do so after 200 ms. A flow that is older is not reset, since it may be open.
 	FirstRetransmission = 180 * time.Millisecond
-	// StallThreshold is how long a balancer may not have run until it takes itself for one that stood still: more than two
-	// calls of Awake, and less than FirstCopy. DoubtTime is how long it then reads packets that may have waited in its socket.
+	// StallThreshold is the time between two calls of MarkRunning from which the process counts as stalled: more than
+	// two intervals, and less than FirstRetransmission. StallBacklogTime is how long after a stall packets may come
+	// from the backlog of the socket.
 	StallThreshold   = 120 * time.Millisecond
 	StallBacklogTime = 300 * time.Millisecond
-	// OpeningTimeout is how long callers wait for an answer to their opening packet at most.
+	// OpeningTimeout is the maximum time that callers wait for an answer to their opening packet.
 	OpeningTimeout = 1400 * time.Millisecond
-	// MaxAnnounceInterval bounds what an agent says of the time between its announcements.
+	// MaxAnnounceInterval bounds the announcement interval that an agent may report.
 	MaxAnnounceInterval = 5 * time.Minute
-	// RecentlySeen is how old an agent's last message may be for a flow that waits there to be taken for alive.
+	// RecentlySeen is the maximum age of the last message of an agent that counts as alive for a flow queued there.
 	RecentlySeen = 500 * time.Millisecond
-	// ParkTimeout is how long a new flow waits for a balancer or agents that have just started. Its caller sends the last
-	// copy of the opening packet after 0.6 s and gives up after 1.4 s.
+	// ParkTimeout is how long a new flow waits for a balancer or agents that have just started. Its caller sends the
+	// last retransmission of the opening packet after 0.6 s and gives up after 1.4 s.
 	ParkTimeout = 1200 * time.Millisecond
-	// StartupGrace is how long after the start of a balancer a missing agent may just not have announced itself yet.
+	// StartupGrace is how long after the start of a balancer or an agent a target may not have announced itself yet.
 	StartupGrace = 1500 * time.Millisecond
-	// StaleConfigurationTimeout is how long a new flow waits for a configuration that an agent knows to be newer.
+	// StaleConfigurationTimeout is how long a new flow waits for a newer configuration that an agent knows of.
 	StaleConfigurationTimeout = 400 * time.Millisecond
-	// AgentSilenceTimeout is how long an agent may be silent at least until it is not used: silentAnnouncements of 250 ms.
+	// AgentSilenceTimeout is the minimum time that an agent may be silent before it is no longer used: silentIntervals
+	// of 250 ms.
 	AgentSilenceTimeout = time.Second
-	silentAnnouncements = 4
-	// IsolatedAfter is how long no agent at all may be heard of until the balancer takes itself for cut off: two
-	// announcements of every agent.
+	silentIntervals     = 4
+	// IsolatedAfter is how long no agent at all may be seen before the balancer counts as isolated: two announcement
+	// intervals of every agent.
 	IsolatedAfter = 500 * time.Millisecond
-	// AgentExpiry is how long an agent is kept that is not used for its silence.
+	// AgentExpiry is how long an agent is kept after its silence timeout.
 	AgentExpiry = 10 * time.Second
-	// RefusedLinger is how long copies of a refused opening packet are answered with the same refusal.
+	// RefusedLinger is how long retransmissions of a refused opening packet are answered with the same refusal.
 	RefusedLinger = time.Second
-	// ClosedLinger is how long the owner of a flow is known after its caller has closed it.
+	// ClosedLinger is how long the owner of a flow is kept after its caller has closed it.
 	ClosedLinger = 5 * time.Second
-	// InitialWorkTime is taken for the work of one request until the agent of a target tells it.
+	// InitialWorkTime is the assumed time per request until an agent reports that of its target.
 	InitialWorkTime = 30 * time.Millisecond
-	// SlowFactor is the multiple of the service's usual work above which a free slot does not count as free: another target
-	// answers earlier even when the request has to wait there for one or two others.
+	// SlowFactor is the multiple of the service's typical work time above which a free slot does not count as free:
+	// another target answers earlier even if the request has to wait there for one or two others.
 	SlowFactor = 3
-	// MaxFlows is the number of flows that a balancer keeps when the settings name none: a third of the memory of the smallest VM, and four
-	// times the open flows of a balancer at the size to design for.
+	// MaxFlows is the default number of tracked flows: it takes a third of the memory of the smallest VM, and is four
+	// times the open flows of a balancer at the design size.
 	MaxFlows = 50_000
-	// sweepInterval is the time between two walks over all flows.
+	// sweepInterval is the time between two sweeps over all flows and agents.
 	sweepInterval = time.Second
-	// parkInterval is the time between two tries of a waiting flow.
+	// parkInterval is the time between two tries of a parked flow.
 	parkInterval = 20 * time.Millisecond
 )
 
-// Config describes the balancer.
+// Config configures a balancer.
 type Config struct {
-	// DataCentre is the balancer's data centre.
 	DataCentre string
-	// MaxFlows is the number of flows that the balancer keeps; 0 means the constant of that name.
+	// MaxFlows is the maximum number of tracked flows; 0 means the constant MaxFlows.
 	MaxFlows int
 	// Without says which mechanisms are switched off, for measurements.
 	Without policy.Without
--- a/pkg/dsr/dispatch/evacuation_test.go
+++ b/pkg/dsr/dispatch/evacuation_test.go
@@ -18,66 +18,66 @@
 	return f.b.SetEvacuations(f.now, evacuation.NewSet(version, dataCentres))
 }
 
-func TestAnEvacuatedDataCentreGetsNoNewFlow(t *testing.T) {
+func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 9)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 9)
 	f.evacuate(10, "dc-1")
 	f.open(1)
-	require.Equal(t, agentAt(2), f.asked().to, "a busy one elsewhere before a free one there")
+	require.Equal(t, agentAt(2), f.onlySent().to, "a busy target elsewhere comes before a free evacuated one")
 	f.evacuate(11)
 	f.open(2)
-	require.Equal(t, agentAt(1), f.asked().to, "it is used again once the evacuation is withdrawn")
+	require.Equal(t, agentAt(1), f.onlySent().to, "the data centre is used again once the evacuation is withdrawn")
 }
 
-func TestAnEvacuationThatWasWithdrawnDoesNotComeBack(t *testing.T) {
+func TestOlderEvacuationSetIsIgnored(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
+	f.announceReady(1, "dc-1", 0)
 	require.True(t, f.evacuate(10, "dc-1"))
 	require.True(t, f.evacuate(12))
-	require.False(t, f.evacuate(11, "dc-1"), "a late message of the earlier set")
+	require.False(t, f.evacuate(11, "dc-1"), "an older set that arrives late")
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 }
 
 func TestOpenFlowsStayInAnEvacuatedDataCentre(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 0)
 	f.open(1)
 	f.accept(1, 1, 1000)
 	f.evacuate(10, "dc-1")
-	f.take()
+	f.takeSent()
 	f.data(1, 1001, "GET")
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 }
 
-func TestAFlowThatAnEvacuatedAgentTurnsDownGoesElsewhere(t *testing.T) {
+func TestFlowDeclinedByAnEvacuatedAgentGoesElsewhere(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 9)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 9)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_EVACUATED)
-	require.Equal(t, agentAt(2), f.asked().to)
+	require.Equal(t, agentAt(2), f.onlySent().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.asked().to, "the agent knows better than this balancer")
+	require.Equal(t, agentAt(2), f.onlySent().to, "the agent's state overrides the balancer's set of evacuations")
 }
 
-func TestWhenAllTargetsAreEvacuatedCallersAreToldAtOnce(t *testing.T) {
+func TestFlowsAreRefusedWhenAllTargetsAreEvacuated(t *testing.T) {
 	f := newFixture(t)
-	f.ready(1, "dc-1", 0)
-	f.ready(2, "dc-2", 0)
+	f.announceReady(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 0)
 	f.evacuate(10, "dc-1", "dc-2")
 	f.open(1)
-	require.Empty(t, f.take())
+	require.Empty(t, f.takeSent())
 	require.Len(t, f.out.resets, 1)
 	require.Equal(t, refusal.ReasonEvacuated, f.out.refusals[0].Reason)
 	require.Equal(t, refusal.RunNo, f.out.refusals[0].Run)
 }
 
-// inRegion makes agent i known in a region.
-func (f *fixture) inRegion(i int, region string) {
+// announceRegion delivers an announcement of agent i in a region.
+func (f *fixture) announceRegion(i int, region string) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: "route-svc",
 		Announcement: &dsrpb.Announcement{
@@ -98,8 +98,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.inRegion(1, "north")
-			f.inRegion(2, "south")
+			f.announceRegion(1, "north")
+			f.announceRegion(2, "south")
 			r := route(service, "route-svc")
 			r.Regions = c.route
 			f.b.SetRoutes(f.now, routing.NewTable(configuration.Configuration{
@@ -108,7 +108,7 @@
 			}))
 			for port := range 20 {
 				f.open(port + 1)
-				require.Equal(t, agentAt(c.want), f.asked().to)
+				require.Equal(t, agentAt(c.want), f.onlySent().to)
 			}
 		})
 	}
@@ -116,25 +116,25 @@
 
 func TestAFlowWithoutATargetInItsRegionsIsRefused(t *testing.T) {
 	f := newFixture(t)
-	f.inRegion(1, "north")
+	f.announceRegion(1, "north")
 	r := route(service, "route-svc")
 	r.Regions = []string{"south"}
 	f.b.SetRoutes(f.now, table(6, r))
 	f.open(1)
-	require.Empty(t, f.take())
+	require.Empty(t, f.takeSent())
 	require.Equal(t, refusal.ReasonRegion, f.out.refusals[0].Reason)
 }
 
-// A packet with a caller's data is handed on suspicion only to agents of regions that the flow may reach.
-func TestNoBodyIsHandedToAnotherRegionOnSuspicion(t *testing.T) {
+// A probe carries a caller's data: it must stay in the regions that the flow may reach.
+func TestProbesStayInTheAllowedRegions(t *testing.T) {
 	f := newFixture(t)
-	f.inRegion(1, "north")
+	f.announceRegion(1, "north")
 	r := route(service, "route-svc")
 	r.Regions = []string{"south"}
 	f.b.SetRoutes(f.now, table(6, r))
 	f.data(1, 1001, "GET")
 	for range 40 {
-		for _, m := range f.take() {
+		for _, m := range f.takeSent() {
 			require.Equal(t, dsrpb.Kind_KIND_LOCATE, m.kind)
 			f.answer(1, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_UNKNOWN, nil)
 		}
@@ -142,27 +142,27 @@
 	}
 }
 
-// coldAgent makes agent i known with a cold target.
-func (f *fixture) coldAgent(i int, dataCentre string, room uint32) {
+// announceCold delivers an announcement of agent i with a cold target.
+func (f *fixture) announceCold(i int, dataCentre string, room uint32) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: "route-svc", Cold: &dsrpb.Cold{PerSecond: 10, Room: room, LeftMs: 2000},
 		Announcement: &dsrpb.Announcement{DataCentre: dataCentre, State: dsrpb.State_STATE_READY, Slots: 2, Incarnation: uint64(i)},
 	})
 }
 
-func TestAColdTargetGetsNoOfferBeyondItsRoom(t *testing.T) {
+func TestColdTargetGetsNoOfferBeyondItsRoom(t *testing.T) {
 	f := newFixture(t)
-	f.coldAgent(1, "dc-1", 1)
-	f.ready(2, "dc-2", 0)
+	f.announceCold(1, "dc-1", 1)
+	f.announceReady(2, "dc-2", 0)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.asked().to, "the cold one has no room left")
+	require.Equal(t, agentAt(2), f.onlySent().to, "the cold target has no room left")
 }
 
-// Between two reports the room of a cold target grows at its rate, but never beyond what it takes in a second.
-func TestTheRoomOfAColdTargetGrowsUntilItsNextReport(t *testing.T) {
-	a := &agent{slots: 100, cold: warmup.Limit{PerSecond: 10, Room: 1, Until: start.Add(2 * time.Second)}, reported: start}
+// Between two reports the room of a cold target grows at its rate, up to one second's worth of flows.
+func TestRoomOfAColdTargetGrowsBetweenReports(t *testing.T) {
+	a := &agent{slots: 100, coldLimit: warmup.Limit{PerSecond: 10, Room: 1, Until: start.Add(2 * time.Second)}, reported: start}
 	for _, c := range []struct {
 		after time.Duration
 		asked int
@@ -175,15 +175,15 @@
 		{1900 * time.Millisecond, 10, false},
 		{2 * time.Second, 10, true},
 	} {
-		a.asked = c.asked
-		require.Equal(t, c.want, a.free(start.Add(c.after)), "%s, %d", c.after, c.asked)
+		a.offered = c.asked
+		require.Equal(t, c.want, a.hasFreeSlot(start.Add(c.after)), "%s, %d", c.after, c.asked)
 	}
 }
 
-func TestAFlowWaitsWhereItsTurnComesFirst(t *testing.T) {
+func TestFlowIsQueuedWhereItCompletesFirst(t *testing.T) {
 	f := newFixture(t)
-	f.coldAgent(1, "dc-1", 0)
-	f.ready(2, "dc-2", 4)
+	f.announceCold(1, "dc-1", 0)
+	f.announceReady(2, "dc-2", 4)
 	f.open(1)
-	require.Equal(t, agentAt(2), f.asked().to, "two others before it at a warm target, and a tenth of a second at the cold one")
+	require.Equal(t, agentAt(2), f.onlySent().to, "two requests ahead at the warm target take less time than 100 ms at the cold one")
 }
--- a/pkg/dsr/dispatch/failing_test.go
+++ b/pkg/dsr/dispatch/failing_test.go
@@ -8,39 +8,39 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
 )
 
-// failing makes agent i known whose target fails.
-func (f *fixture) failing(i int) {
+// announceFailing delivers an announcement of agent i with a failing target.
+func (f *fixture) announceFailing(i int) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: "route-svc",
 		Announcement: &dsrpb.Announcement{DataCentre: "dc-1", State: dsrpb.State_STATE_READY, Slots: 2, Incarnation: uint64(i), Failing: true},
 	})
 }
 
-func TestATargetThatFailsGetsNoFlowWhileOthersCan(t *testing.T) {
+func TestFailingTargetIsAvoidedWhileOthersAreUsable(t *testing.T) {
 	f := newFixture(t)
-	f.failing(1)
-	f.ready(2, "dc-2", 9)
-	f.ready(3, "dc-2", 9)
+	f.announceFailing(1)
+	f.announceReady(2, "dc-2", 9)
+	f.announceReady(3, "dc-2", 9)
 	f.open(1)
-	asked := f.asked()
-	require.NotEqual(t, agentAt(1), asked.to, "a free one that fails, against busy ones elsewhere")
-	require.Equal(t, dsrpb.Patience_PATIENCE_QUEUE, asked.patience)
+	asked := f.onlySent()
+	require.NotEqual(t, agentAt(1), asked.to, "busy targets elsewhere come before a free failing one")
+	require.Equal(t, dsrpb.Patience_PATIENCE_QUEUE, asked.queueMode)
 }
 
-// When most targets of a service seem to fail, the reason is not theirs: they are used as ever.
-func TestMostTargetsAreNeverLeftOut(t *testing.T) {
+// When most targets of a service seem to fail, the cause is unlikely to be in the targets: they stay in use.
+func TestMajorityOfTargetsIsNeverExcluded(t *testing.T) {
 	f := newFixture(t)
-	f.failing(1)
-	f.failing(2)
-	f.ready(3, "dc-1", 9)
+	f.announceFailing(1)
+	f.announceFailing(2)
+	f.announceReady(3, "dc-1", 9)
 	f.open(1)
-	require.NotEqual(t, agentAt(3), f.asked().to)
+	require.NotEqual(t, agentAt(3), f.onlySent().to)
 }
 
-func TestTheLastTargetIsNeverLeftOut(t *testing.T) {
+func TestLastTargetIsNeverExcluded(t *testing.T) {
 	f := newFixture(t)
-	f.failing(1)
+	f.announceFailing(1)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.asked().to)
+	require.Equal(t, agentAt(1), f.onlySent().to)
 	require.Empty(t, f.out.refusals)
 }
--- a/pkg/dsr/dispatch/flow_state.go
+++ b/pkg/dsr/dispatch/flow_state.go
@@ -8,25 +8,25 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// phase is how far a flow has come.
+// phase is the stage of a flow's processing.
 type phase uint8
 
 const (
-	// opening: an agent was asked and has not answered.
+	// opening: the flow was offered to an agent that has not answered.
 	opening phase = iota
 	// queued: the flow waits at an agent.
 	queued
-	// parked: the flow waits for a configuration or an agent.
+	// parked: the flow waits at this balancer for a configuration or an agent.
 	parked
 	// open: at least one target holds the flow.
 	open
-	// locating: agents were asked who holds the flow.
+	// locating: agents were asked whether they hold the flow.
 	locating
-	// probing: an agent was handed a packet that its target may return.
+	// probing: an agent that may hold the flow was sent a packet, which its target returns if it does not hold the
+	// flow.
 	probing
-	// lost: nobody holds the flow as far as is known.
+	// lost: no known target holds the flow.
 	lost
-	// refused: the flow was refused.
 	refused
 )
 
@@ -34,67 +34,68 @@
 type owner struct {
 	agent       netip.AddrPort
 	hasSequence bool
-	// sequence is the caller's last acknowledgement, or the number at which the flow opened, as the agent last said.
+	// sequence is the caller's last acknowledgement or the initial sequence number of the target, as last reported.
 	sequence uint32
 }
 
-// flowState is what the balancer knows of one flow.
+// flowState is the balancer's state of one flow.
 type flowState struct {
 	key     flow.Key
 	hash    uint64
 	service string
 	phase   phase
 	owners  []owner
-	// settled is set once the caller has acknowledged the number of the only owner.
+	// settled is set once the caller has acknowledged a number of the only owner.
 	settled bool
-	// arrived is when the first packet came; since when the phase began; touched the time of the last packet.
+	// arrived is the time of the first packet, since the start of the phase, touched the time of the last packet.
 	arrived time.Time
 	since   time.Time
 	touched time.Time
-	// packet is the opening packet while the flow opens; sequence is its number.
-	packet   []byte
-	sequence uint32
-	patience dsrpb.Patience
-	// tried are the agents asked at this patience; failed those that are not worth asking again.
+	// packet is the opening packet until the flow is open or refused; sequence is its sequence number.
+	packet    []byte
+	sequence  uint32
+	queueMode dsrpb.Patience
+	// tried are the agents asked in this queueing mode; failed are those that must not be asked again.
 	tried  []netip.AddrPort
 	failed []netip.AddrPort
 	asked  netip.AddrPort
 	tries  int
-	// hedgeAt is when the agent that was asked last must have answered, before the next one is.
+	// hedgeAt is when the flow is offered to the next agent unless the last one has answered.
 	hedgeAt time.Time
 	// stale is set while the flow waits for a newer configuration.
 	stale bool
-	// uncertain is set when another balancer or an agent that did not answer may have opened the flow; reset is set when
-	// its caller was told of the refusal.
+	// uncertain is set when another balancer, or an agent that did not answer, may have opened the flow; reset is set
+	// when the caller was sent a reset for the refusal.
 	uncertain bool
 	reset     bool
-	// opening describes the flow to agents.
+	// opening describes the new flow in offers.
 	opening dsrpb.Opening
 	// closed is set once the caller has closed the flow.
 	closed bool
-	// held are packets that wait for the owner.
+	// held are packets that wait until the owner is known.
 	held [][]byte
-	// unasked are the agents that the search has still to ask, step the number of those that are asked next. unanswered are those
-	// that have not answered, rounds the number of times that they were asked since the last step; unknown are those that could
-	// not tell. wide is set when agents of other services are asked too.
-	unasked    []netip.AddrPort
-	step       int
-	unanswered []netip.AddrPort
-	rounds     int
-	unknown    []netip.AddrPort
-	wide       bool
-	// missed is when a search first ended without an owner.
-	missed time.Time
-	probes int
-	probed time.Time
-	// waited is set once the held packets were kept for a second search.
-	waited bool
-	// handed are the agents that were handed a packet on suspicion.
-	handed []netip.AddrPort
+	// unasked are the agents that the search has still to ask, step the number of agents that are asked next.
+	// unanswered are those that have not answered, rounds the number of times that they were asked since the last step;
+	// undetermined are those that could not tell. widened is set when agents of other services are asked too.
+	unasked      []netip.AddrPort
+	step         int
+	unanswered   []netip.AddrPort
+	rounds       int
+	undetermined []netip.AddrPort
+	widened      bool
+	// firstMissed is when a search first ended without an owner.
+	firstMissed time.Time
+	// probes is the number of probes since ProbeWindow last passed without one, lastProbe the time of the last probe.
+	probes    int
+	lastProbe time.Time
+	// retried is set once the held packets were kept for a second search.
+	retried bool
+	// probedAgents are all agents that were sent a probe.
+	probedAgents []netip.AddrPort
 }
 
-// ownerOf returns the owner whose answer the caller acknowledges; a caller that got several answers to its opening packet
-// chose one of them. Nothing is returned when the caller must have chosen a target that is not known.
+// ownerOf returns the owner whose sequence number the caller acknowledges: when several targets answered the opening
+// packet, the caller chose one of them. It returns false when the caller must have chosen a target that is not known.
 func (f *flowState) ownerOf(acknowledgement uint32) (netip.AddrPort, bool) {
 	if f.settled && len(f.owners) == 1 {
 		return f.owners[0].agent, true
@@ -114,11 +115,12 @@
 	return unnumbered, unnumbered.IsValid()
 }
 
-// chosenWindow is how far the caller's acknowledgement may be from the owner's number, in bytes, when the owner is not settled
-// yet: several times what a target may have under way, 16 packets of 1,200 bytes. Later the numbers of a long flow move away.
+// chosenWindow is how far, in bytes, the acknowledgement may be from the owner's number while the owner is not settled:
+// several times what a target may have in flight (16 packets of 1,200 bytes). Later, the numbers of a long flow move
+// away.
 const chosenWindow = 1 << 17
 
-// addOwner notes a target that holds the flow.
+// addOwner adds or updates a target that holds the flow. A different target is ignored once the owner is settled.
 func (f *flowState) addOwner(o owner) {
 	if f.settled && len(f.owners) == 1 && f.owners[0].agent != o.agent {
 		return
@@ -134,7 +136,6 @@
 	f.owners = append(f.owners, o)
 }
 
-// dropOwner forgets a target.
 func (f *flowState) dropOwner(a netip.AddrPort) {
 	kept := f.owners[:0]
 	for _, o := range f.owners {
@@ -146,7 +147,7 @@
 	f.settled = f.settled && len(kept) > 0
 }
 
-// hold keeps a copy of a packet until the owner is known.
+// hold keeps a copy of a packet until the owner is known, up to MaxHeld packets.
 func (f *flowState) hold(raw []byte) {
 	if len(f.held) < MaxHeld {
 		f.held = append(f.held, append([]byte(nil), raw...))
--- a/pkg/dsr/dispatch/median.go
+++ b/pkg/dsr/dispatch/median.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// medianOf is the least number of targets among which there is a usual answer: of fewer, one that fails could be the median.
-	medianOf = 3
-	// usualAge is how long a median is used.
-	usualAge = time.Second
+	// minMedianTargets is the minimum number of targets for a median: among fewer, a failing one could be the median.
+	minMedianTargets = 3
+	// medianMaxAge is how long a median is cached.
+	medianMaxAge = time.Second
 )
 
-// usualAnswer is the median of the least answers to requests for one address.
-type usualAnswer struct {
-	answer outlier.Response
-	known  bool
-	at     time.Time
+// medianResponse is the cached median of the targets' minimum responses for one address.
+type medianResponse struct {
+	response outlier.Response
+	known    bool
+	at       time.Time
 }
 
-// usualKey is a service's address.
-type usualKey struct {
+// responseKey is a service with the hash of an address.
+type responseKey struct {
 	service string
 	address uint32
 }
 
-// answersOf reads what an agent says of its target's answers.
-func answersOf(list []*dsrpb.Answer) map[uint32]outlier.Response {
+// responsesOf reads the minimum response times and sizes that an agent reported.
+func responsesOf(list []*dsrpb.Answer) map[uint32]outlier.Response {
 	out := make(map[uint32]outlier.Response, len(list))
 	for _, a := range list {
 		out[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
@@ -39,19 +39,20 @@
 	return out
 }
 
-// MedianResponses are the least answers of the median target of an agent's service, for the addresses that the agent has named.
+// MedianResponses returns the medians over the targets of an agent's service of the minimum response time and size, for
+// the addresses that the agent has reported. Addresses with fewer than minMedianTargets reports are left out.
 func (b *Balancer) MedianResponses(now time.Time, agent netip.AddrPort) []*dsrpb.Answer {
 	a := b.agents[agent]
 	if a == nil {
 		return nil
 	}
 	var out []*dsrpb.Answer
-	for address := range a.answers {
-		if u := b.usualAnswer(now, usualKey{service: a.service, address: address}); u.known {
+	for address := range a.responses {
+		if u := b.medianResponse(now, responseKey{service: a.service, address: address}); u.known {
 			out = append(out, &dsrpb.Answer{
 				Address:    address,
-				LeastUs:    uint32(u.answer.Time / time.Microsecond),
-				LeastBytes: u.answer.Bytes,
+				LeastUs:    uint32(u.response.Time / time.Microsecond),
+				LeastBytes: u.response.Bytes,
 			})
 		}
 	}
@@ -59,24 +60,24 @@
 	return out
 }
 
-// usualAnswer is the median of the service's living targets.
-func (b *Balancer) usualAnswer(now time.Time, k usualKey) usualAnswer {
-	if u, found := b.usual[k]; found && now.Sub(u.at) < usualAge {
+// medianResponse returns the median over the service's living targets, from the cache unless it is too old.
+func (b *Balancer) medianResponse(now time.Time, k responseKey) medianResponse {
+	if u, found := b.medians[k]; found && now.Sub(u.at) < medianMaxAge {
 		return u
 	}
 	var times []time.Duration
 	var sizes []uint32
 	for _, a := range b.services[k.service] {
-		if answer, told := a.answers[k.address]; told && a.alive(now) {
-			times = append(times, answer.Time)
-			sizes = append(sizes, answer.Bytes)
+		if response, found := a.responses[k.address]; found && a.isAlive(now) {
+			times = append(times, response.Time)
+			sizes = append(sizes, response.Bytes)
 		}
 	}
-	u := usualAnswer{at: now, known: len(times) >= medianOf}
+	u := medianResponse{at: now, known: len(times) >= minMedianTargets}
 	if u.known {
-		u.answer = outlier.Response{Time: median(times), Bytes: median(sizes)}
+		u.response = outlier.Response{Time: median(times), Bytes: median(sizes)}
 	}
-	b.usual[k] = u
+	b.medians[k] = u
 	return u
 }
 
@@ -86,11 +87,10 @@
 	return list[(len(list)-1)/2]
 }
 
-// forgetUsual drops medians that are out of use.
-func (b *Balancer) forgetUsual(now time.Time) {
-	for k, u := range b.usual {
-		if now.Sub(u.at) >= usualAge {
-			delete(b.usual, k)
+func (b *Balancer) expireMedians(now time.Time) {
+	for k, u := range b.medians {
+		if now.Sub(u.at) >= medianMaxAge {
+			delete(b.medians, k)
 		}
 	}
 }
--- a/pkg/dsr/dispatch/median_test.go
+++ b/pkg/dsr/dispatch/median_test.go
@@ -9,8 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
 )
 
-// answers makes agent i known, whose target's answers to requests for address 7 are as said.
-func (f *fixture) answers(i int, leastMs, leastBytes uint32) {
+// reportResponses delivers an announcement of agent i with the minimum response time and size for address hash 7.
+func (f *fixture) reportResponses(i int, leastMs, leastBytes uint32) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: "route-svc",
 		Announcement: &dsrpb.Announcement{
@@ -20,18 +20,18 @@
 	})
 }
 
-func TestTheUsualAnswerIsThatOfTheMedianTarget(t *testing.T) {
+func TestMedianResponses(t *testing.T) {
 	f := newFixture(t)
-	f.answers(1, 16, 500)
-	f.answers(2, 1, 171)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(1)), "of two, either could be the one that fails")
-	f.answers(3, 18, 520)
-	f.pass(usualAge)
-	usual := f.b.MedianResponses(f.now, agentAt(2))
-	require.Len(t, usual, 1)
-	require.Equal(t, uint32(16_000), usual[0].LeastUs)
-	require.Equal(t, uint32(500), usual[0].LeastBytes)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(9)), "an agent that is not known")
+	f.reportResponses(1, 16, 500)
+	f.reportResponses(2, 1, 171)
+	require.Empty(t, f.b.MedianResponses(f.now, agentAt(1)), "either of two targets could be the failing one")
+	f.reportResponses(3, 18, 520)
+	f.pass(medianMaxAge)
+	medians := f.b.MedianResponses(f.now, agentAt(2))
+	require.Len(t, medians, 1)
+	require.Equal(t, uint32(16_000), medians[0].LeastUs)
+	require.Equal(t, uint32(500), medians[0].LeastBytes)
+	require.Empty(t, f.b.MedianResponses(f.now, agentAt(9)), "an unknown agent")
 	f.pass(time.Minute)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(2)), "targets that were silent for long do not count")
+	require.Empty(t, f.b.MedianResponses(f.now, agentAt(2)), "targets of silent agents do not count")
 }
--- a/pkg/dsr/dispatch/output.go
+++ b/pkg/dsr/dispatch/output.go
@@ -9,44 +9,44 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Output carries decisions out. Its methods are called while a decision is made, and must not call back or block.
+// Output receives the decisions. Its methods are called while a decision is made, and must not call back or block.
 type Output interface {
 	// ToAgent sends a message to an agent. The message is valid only during the call.
 	ToAgent(agent netip.AddrPort, m *dsrpb.Message)
-	// Reset ends a flow for its caller.
+	// Reset sends a reset of the flow to its caller.
 	Reset(key flow.Key, sequence uint32)
-	// Refused reports a flow that was refused.
+	// Refused reports a refused flow.
 	Refused(r Refusal)
 	// Decided reports a decision, for logs and counters.
 	Decided(d Decision)
-	// Outdated tells that an agent has heard of a newer configuration from another balancer.
+	// Outdated reports that an agent knows of a newer configuration than the one in force.
 	Outdated(version uint64)
 }
 
-// Refusal is one refused flow.
+// Refusal describes a refused flow.
 type Refusal struct {
 	Key     flow.Key
 	Hash    uint64
 	Service string
 	Reason  refusal.Reason
-	// Run says whether work may have been done for the flow.
+	// Run says whether a target may have done work for the flow.
 	Run refusal.Run
-	// Notified is set when the caller was told at once. It is not when the flow may be open elsewhere: callers then go on
-	// waiting, and their next copy is a new try.
+	// Notified is set when the caller was sent a reset at once. It is not set when the flow may be open elsewhere: the
+	// caller then goes on waiting, and its next retransmission is a new try.
 	Notified bool
-	// Tried is the number of agents that were asked, Waited the time since the opening packet came.
+	// Tried is the number of offers made, Waited the time since the opening packet arrived.
 	Tried         int
 	Waited        time.Duration
 	Configuration uint64
 }
 
-// Decision is one decision about a flow.
+// Decision describes one decision about a flow.
 type Decision struct {
 	Event   Event
 	Key     flow.Key
 	Hash    uint64
 	Service string
-	// Agent is the agent that it is about, Load the load that the balancer took it to have, in requests for each slot.
+	// Agent is the agent concerned, Load the balancer's estimate of its load in requests per slot.
 	Agent netip.AddrPort
 	Load  float64
 	// ReportAge is the age of the agent's last report.
@@ -57,19 +57,19 @@
 	Configuration uint64
 }
 
-// Event names a kind of decision.
+// Event is a kind of decision.
 type Event string
 
 // Events.
 const (
-	// EventPlaced: a target has taken the new flow.
+	// EventPlaced: a target has accepted the new flow.
 	EventPlaced Event = "placed"
-	// EventDeclined: an agent did not take a new flow.
+	// EventDeclined: an agent has declined a new flow.
 	EventDeclined Event = "declined"
-	// EventUnanswered: an agent did not answer in time.
+	// EventUnanswered: an agent did not answer an offer in time.
 	EventUnanswered Event = "unanswered"
 	// EventLocated: the owner of an open flow was found.
 	EventLocated Event = "located"
-	// EventLost: no agent holds a flow.
+	// EventLost: no owner of a flow was found.
 	EventLost Event = "lost"
 )
--- a/pkg/dsr/dispatch/report.go
+++ b/pkg/dsr/dispatch/report.go
@@ -8,8 +8,8 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// decided reports a decision about a flow and an agent.
-func (b *Balancer) decided(now time.Time, ev Event, f *flowState, about netip.AddrPort, v dsrpb.Verdict) {
+// reportDecision reports a decision about a flow and an agent.
+func (b *Balancer) reportDecision(now time.Time, ev Event, f *flowState, about netip.AddrPort, v dsrpb.Verdict) {
 	d := Decision{
 		Event:         ev,
 		Key:           f.key,
@@ -27,7 +27,7 @@
 	b.out.Decided(d)
 }
 
-// refuse ends a flow that cannot be served.
+// refuse refuses a flow. The caller is sent a reset only when nobody else can have opened the flow.
 func (b *Balancer) refuse(now time.Time, f *flowState, reason refusal.Reason) {
 	f.packet, f.held = nil, nil
 	f.reset = !f.uncertain && now.Sub(f.arrived) < FirstRetransmission
@@ -39,11 +39,11 @@
 		// An agent that did not answer may have opened the flow, or another balancer may have.
 		run = refusal.RunUnknown
 	}
-	b.record(now, f, reason, run, f.reset)
+	b.recordRefusal(now, f, reason, run, f.reset)
 }
 
-// record reports a flow that was refused or reset; told is set when its caller was told.
-func (b *Balancer) record(now time.Time, f *flowState, reason refusal.Reason, run refusal.Run, told bool) {
+// recordRefusal reports a flow that was refused or reset; notified is set when its caller was sent a reset.
+func (b *Balancer) recordRefusal(now time.Time, f *flowState, reason refusal.Reason, run refusal.Run, notified bool) {
 	f.phase, f.since = refused, now
 	b.out.Refused(Refusal{
 		Key:           f.key,
@@ -51,7 +51,7 @@
 		Service:       f.service,
 		Reason:        reason,
 		Run:           run,
-		Notified:      told,
+		Notified:      notified,
 		Tried:         f.tries,
 		Waited:        now.Sub(f.arrived),
 		Configuration: b.routes.Version(),
--- a/pkg/dsr/dispatch/search.go
+++ b/pkg/dsr/dispatch/search.go
@@ -12,16 +12,16 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// maySearch reports whether the budget of messages allows a search. A search may overdraw it, so that one that asks more
-// agents than the burst is still made.
+// maySearch reports whether the search budget allows a search. A search may overdraw the budget, so that one that asks
+// more agents than the burst is still possible.
 func (b *Balancer) maySearch(now time.Time) bool {
-	b.searchMessages = min(SearchBurst, b.searchMessages+SearchMessagesPerSecond*now.Sub(b.searchedAt).Seconds())
-	b.searchedAt = now
-	return b.searchMessages >= 1
+	b.searchBudget = min(SearchBurst, b.searchBudget+SearchMessagesPerSecond*now.Sub(b.searchBudgetAt).Seconds())
+	b.searchBudgetAt = now
+	return b.searchBudget >= 1
 }
 
-// search asks the agents who holds the flow of a packet whose owner is not known. A packet that finds the budget spent is
-// dropped; its sender repeats it.
+// search holds a packet and asks agents whether their targets hold its flow. A packet that finds the budget used up is
+// dropped; its sender retransmits it.
 func (b *Balancer) search(now time.Time, f *flowState, s segment.Segment) {
 	if f.phase == lost && !f.since.IsZero() && now.Sub(f.since) < LocateRetryInterval {
 		return
@@ -30,19 +30,19 @@
 		return
 	}
 	f.hold(s.Raw)
-	f.waited = false
+	f.retried = false
 	b.searchHeld(now, f)
 }
 
-// searchHeld asks for the owner of the packets that are held.
+// searchHeld starts a search for the owner of the held packets.
 func (b *Balancer) searchHeld(now time.Time, f *flowState) {
-	f.phase, f.unknown, f.unanswered, f.wide = locating, nil, nil, false
+	f.phase, f.undetermined, f.unanswered, f.widened = locating, nil, nil, false
 	f.unasked, f.step = b.likelyOwners(f), SearchInitialAgents
 	b.askMore(now, f)
 }
 
-// likelyOwners are the agents of the services to which a flow's address leads, those first to which it would be offered first when all
-// targets are free.
+// likelyOwners returns the agents of the services on the flow's route, in the order in which the flow is offered to
+// them when all targets are free.
 func (b *Balancer) likelyOwners(f *flowState) []netip.AddrPort {
 	route := b.routes.Route(f.key.Destination)
 	if route == nil {
@@ -59,7 +59,7 @@
 		return cmp.Or(
 			compareTrue(!x.suspect, !y.suspect),
 			compareTrue(x.dataCentre == b.cfg.DataCentre, y.dataCentre == b.cfg.DataCentre),
-			cmp.Compare(tieOf(f.hash, x.addr), tieOf(f.hash, y.addr)),
+			cmp.Compare(tieBreak(f.hash, x.addr), tieBreak(f.hash, y.addr)),
 		)
 	})
 	out := make([]netip.AddrPort, len(agents))
@@ -69,18 +69,19 @@
 	return out
 }
 
-// leadsTo reports whether the agent's service is one of the route's.
-func leadsTo(route *configuration.Route, a *agent) bool {
+// routeIncludes reports whether the agent's service is one of the route's.
+func routeIncludes(route *configuration.Route, a *agent) bool {
 	if route == nil {
 		return false
 	}
 	return slices.ContainsFunc(route.Shares, func(s configuration.Share) bool { return s.Service == a.service })
 }
 
-// askMore asks the next agents, more each time, and those again that have not answered; it ends the search when there are none left.
+// askMore asks the next, larger group of agents together with those that have not answered. It ends the search when no
+// agent is left to ask.
 func (b *Balancer) askMore(now time.Time, f *flowState) {
 	if len(f.unasked) == 0 {
-		b.searched(now, f)
+		b.ownerNotFound(now, f)
 		return
 	}
 	n := min(f.step, len(f.unasked))
@@ -91,7 +92,7 @@
 	b.askAgain(now, f)
 }
 
-// askAgain asks the agents that have not answered.
+// askAgain asks all agents that have not answered.
 func (b *Balancer) askAgain(now time.Time, f *flowState) {
 	f.since = now
 	f.rounds++
@@ -104,19 +105,19 @@
 	for _, to := range f.unanswered {
 		b.out.ToAgent(to, &message)
 	}
-	b.searchMessages -= float64(len(f.unanswered))
-	b.locates = append(b.locates, due{flow: f, at: now.Add(b.locateTimeout()), begun: now})
+	b.searchBudget -= float64(len(f.unanswered))
+	b.locates = append(b.locates, due{flow: f, at: now.Add(b.locateTimeout()), phaseStart: now})
 }
 
-// missing reports whether an agent has not answered that was heard of a moment ago.
-func (b *Balancer) missing(now time.Time, f *flowState) bool {
+// awaitsLiveAgent reports whether an agent that has not answered was seen within AgentSilenceTimeout.
+func (b *Balancer) awaitsLiveAgent(now time.Time, f *flowState) bool {
 	return slices.ContainsFunc(f.unanswered, func(addr netip.AddrPort) bool {
 		a := b.agents[addr]
-		return a != nil && now.Sub(a.heard) <= AgentSilenceTimeout
+		return a != nil && now.Sub(a.lastSeen) <= AgentSilenceTimeout
 	})
 }
 
-// located takes an agent's answer to a search.
+// located handles an agent's answer to a search.
 func (b *Balancer) located(now time.Time, f *flowState, from netip.AddrPort, m *dsrpb.Message) {
 	if m.Verdict == dsrpb.Verdict_VERDICT_HELD && (f.phase == locating || f.phase == probing || f.phase == lost) {
 		b.accepted(now, f, from, m)
@@ -130,87 +131,88 @@
 	}
 	f.unanswered = slices.Delete(f.unanswered, i, i+1)
 	if m.Verdict == dsrpb.Verdict_VERDICT_UNKNOWN {
-		f.unknown = append(f.unknown, from)
+		f.undetermined = append(f.undetermined, from)
 	}
 	if len(f.unanswered) == 0 {
 		b.askMore(now, f)
 	}
 }
 
-// searched goes on when no agent that was asked holds the flow: first to all other agents, since an older route may have led
-// to them, then to those that cannot tell, which are handed a packet.
-func (b *Balancer) searched(now time.Time, f *flowState) {
+// ownerNotFound continues when no agent that was asked holds the flow: first with all other agents, since an older
+// route may have led to them, then by probing the agents that cannot tell.
+func (b *Balancer) ownerNotFound(now time.Time, f *flowState) {
 	if b.widen(now, f) {
 		return
 	}
-	if now.Sub(f.probed) > ProbeWindow {
+	if now.Sub(f.lastProbe) > ProbeWindow {
 		f.probes = 0
 	}
-	if f.missed.IsZero() {
-		f.missed = now
+	if f.firstMissed.IsZero() {
+		f.firstMissed = now
 	}
-	if b.missing(now, f) || now.Sub(b.started) < SettleTime || now.Sub(f.missed) < SettleTime {
-		b.searchLater(now, f)
+	if b.awaitsLiveAgent(now, f) || now.Sub(b.started) < SettleTime || now.Sub(f.firstMissed) < SettleTime {
+		b.scheduleSecondSearch(now, f)
 		return
 	}
-	f.unknown = slices.DeleteFunc(f.unknown, func(a netip.AddrPort) bool { return !b.serves(a, f.key.Destination) })
+	f.undetermined = slices.DeleteFunc(f.undetermined, func(a netip.AddrPort) bool { return !b.mayProbe(a, f.key.Destination) })
 	b.sortCandidates(f)
 	b.probeNext(now, f)
 }
 
-// searchLater searches once more when every agent must be known. Packets of a flow that nobody answers come 1.6 s apart and by any balancer:
-// were each dropped at once, the flow of a living target could stay silent while balancers are restarted every few seconds.
-func (b *Balancer) searchLater(now time.Time, f *flowState) {
-	if f.waited {
-		b.lose(now, f)
+// scheduleSecondSearch keeps the held packets for one more search, by which time every agent must be known. The caller
+// retransmits every 1.6 s through any balancer: if each packet were dropped at once, the flow of a living target could
+// get no answer while balancers are restarted every few seconds.
+func (b *Balancer) scheduleSecondSearch(now time.Time, f *flowState) {
+	if f.retried {
+		b.markLost(now, f)
 		return
 	}
 	held := f.held
-	b.lose(now, f)
-	f.held, f.waited = held, true
-	b.later = append(b.later, due{flow: f, at: now.Add(SettleTime), begun: now})
+	b.markLost(now, f)
+	f.held, f.retried = held, true
+	b.secondSearches = append(b.secondSearches, due{flow: f, at: now.Add(SettleTime), phaseStart: now})
 }
 
-// searchAgain searches for the owner of packets that were kept.
-func (b *Balancer) searchAgain(now time.Time, d due) {
+// secondSearch searches for the owner of the packets that were kept.
+func (b *Balancer) secondSearch(now time.Time, d due) {
 	f := d.flow
-	if f.phase == lost && len(f.held) > 0 && d.begun.Equal(f.since) && b.maySearch(now) {
+	if f.phase == lost && len(f.held) > 0 && d.phaseStart.Equal(f.since) && b.maySearch(now) {
 		b.searchHeld(now, f)
 	}
 }
 
-// sortCandidates orders the agents that cannot tell whether they hold the flow by how likely they do. Those come last that were handed
-// a packet of it before. One that started after the others has seen the least of its target's flows. Of those that started together, the
-// one comes first that a new flow would be offered to when all are equally busy.
+// sortCandidates orders the agents that cannot tell whether they hold the flow by likelihood. Agents that were probed
+// before come last. An agent that started after the others has seen the least of its target's flows and comes first.
+// Agents that started together are in the order in which the flow is offered to them when all are equally busy.
 func (b *Balancer) sortCandidates(f *flowState) {
 	var newest time.Time
-	for _, a := range f.unknown {
-		if at := b.startOf(a); at.After(newest) {
+	for _, a := range f.undetermined {
+		if at := b.incarnationStart(a); at.After(newest) {
 			newest = at
 		}
 	}
-	latest := func(a netip.AddrPort) bool { return newest.Sub(b.startOf(a)) <= StartedTogetherWindow }
-	handed := func(a netip.AddrPort) bool { return slices.Contains(f.handed, a) }
-	slices.SortFunc(f.unknown, func(x, y netip.AddrPort) int {
+	latest := func(a netip.AddrPort) bool { return newest.Sub(b.incarnationStart(a)) <= StartedTogetherWindow }
+	probed := func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }
+	slices.SortFunc(f.undetermined, func(x, y netip.AddrPort) int {
 		return cmp.Or(
-			compareTrue(!handed(x), !handed(y)),
+			compareTrue(!probed(x), !probed(y)),
 			compareTrue(latest(x), latest(y)),
-			cmp.Compare(tieOf(f.hash, x), tieOf(f.hash, y)),
+			cmp.Compare(tieBreak(f.hash, x), tieBreak(f.hash, y)),
 		)
 	})
-	b.drawSecond(f)
+	b.randomizeSecond(f)
 }
 
-// drawSecond puts another agent in the second place when the first two were not the owner, a different one in each life of the balancer:
-// while balancers and agents restart again and again, the order of likelihood alone would name the same few for ever, and the flow of a
-// living target stay silent.
-func (b *Balancer) drawSecond(f *flowState) {
-	if len(f.handed) == 0 || len(f.unknown) <= MaxProbes {
+// randomizeSecond draws the second candidate, differently in each incarnation of the balancer, once a probe has missed
+// the owner. While balancers and agents restart repeatedly, the order by likelihood alone would always name the same
+// few and the flow of a living target would get no answer.
+func (b *Balancer) randomizeSecond(f *flowState) {
+	if len(f.probedAgents) == 0 || len(f.undetermined) <= MaxProbes {
 		return
 	}
-	rest := f.unknown[1:]
+	rest := f.undetermined[1:]
 	fresh := len(rest)
-	if i := slices.IndexFunc(rest, func(a netip.AddrPort) bool { return slices.Contains(f.handed, a) }); i > 0 {
+	if i := slices.IndexFunc(rest, func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }); i > 0 {
 		fresh = i
 	}
 	i := int(flow.Mix(f.hash^uint64(b.started.UnixNano())) % uint64(fresh))
@@ -228,87 +230,88 @@
 	return 1
 }
 
-// widen asks the agents of other services, and the silent ones once more. A flow that stays lost is looked for everywhere
-// only until every agent must be known.
+// widen extends the search to the agents of other services, and to unresponsive ones once more. A flow that stays lost
+// is searched for everywhere only until every agent must be known.
 func (b *Balancer) widen(now time.Time, f *flowState) bool {
-	settled := !f.missed.IsZero() && now.Sub(f.missed) >= SettleTime
-	if f.wide || settled || !b.maySearch(now) {
+	settled := !f.firstMissed.IsZero() && now.Sub(f.firstMissed) >= SettleTime
+	if f.widened || settled || !b.maySearch(now) {
 		return false
 	}
 	route := b.routes.Route(f.key.Destination)
 	for _, a := range b.order {
-		if !leadsTo(route, a) {
+		if !routeIncludes(route, a) {
 			f.unasked = append(f.unasked, a.addr)
 		}
 	}
 	if len(f.unasked) == 0 {
 		return false
 	}
-	f.wide = true
+	f.widened = true
 	b.askMore(now, f)
 	return true
 }
 
-// serves reports whether the agent's service is one to which the address leads, in a region that its flows may reach. Nobody else is
-// handed a packet on suspicion.
-func (b *Balancer) serves(a netip.AddrPort, destination netip.AddrPort) bool {
+// mayProbe reports whether the agent may be sent a packet of a flow that its target may not hold: its service must be
+// on the route of the address, and its region allowed.
+func (b *Balancer) mayProbe(a netip.AddrPort, destination netip.AddrPort) bool {
 	known := b.agents[a]
 	route := b.routes.Route(destination)
-	return known != nil && leadsTo(route, known) && b.routes.Regions(route, known.service).Allow(known.region)
+	return known != nil && routeIncludes(route, known) && b.routes.Regions(route, known.service).Allow(known.region)
 }
 
-// startOf is when the balancer first heard of the agent's present life.
-func (b *Balancer) startOf(a netip.AddrPort) time.Time {
+// incarnationStart returns when the balancer received the first announcement of the agent's current incarnation.
+func (b *Balancer) incarnationStart(a netip.AddrPort) time.Time {
 	if known := b.agents[a]; known != nil {
 		return known.started
 	}
 	return time.Time{}
 }
 
-// probeNext hands the first waiting packet to the next agent that may hold the flow.
+// probeNext sends the first held packet to the next agent that may hold the flow.
 func (b *Balancer) probeNext(now time.Time, f *flowState) {
-	if len(f.unknown) == 0 || f.probes >= MaxProbes || len(f.held) == 0 {
-		b.lose(now, f)
+	if len(f.undetermined) == 0 || f.probes >= MaxProbes || len(f.held) == 0 {
+		b.markLost(now, f)
 		return
 	}
-	f.asked = f.unknown[0]
-	f.handed = append(f.handed, f.asked)
-	f.unknown = f.unknown[1:]
+	f.asked = f.undetermined[0]
+	f.probedAgents = append(f.probedAgents, f.asked)
+	f.undetermined = f.undetermined[1:]
 	f.probes++
-	f.phase, f.since, f.probed = probing, now, now
+	f.phase, f.since, f.lastProbe = probing, now, now
 	raw := f.held[0]
 	f.held = f.held[1:]
-	b.probes = append(b.probes, due{flow: f, at: now.Add(b.probeTimeout()), begun: now})
+	b.probes = append(b.probes, due{flow: f, at: now.Add(b.probeTimeout()), phaseStart: now})
 	b.forward(now, f, f.asked, raw, true, dsrpb.Patience_PATIENCE_QUEUE)
 }
 
-// lose drops the packets of a flow that nobody holds. The caller is told nothing: an agent that was not reached may hold it.
-func (b *Balancer) lose(now time.Time, f *flowState) {
-	f.phase, f.since, f.held, f.unknown, f.unasked = lost, now, nil, nil, nil
-	b.decided(now, EventLost, f, netip.AddrPort{}, dsrpb.Verdict_VERDICT_UNSPECIFIED)
+// markLost drops the held packets of a flow without a known owner. The caller is not sent a reset: an agent that was
+// not reached may hold the flow.
+func (b *Balancer) markLost(now time.Time, f *flowState) {
+	f.phase, f.since, f.held, f.undetermined, f.unasked = lost, now, nil, nil, nil
+	b.reportDecision(now, EventLost, f, netip.AddrPort{}, dsrpb.Verdict_VERDICT_UNSPECIFIED)
 }
 
-// searchOverdue ends a search that not every agent has answered.
-func (b *Balancer) searchOverdue(now time.Time, d due) {
+// searchTimedOut continues or ends a search that not every agent has answered in time.
+func (b *Balancer) searchTimedOut(now time.Time, d due) {
 	f := d.flow
-	if f.phase != locating || !d.begun.Equal(f.since) {
+	if f.phase != locating || !d.phaseStart.Equal(f.since) {
 		return
 	}
 	switch {
 	case len(f.unasked) > 0 && !b.maySearch(now):
-		b.lose(now, f)
+		b.markLost(now, f)
 	case len(f.unasked) > 0:
 		b.askMore(now, f)
-	case f.rounds < LocateRounds && b.missing(now, f) && b.maySearch(now):
+	case f.rounds < LocateRounds && b.awaitsLiveAgent(now, f) && b.maySearch(now):
 		b.askAgain(now, f)
 	default:
-		b.searched(now, f)
+		b.ownerNotFound(now, f)
 	}
 }
 
-// probeOverdue goes on when an agent has not said what became of the packet.
-func (b *Balancer) probeOverdue(now time.Time, d due) {
-	if d.flow.phase == probing && d.begun.Equal(d.flow.since) {
+// probeTimedOut probes the next agent when one has not said whether its target returned the packet.
+func (b *Balancer) probeTimedOut(now time.Time, d due) {
+	if d.flow.phase == probing && d.phaseStart.Equal(d.flow.since) {
 		b.probeNext(now, d.flow)
 	}
 }
--- a/pkg/dsr/dispatch/simulation_nodes_test.go
+++ b/pkg/dsr/dispatch/simulation_nodes_test.go
@@ -17,9 +17,9 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// world joins balancers and agents by a queue that loses, delays and reorders messages, in a time of its own. Callers spray
-// their packets over the balancers and repeat what is not answered.
-type world struct {
+// simulation connects balancers and agents in virtual time by a network that loses, delays and reorders messages.
+// Callers send each packet to a random balancer and retransmit what is not answered.
+type simulation struct {
 	now       time.Time
 	random    *rand.Rand
 	events    events
@@ -30,8 +30,8 @@
 	callers   map[netip.AddrPort]*caller
 	version   uint64
 	initial   uint32
-	// broken, crossed, misdelivered and drained count broken promises.
-	broken, crossed, misdelivered, drained []string
+	// failures, wrongService, misdelivered and offeredWhileDraining list violated guarantees.
+	failures, wrongService, misdelivered, offeredWhileDraining []string
 }
 
 type event struct {
@@ -55,21 +55,21 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.sequence++
 	heap.Push(&w.events, event{at: w.now.Add(d), order: w.sequence, do: do})
 }
 
-// carry delivers a message after a while, or never.
-func (w *world) carry(do func()) {
+// deliver runs do after a random network delay, or never.
+func (w *simulation) deliver(do func()) {
 	if w.random.Float64() < w.loss {
 		return
 	}
 	w.after(time.Duration(100+w.random.IntN(2900))*time.Microsecond, do)
 }
 
-// run plays everything that happens until a time.
-func (w *world) run(until time.Time) {
+// run processes all events until a time.
+func (w *simulation) run(until time.Time) {
 	for len(w.events) > 0 && !w.events[0].at.After(until) {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -80,13 +80,13 @@
 
 // balancerNode is a balancer; a restart replaces its core.
 type balancerNode struct {
-	w    *world
+	w    *simulation
 	addr netip.AddrPort
 	core *dispatch.Balancer
 	up   bool
 }
 
-func (w *world) addBalancer(i int) {
+func (w *simulation) addBalancer(i int) {
 	b := &balancerNode{w: w, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 7100)}
 	w.balancers = append(w.balancers, b)
 	b.start()
@@ -97,7 +97,7 @@
 	b.core.SetRoutes(b.w.now, b.w.routes())
 }
 
-func (w *world) routes() *routing.Table {
+func (w *simulation) routes() *routing.Table {
 	c := configuration.Configuration{Version: w.version}
 	for _, s := range services {
 		c.Routes = append(c.Routes, configuration.Route{Destination: s.address, Shares: []configuration.Share{{Service: s.name, Weight: 1}}})
@@ -108,7 +108,7 @@
 // ToAgent implements dispatch.Output.
 func (b *balancerNode) ToAgent(to netip.AddrPort, m *dsrpb.Message) {
 	raw, _ := m.MarshalVT()
-	b.w.carry(func() {
+	b.w.deliver(func() {
 		for _, a := range b.w.agents {
 			if a.addr == to && a.up {
 				a.receive(b.addr, raw)
@@ -129,12 +129,12 @@
 	}
 }
 
-func (w *world) reset(key flow.Key) {
+func (w *simulation) reset(key flow.Key) {
 	raw := dsrtest.Codec{}.Reset(key, 0)
-	w.carry(func() { w.toCaller(raw) })
+	w.deliver(func() { w.toCaller(raw) })
 }
 
-func (w *world) toCaller(raw []byte) {
+func (w *simulation) toCaller(raw []byte) {
 	s, err := dsrtest.Codec{}.Decode(raw)
 	if err != nil {
 		return
@@ -144,16 +144,16 @@
 	}
 }
 
-// agentNode is an agent with its target; the agent may be away while the target lives.
+// agentNode is an agent with its target; the target keeps running while the agent is down.
 type agentNode struct {
-	w        *world
-	addr     netip.AddrPort
-	service  string
-	table    *ownership.Table
-	up       bool
-	target   map[netip.AddrPort]*held
-	beats    uint64
-	draining time.Time
+	w              *simulation
+	addr           netip.AddrPort
+	service        string
+	table          *ownership.Table
+	up             bool
+	target         map[netip.AddrPort]*held
+	targetSequence uint64
+	draining       time.Time
 }
 
 // held is a flow at a target.
@@ -163,14 +163,14 @@
 	closed  bool
 }
 
-func (w *world) addAgent(i int, service string, first bool) {
+func (w *simulation) addAgent(i int, service string, first bool) {
 	a := &agentNode{
 		w: w, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, 0, byte(i)}), 7200), service: service,
 		target: make(map[netip.AddrPort]*held),
 	}
 	w.agents = append(w.agents, a)
 	a.start(first)
-	a.beat()
+	a.announceTarget()
 }
 
 func (a *agentNode) start(first bool) {
@@ -178,27 +178,27 @@
 	a.table, a.up = ownership.NewTable(cfg, dsrtest.Codec{}, a, a.w.now), true
 }
 
-// beat announces the target to its agent, for ever.
-func (a *agentNode) beat() {
-	a.beats++
-	n := announcement.Announcement{ID: a.addr.String(), Service: a.service, Slots: 3, Sequence: a.beats}
+// announceTarget announces the target to its agent, and schedules the next announcement.
+func (a *agentNode) announceTarget() {
+	a.targetSequence++
+	n := announcement.Announcement{ID: a.addr.String(), Service: a.service, Slots: 3, Sequence: a.targetSequence}
 	if !a.draining.IsZero() {
 		n.State = announcement.Draining
 	}
 	if a.up {
 		_, _ = a.table.Announce(a.w.now, n)
 	}
-	a.w.after(heartbeat, a.beat)
+	a.w.after(heartbeat, a.announceTarget)
 }
 
-// announce tells every balancer of the agent.
+// announce sends the agent's announcement to every balancer.
 func (a *agentNode) announce() {
 	if !a.up {
 		return
 	}
 	raw, _ := a.table.Announcement(a.w.now, true, 0).MarshalVT()
 	for _, b := range a.w.balancers {
-		a.w.carry(func() { b.receive(a.addr, raw) })
+		a.w.deliver(func() { b.receive(a.addr, raw) })
 	}
 }
 
@@ -225,13 +225,13 @@
 // ToCaller implements ownership.Output.
 func (a *agentNode) ToCaller(_ flow.Key, raw []byte) {
 	raw = append([]byte(nil), raw...)
-	a.w.carry(func() { a.w.toCaller(raw) })
+	a.w.deliver(func() { a.w.toCaller(raw) })
 }
 
 // ToBalancer implements ownership.Output.
 func (a *agentNode) ToBalancer(to netip.AddrPort, m *dsrpb.Message) {
 	raw, _ := m.MarshalVT()
-	a.w.carry(func() {
+	a.w.deliver(func() {
 		for _, b := range a.w.balancers {
 			if b.addr == to {
 				b.receive(a.addr, raw)
@@ -244,14 +244,15 @@
 func (a *agentNode) Decided(ownership.Decision)   {}
 func (a *agentNode) Judged(ownership.Judgement)   {}
 
-// fromTarget hands a packet of the target to the agent; nobody takes it while the agent is away.
+// fromTarget passes a packet of the target to the agent; it is lost while the agent is down.
 func (a *agentNode) fromTarget(raw []byte) {
 	if s, err := (dsrtest.Codec{}).Decode(raw); err == nil && a.up {
 		a.table.FromTarget(a.w.now, s)
 	}
 }
 
-// atTarget is the target: it answers openings and requests, and returns what it does not hold.
+// atTarget acts as the target: it answers opening packets and requests, and returns packets of flows that it does not
+// hold.
 func (a *agentNode) atTarget(raw []byte) {
 	s, err := dsrtest.Codec{}.Decode(raw)
 	if err != nil {
@@ -259,14 +260,14 @@
 	}
 	c := a.w.callers[s.Source]
 	if c.service.name != a.service {
-		a.w.crossed = append(a.w.crossed, s.Source.String())
+		a.w.wrongService = append(a.w.wrongService, s.Source.String())
 	}
 	f := a.target[s.Source]
 	reply := dsrtest.Packet{Source: s.Destination, Destination: s.Source}
 	switch {
 	case s.Opens():
 		if !a.draining.IsZero() && f == nil {
-			a.w.drained = append(a.w.drained, s.Source.String())
+			a.w.offeredWhileDraining = append(a.w.offeredWhileDraining, s.Source.String())
 		}
 		if f == nil {
 			a.w.initial += initialStep
@@ -276,7 +277,7 @@
 		reply.Flags, reply.Sequence = segment.SYN|segment.ACK, f.initial
 		a.fromTarget(dsrtest.Encode(reply))
 	case f == nil || s.Acknowledgement != f.initial+1:
-		a.w.strange(a, s.Source)
+		a.w.recordMisdelivery(a, s.Source)
 		raw[0] |= byte(segment.Returned)
 		a.fromTarget(raw)
 	default:
@@ -297,8 +298,8 @@
 	a.w.after(workTime, func() { a.fromTarget(dsrtest.Encode(reply)) })
 }
 
-// strange notes a packet of a flow that another target holds open.
-func (w *world) strange(at *agentNode, source netip.AddrPort) {
+// recordMisdelivery records a packet of a flow that another target holds open.
+func (w *simulation) recordMisdelivery(at *agentNode, source netip.AddrPort) {
 	for _, other := range w.agents {
 		if f := other.target[source]; other != at && f != nil && f.open && !f.closed {
 			w.misdelivered = append(w.misdelivered, source.String())
--- a/pkg/dsr/dispatch/simulation_test.go
+++ b/pkg/dsr/dispatch/simulation_test.go
@@ -14,20 +14,20 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
 )
 
-// Times of the histories.
+// Times of the simulation.
 const (
-	heartbeat = 400 * time.Millisecond
-	workTime  = 20 * time.Millisecond
-	awayTime  = 500 * time.Millisecond
-	tickTime  = 5 * time.Millisecond
-	history   = 6 * time.Second
-	resend    = 200 * time.Millisecond
-	// initialStep keeps the numbers at which targets open flows apart. Random ones of two targets that both opened a flow are
-	// within 128 kB once in 16,384 times; one packet then meets the wrong target, which returns it (seed 271 with random
-	// numbers, 11,328 bytes apart).
+	heartbeat          = 400 * time.Millisecond
+	workTime           = 20 * time.Millisecond
+	downTime           = 500 * time.Millisecond
+	tickInterval       = 5 * time.Millisecond
+	faultPeriod        = 6 * time.Second
+	retransmitInterval = 200 * time.Millisecond
+	// initialStep keeps the initial sequence numbers of targets apart. Random ones of two targets that both opened a
+	// flow are within 128 kB (chosenWindow) once in 16,384 times; a packet then goes to the wrong target, which returns
+	// it.
 	initialStep = 1 << 20
-	// patience is how long a caller waits for an answer: several copies, and an agent's restart.
-	patience = 5 * time.Second
+	// responseTimeout is how long a caller waits for a response: several retransmissions, and an agent's restart.
+	responseTimeout = 5 * time.Second
 )
 
 type serviceAt struct {
@@ -42,7 +42,7 @@
 
 // caller is one flow of several requests.
 type caller struct {
-	w        *world
+	w        *simulation
 	address  netip.AddrPort
 	service  serviceAt
 	opened   bool
@@ -54,7 +54,7 @@
 	sent     time.Time
 }
 
-func (w *world) addCaller(i int) {
+func (w *simulation) addCaller(i int) {
 	c := &caller{
 		w:        w,
 		address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(i >> 8), byte(i)}), 1000),
@@ -72,12 +72,12 @@
 	w.after(1400*time.Millisecond, func() { c.ended = c.ended || !c.opened })
 }
 
-// send sprays a packet over the balancers.
+// send sends a packet to a random balancer.
 func (c *caller) send(p dsrtest.Packet) {
 	p.Source, p.Destination = c.address, c.service.address
 	raw := dsrtest.Encode(p)
 	b := c.w.balancers[c.w.random.IntN(len(c.w.balancers))]
-	c.w.carry(func() {
+	c.w.deliver(func() {
 		if s, err := (dsrtest.Codec{}).Decode(raw); err == nil && b.up {
 			b.core.FromCaller(c.w.now, s)
 		}
@@ -89,43 +89,43 @@
 	case c.ended:
 	case s.Has(segment.RST):
 		if c.opened {
-			c.w.broken = append(c.w.broken, fmt.Sprint(c.address, " was reset after ", c.request, " requests"))
+			c.w.failures = append(c.w.failures, fmt.Sprint(c.address, " was reset after ", c.request, " requests"))
 		}
 		c.ended = true
 	case s.Has(segment.SYN|segment.ACK) && !c.opened:
 		c.opened, c.ack = true, s.Sequence+1
-		c.ask()
+		c.sendRequest()
 	case s.Length > 0 && c.opened:
-		c.answered(dsrtest.Data(s.Raw))
+		c.receiveResponse(dsrtest.Data(s.Raw))
 	}
 }
 
-// ask sends the next request until it is answered.
-func (c *caller) ask() {
+// sendRequest sends the next request and retransmits it until it is answered.
+func (c *caller) sendRequest() {
 	c.sent = c.w.now
-	c.repeat(c.request)
+	c.transmit(c.request)
 }
 
-func (c *caller) repeat(request int) {
+func (c *caller) transmit(request int) {
 	if c.ended || c.request != request {
 		return
 	}
-	if c.w.now.Sub(c.sent) > patience {
-		c.w.broken = append(c.w.broken, fmt.Sprint(c.address, " got no answer to request ", c.request))
+	if c.w.now.Sub(c.sent) > responseTimeout {
+		c.w.failures = append(c.w.failures, fmt.Sprint(c.address, " got no answer to request ", c.request))
 		c.ended = true
 		return
 	}
 	c.send(dsrtest.Packet{Flags: segment.ACK, Acknowledgement: c.ack, Data: fmt.Appendf(nil, "%d.", request)})
-	c.w.after(resend, func() { c.repeat(request) })
+	c.w.after(retransmitInterval, func() { c.transmit(request) })
 }
 
-func (c *caller) answered(data []byte) {
+func (c *caller) receiveResponse(data []byte) {
 	owner, text, _ := bytes.Cut(data, []byte(" "))
 	if string(text) != fmt.Sprintf("%d.", c.request) {
 		return
 	}
 	if c.owner != "" && c.owner != string(owner) {
-		c.w.broken = append(c.w.broken, fmt.Sprint(c.address, " was answered by two targets"))
+		c.w.failures = append(c.w.failures, fmt.Sprint(c.address, " was answered by two targets"))
 	}
 	c.owner = string(owner)
 	c.request++
@@ -134,12 +134,12 @@
 		c.ended = true
 		return
 	}
-	c.w.after(time.Duration(c.w.random.IntN(200))*time.Millisecond, c.ask)
+	c.w.after(time.Duration(c.w.random.IntN(200))*time.Millisecond, c.sendRequest)
 }
 
-// newWorld returns a running installation.
-func newWorld(seed uint64) *world {
-	w := &world{
+// newSimulation returns a running deployment.
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{
 		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), loss: 0.01, version: 5,
 		callers: make(map[netip.AddrPort]*caller),
 	}
@@ -149,7 +149,7 @@
 	for i := range 5 {
 		w.addAgent(i, services[i%2].name, true)
 	}
-	w.every(tickTime, func() {
+	w.every(tickInterval, func() {
 		for _, b := range w.balancers {
 			if b.up {
 				b.core.Tick(w.now)
@@ -170,56 +170,57 @@
 	return w
 }
 
-func (w *world) every(d time.Duration, do func()) {
+func (w *simulation) every(d time.Duration, do func()) {
 	do()
 	w.after(d, func() { w.every(d, do) })
 }
 
-// disturb plans changes and deaths at random times; no target dies.
-func (w *world) disturb() {
-	at := func() time.Duration { return time.Duration(w.random.Int64N(int64(history))) }
+// scheduleFaults schedules restarts, a drain, a new agent and a change of configuration at random times. Targets do not
+// fail.
+func (w *simulation) scheduleFaults() {
+	at := func() time.Duration { return time.Duration(w.random.Int64N(int64(faultPeriod))) }
 	for range 2 {
 		b := w.balancers[w.random.IntN(len(w.balancers))]
 		w.after(at(), func() {
 			if b.up {
 				b.up = false
-				w.after(awayTime, b.start)
+				w.after(downTime, b.start)
 			}
 		})
 	}
 	a := w.agents[w.random.IntN(len(w.agents))]
 	w.after(at(), func() {
 		a.up = false
-		w.after(awayTime, func() { a.start(false) })
+		w.after(downTime, func() { a.start(false) })
 	})
 	leaving := w.agents[w.random.IntN(2)]
 	w.after(at(), func() {
-		// The target says so and is heard, unless its agent is away; it counts as leaving once acknowledged.
+		// An announcement counts only while the agent is up to receive it.
 		if leaving.up {
 			leaving.draining = w.now
-			leaving.beats++
-			leaving.beat()
+			leaving.targetSequence++
+			leaving.announceTarget()
 		}
 	})
 	w.after(at(), func() { w.addAgent(50, services[0].name, false) })
 	w.after(at(), func() { w.version++; w.balancers[0].core.SetRoutes(w.now, w.routes()) })
 }
 
-// Histories of flows through restarts of balancers and agents, a drain, a join, a change of configuration and lost and
-// reordered messages, with every packet of a flow sent to any balancer.
-func TestFlowsSurviveHistories(t *testing.T) {
+// Open flows must survive restarts of balancers and agents, a drain, a new agent, a change of configuration and lost
+// and reordered messages, with every packet sent to any balancer.
+func TestFlowsSurviveRandomFaults(t *testing.T) {
 	const flows, seeds = 120, 150
 	finished := 0
 	for seed := range uint64(seeds) {
-		w := newWorld(seed)
-		w.disturb()
+		w := newSimulation(seed)
+		w.scheduleFaults()
 		for i := range flows {
-			w.after(time.Duration(i)*history/flows, func() { w.addCaller(i) })
+			w.after(time.Duration(i)*faultPeriod/flows, func() { w.addCaller(i) })
 		}
-		w.run(w.now.Add(history + 2*patience + 5*time.Second))
-		require.Empty(t, w.broken, "seed %d", seed)
-		require.Empty(t, w.crossed, "seed %d", seed)
-		require.Empty(t, w.drained, "seed %d: new flows at a target that leaves", seed)
+		w.run(w.now.Add(faultPeriod + 2*responseTimeout + 5*time.Second))
+		require.Empty(t, w.failures, "seed %d", seed)
+		require.Empty(t, w.wrongService, "seed %d", seed)
+		require.Empty(t, w.offeredWhileDraining, "seed %d: new flows at a draining target", seed)
 		require.Empty(t, w.misdelivered, "seed %d: packets of open flows at another target", seed)
 		for _, c := range w.callers {
 			if c.request == c.requests {
@@ -227,5 +228,5 @@
 			}
 		}
 	}
-	require.Greater(t, finished, flows*seeds*98/100, "nearly all flows open and finish")
+	require.Greater(t, finished, flows*seeds*98/100, "nearly all flows must open and finish")
 }
--- a/pkg/dsr/dispatch/spread.go
+++ b/pkg/dsr/dispatch/spread.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// spreadAge is how long a comparison of data centres is used.
-	spreadAge = 250 * time.Millisecond
-	// unevenAt is the part by which targets of the own data centre may get more than the mean of all before flows go elsewhere: beyond it
-	// the busiest targets would get a tenth more than the mean.
-	unevenAt = 0.02
-	// correction is the part of what is beyond the mean that goes elsewhere. What remains is what asks for it, so that more than all of it is
-	// asked for; with twice the part, the remainder is a third of what it was.
-	correction = 2
+	// spreadMaxAge is how long a comparison of data centres is cached.
+	spreadMaxAge = 250 * time.Millisecond
+	// imbalanceTolerance is the fraction by which the local load may exceed the mean of all data centres before flows
+	// go elsewhere: beyond it the busiest targets would get a tenth more than the mean.
+	imbalanceTolerance = 0.02
+	// correctionGain scales the excess that is sent elsewhere. The excess is computed from the load that remains after
+	// the correction; a gain of two brings the remainder to a third of the original excess.
+	correctionGain = 2
 )
 
-// spread compares the load of a service's targets in the own data centre with that of all.
+// spread compares the load of a service's local targets with that of all its targets.
 type spread struct {
 	at time.Time
-	// mean is the number of new flows that a slot of all targets gets in a second, excess the part of the own data centre's flows that goes
-	// elsewhere; 0 when it gets no more than others.
+	// mean is the rate of new flows per slot over all targets, per second; excess is the fraction of this balancer's
+	// flows to send to other data centres, 0 when the local load is not above the mean.
 	mean, excess float64
 }
 
-// spreadOf is the present comparison for a service.
+// spreadOf returns the current comparison for a service.
 func (b *Balancer) spreadOf(now time.Time, service string) spread {
-	if s, found := b.spreads[service]; found && now.Sub(s.at) < spreadAge {
+	if s, found := b.spreads[service]; found && now.Sub(s.at) < spreadMaxAge {
 		return s
 	}
 	var near, all, nearSlots, allSlots float64
 	for _, a := range b.services[service] {
-		if !b.usable(now, a) {
+		if !b.isUsable(now, a) {
 			continue
 		}
 		slots := float64(max(1, a.slots))
@@ -45,14 +45,14 @@
 	s := spread{at: now}
 	if nearSlots > 0 && near > 0 {
 		s.mean = all / allSlots
-		s.excess = correction * max(0, 1-s.mean/(near/nearSlots)-unevenAt)
+		s.excess = correctionGain * max(0, 1-s.mean/(near/nearSlots)-imbalanceTolerance)
 	}
 	b.spreads[service] = s
 	return s
 }
 
-// spreadOut leaves those of the free targets for a flow that share what the own data centre gets beyond the mean: targets elsewhere that get
-// less than the mean. Callers of one data centre may be more than its targets' part of all.
+// spreadOut narrows the free targets of a flow that belongs to the excess of the local data centre to targets elsewhere
+// with less than the mean load. The callers of a data centre may exceed its targets' share of the total.
 func (b *Balancer) spreadOut(now time.Time, f *flowState, free []*agent) []*agent {
 	s := b.spreadOf(now, f.service)
 	if b.cfg.Without.SpreadOut || float64(flow.Mix(f.hash)>>11)/(1<<53) >= s.excess {
--- a/pkg/dsr/dispatch/tick.go
+++ b/pkg/dsr/dispatch/tick.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Deadline is when Tick has to be called next.
+// Deadline returns when Tick has to be called next.
 func (b *Balancer) Deadline() time.Time {
-	next := b.swept.Add(sweepInterval)
-	for _, queue := range [][]due{b.hedges, b.locates, b.probes, b.later, b.parks} {
+	next := b.lastSweep.Add(sweepInterval)
+	for _, queue := range [][]due{b.hedges, b.locates, b.probes, b.secondSearches, b.parkedFlows} {
 		if len(queue) > 0 && queue[0].at.Before(next) {
 			next = queue[0].at
 		}
@@ -13,34 +13,34 @@
 	return next
 }
 
-// Tick carries out what has become due.
+// Tick processes all timers that have expired.
 func (b *Balancer) Tick(now time.Time) {
-	for _, d := range take(&b.hedges, now) {
+	for _, d := range takeDue(&b.hedges, now) {
 		b.hedge(now, d.flow, d.at)
 	}
-	for _, d := range take(&b.locates, now) {
-		b.searchOverdue(now, d)
+	for _, d := range takeDue(&b.locates, now) {
+		b.searchTimedOut(now, d)
 	}
-	for _, d := range take(&b.probes, now) {
-		b.probeOverdue(now, d)
+	for _, d := range takeDue(&b.probes, now) {
+		b.probeTimedOut(now, d)
 	}
-	for _, d := range take(&b.later, now) {
+	for _, d := range takeDue(&b.secondSearches, now) {
 		if b.flows[d.flow.key] == d.flow {
-			b.searchAgain(now, d)
+			b.secondSearch(now, d)
 		}
 	}
-	for _, d := range take(&b.parks, now) {
+	for _, d := range takeDue(&b.parkedFlows, now) {
 		if b.flows[d.flow.key] == d.flow {
-			b.unpark(now, d.flow)
+			b.recheckParked(now, d.flow)
 		}
 	}
-	if now.Sub(b.swept) >= sweepInterval {
+	if now.Sub(b.lastSweep) >= sweepInterval {
 		b.sweep(now)
 	}
 }
 
-// take removes the entries that are due from the front of a queue.
-func take(queue *[]due, now time.Time) []due {
+// takeDue removes and returns the expired entries at the front of a queue.
+func takeDue(queue *[]due, now time.Time) []due {
 	n := 0
 	for n < len(*queue) && !(*queue)[n].at.After(now) {
 		n++
@@ -50,10 +50,10 @@
 	return ready
 }
 
-// sweep forgets flows and agents that were silent for too long.
+// sweep removes idle flows and agents that were silent for too long.
 func (b *Balancer) sweep(now time.Time) {
-	b.swept = now
-	b.forgetUsual(now)
+	b.lastSweep = now
+	b.expireMedians(now)
 	idle := b.routes.IdleTimeout()
 	for key, f := range b.flows {
 		silent := now.Sub(f.touched)
@@ -67,8 +67,8 @@
 	}
 	kept := b.order[:0]
 	for _, a := range b.order {
-		if now.Sub(a.heard) > a.silence()+AgentExpiry {
-			b.leave(a)
+		if now.Sub(a.lastSeen) > a.silenceTimeout()+AgentExpiry {
+			b.removeFromService(a)
 			delete(b.agents, a.addr)
 			continue
 		}
