--- a/pkg/dsr/routing/doc.go
+++ b/pkg/dsr/routing/doc.go
@@ -1,2 +1,2 @@
-// Package routing finds the service of a new pass-through flow by the address that the caller used.
+// Package routing selects the service of a new pass-through flow by the address that the caller used.
 package routing
--- a/pkg/dsr/routing/table.go
+++ b/pkg/dsr/routing/table.go
@@ -8,18 +8,17 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/configuration"
 )
 
-// DefaultIdleTimeout is how long a flow without packets is kept when the configuration names no time. It is the usual
+// DefaultIdleTimeout is how long a flow without packets is kept when the configuration names no time. It is the typical
 // idle timeout of the deployments that auburnwood was built for.
 const DefaultIdleTimeout = 15 * time.Second
 
-// Table answers which service a new flow goes to. It never changes.
+// Table holds the routes and services of one configuration. It is immutable.
 type Table struct {
 	configuration configuration.Configuration
 	routes        map[netip.AddrPort]*configuration.Route
 	services      map[string]*configuration.Service
 }
 
-// NewTable returns the table of a configuration.
 func NewTable(c configuration.Configuration) *Table {
 	t := &Table{
 		configuration: c,
@@ -46,7 +45,7 @@
 	return t.configuration.Version
 }
 
-// Label returns the operator's number of the configuration.
+// Label returns the operator's own number of the configuration; empty for a nil table.
 func (t *Table) Label() string {
 	if t == nil {
 		return ""
@@ -54,7 +53,7 @@
 	return t.configuration.Label
 }
 
-// IdleTimeout is how long a flow without packets is kept.
+// IdleTimeout returns how long a flow without packets is kept.
 func (t *Table) IdleTimeout() time.Duration {
 	if t == nil {
 		return DefaultIdleTimeout
@@ -62,12 +61,12 @@
 	return t.configuration.IdleTimeout
 }
 
-// HealthPath returns the path of the health check of a service's targets, or nothing.
+// HealthPath returns the path of the health check of a service's targets; empty when none is declared.
 func (t *Table) HealthPath(service string) string {
 	return t.Declared(service).HealthPath
 }
 
-// Declared is what operators declare of a service; the zero value when they declare nothing.
+// Declared returns the operators' declaration of a service; the zero value when there is none.
 func (t *Table) Declared(service string) configuration.Service {
 	if t == nil || t.services[service] == nil {
 		return configuration.Service{}
@@ -75,7 +74,7 @@
 	return *t.services[service]
 }
 
-// Regions are those that flows of a route to one of its services may reach. A nil route allows all.
+// Regions returns the regions that flows of a route to one of its services may reach. A nil route allows all.
 func (t *Table) Regions(r *configuration.Route, service string) Regions {
 	if r == nil {
 		return Regions{}
@@ -83,22 +82,21 @@
 	return Regions{route: r.Regions, service: t.Declared(service).Regions}
 }
 
-// Regions are the regions that a route and a service allow; both bind. The zero value allows all.
+// Regions restricts flows to the regions that both the route and the service allow. The zero value allows all.
 type Regions struct {
 	route, service []string
 }
 
-// Allow reports whether a region is allowed by both.
+// Allow reports whether both the route and the service allow a region.
 func (a Regions) Allow(region string) bool {
-	return allows(a.route, region) && allows(a.service, region)
+	return allowsRegion(a.route, region) && allowsRegion(a.service, region)
 }
 
-// allows reports whether a list of regions names one; an empty list allows all.
-func allows(regions []string, region string) bool {
+// allowsRegion reports whether a list contains a region; an empty list allows all.
+func allowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// Len returns the number of routes.
 func (t *Table) Len() int {
 	if t == nil {
 		return 0
@@ -114,7 +112,8 @@
 	return t.routes[destination]
 }
 
-// Service returns the service of a route's new flow with the given hash. The same flow always gets the same share.
+// Service selects one of a route's services by weight for the new flow with the given hash. The selection is
+// deterministic. It returns "" when the route has no share with a weight.
 func Service(r *configuration.Route, hash uint64) string {
 	var total uint64
 	for _, s := range r.Shares {
--- a/pkg/dsr/routing/table_test.go
+++ b/pkg/dsr/routing/table_test.go
@@ -11,14 +11,14 @@
 
 var address = netip.MustParseAddrPort("198.18.0.1:443")
 
-func TestRouteOfAnAddress(t *testing.T) {
+func TestRouteByAddress(t *testing.T) {
 	table := NewTable(configuration.Configuration{Version: 7, Routes: []configuration.Route{{Name: "r", Destination: address, Shares: []configuration.Share{{Service: "route-svc", Weight: 1}}}}})
 	require.Equal(t, "route-svc", Service(table.Route(address), 12345))
 	require.Nil(t, table.Route(netip.MustParseAddrPort("198.18.0.1:444")))
 	require.Equal(t, DefaultIdleTimeout, table.IdleTimeout())
 }
 
-func TestAMissingTableHasNoRoutes(t *testing.T) {
+func TestNilTableHasNoRoutes(t *testing.T) {
 	var table *Table
 	require.Nil(t, table.Route(address))
 	require.Zero(t, table.Version())
