--- a/pkg/dsr/roster/doc.go
+++ b/pkg/dsr/roster/doc.go
@@ -1,3 +1,3 @@
-// Package roster keeps which other processes a daemon of a pass-through service knows, and since when it heard nothing of
-// them. Every entry is soft state: it comes back from the processes themselves after a restart.
+// Package roster tracks the other processes that a daemon of a pass-through service knows, and when each was last seen.
+// Every entry is soft state: after a restart it is rebuilt from the messages of those processes.
 package roster
--- a/pkg/dsr/roster/peers.go
+++ b/pkg/dsr/roster/peers.go
@@ -7,34 +7,35 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// peer is what is known of one process.
+// peer is the state of one process.
 type peer struct {
-	added time.Time
-	heard time.Time
-	told  time.Time
-	// part is the part of the interval after which the peer is told again, sends the number of messages so far, from which the
-	// next part is drawn.
-	part  float64
-	sends uint64
-	// lively is set from the first message until the silence has been reported.
-	lively bool
-	// says is the time between two messages of the peer, as it says; wants is what it asks for between two messages to it.
-	says  time.Duration
-	wants time.Duration
+	added    time.Time
+	lastSeen time.Time
+	lastSent time.Time
+	// fraction is the fraction of the interval after which the next message is sent; sendCount is the number of
+	// messages sent, from which the next fraction is drawn.
+	fraction  float64
+	sendCount uint64
+	// reportedAlive is set from the first message until NewlySilent has reported the peer.
+	reportedAlive bool
+	// sendInterval is the time between two messages of the peer, as reported by it; requestedInterval is the time that
+	// it requests between two messages to it.
+	sendInterval      time.Duration
+	requestedInterval time.Duration
 }
 
 // Peers are the known processes of one role. The zero value is empty.
 type Peers struct {
-	// Seed keeps the messages of processes that were started together apart.
+	// Seed differs between processes, so that those started together do not send their messages at the same times.
 	Seed uint64
 
 	m map[netip.AddrPort]*peer
-	// order keeps the order of addition, so that every walk is the same.
+	// order lists the peers in order of addition, so that iteration is deterministic.
 	order []netip.AddrPort
 	draws uint64
 }
 
-// Add adds a peer that is known by hearsay; it reports whether it is new.
+// Add adds a peer that another process has named; it reports whether it is new.
 func (p *Peers) Add(now time.Time, a netip.AddrPort) bool {
 	if p.m == nil {
 		p.m = make(map[netip.AddrPort]*peer)
@@ -42,153 +43,154 @@
 	if p.m[a] != nil {
 		return false
 	}
-	p.m[a] = &peer{added: now, part: 1}
+	p.m[a] = &peer{added: now, fraction: 1}
 	p.order = append(p.order, a)
 	return true
 }
 
-// MarkSeen notes a message of a peer; it reports whether the peer is new or was quiet.
+// MarkSeen records a message of a peer; it reports whether the peer is new or was silent.
 func (p *Peers) MarkSeen(now time.Time, a netip.AddrPort) bool {
 	p.Add(now, a)
 	e := p.m[a]
-	fresh := e.heard.IsZero() || now.Sub(e.heard) > e.silence()
-	e.heard, e.lively = now, true
+	fresh := e.lastSeen.IsZero() || now.Sub(e.lastSeen) > e.silenceTimeout()
+	e.lastSeen, e.reportedAlive = now, true
 	return fresh
 }
 
-// SetSendInterval notes the time between two messages of a peer, as the peer says. It may be silent for four times that.
+// SetSendInterval sets the time between two messages of a peer. The peer may be silent for silentIntervals of it.
 func (p *Peers) SetSendInterval(a netip.AddrPort, interval time.Duration) {
 	if e := p.m[a]; e != nil {
-		e.says = min(interval, MaxInterval)
+		e.sendInterval = min(interval, MaxInterval)
 	}
 }
 
-// SetRequestedInterval notes the time that a peer asks for between two messages to it.
+// SetRequestedInterval sets the time that a peer requests between two messages to it.
 func (p *Peers) SetRequestedInterval(a netip.AddrPort, interval time.Duration) {
 	if e := p.m[a]; e != nil {
-		e.wants = min(interval, MaxInterval)
+		e.requestedInterval = min(interval, MaxInterval)
 	}
 }
 
-// silence is how long the peer may say nothing until it is taken for gone.
-func (e *peer) silence() time.Duration { return max(SilenceTimeout, quietMessages*e.says) }
+// silenceTimeout is how long the peer may be silent before it counts as lost.
+func (e *peer) silenceTimeout() time.Duration {
+	return max(SilenceTimeout, silentIntervals*e.sendInterval)
+}
 
-// Contains reports whether the peer is known.
 func (p *Peers) Contains(a netip.AddrPort) bool { return p.m[a] != nil }
 
-// Alive reports whether the peer was heard of lately.
+// Alive reports whether the peer was seen within its silence timeout.
 func (p *Peers) Alive(now time.Time, a netip.AddrPort) bool {
 	e := p.m[a]
-	return e != nil && e.alive(now)
+	return e != nil && e.isAlive(now)
 }
 
-func (e *peer) alive(now time.Time) bool {
-	return !e.heard.IsZero() && now.Sub(e.heard) <= e.silence()
+func (e *peer) isAlive(now time.Time) bool {
+	return !e.lastSeen.IsZero() && now.Sub(e.lastSeen) <= e.silenceTimeout()
 }
 
-// NewlySilent returns the peers that have fallen silent since the last call.
+// NewlySilent returns the peers that have become silent since the last call.
 func (p *Peers) NewlySilent(now time.Time) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range p.order {
-		if e := p.m[a]; e.lively && !e.alive(now) {
-			e.lively = false
+		if e := p.m[a]; e.reportedAlive && !e.isAlive(now) {
+			e.reportedAlive = false
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// Due returns the peers that are to be told something now, and notes that they were. Peers that were silent for long are
-// forgotten.
+// Due returns the peers that a message is due to now, and records the messages as sent. It expires peers first.
 func (p *Peers) Due(now time.Time) []netip.AddrPort {
 	p.Expire(now)
 	var due []netip.AddrPort
 	for _, a := range p.order {
 		e := p.m[a]
-		if now.Sub(e.told) < time.Duration(e.part*float64(p.interval(now, e))) {
+		if now.Sub(e.lastSent) < time.Duration(e.fraction*float64(p.interval(now, e))) {
 			continue
 		}
-		p.tell(now, a, e)
+		p.recordSent(now, a, e)
 		due = append(due, a)
 	}
 	return due
 }
 
-// tell notes a message to a peer, and draws when the next one is due. Processes that have told everybody at once, such as at the
-// start, would else do so again after each interval, with nothing to be heard in between.
-func (p *Peers) tell(now time.Time, a netip.AddrPort, e *peer) {
-	atOnce := e.told.IsZero()
-	e.told, e.part = now, 1
-	e.sends++
-	if !e.alive(now) || p.Interval(e.wants) == MinInterval {
+// recordSent records a message to a peer and schedules the next one. Intervals are jittered, since a process that has
+// sent to all peers at once, such as at its start, would else keep doing so, with nothing sent in between.
+func (p *Peers) recordSent(now time.Time, a netip.AddrPort, e *peer) {
+	atOnce := e.lastSent.IsZero()
+	e.lastSent, e.fraction = now, 1
+	e.sendCount++
+	if !e.isAlive(now) || p.Interval(e.requestedInterval) == MinInterval {
 		return
 	}
-	drawn := p.draw(a, e.sends)
+	drawn := p.draw(a, e.sendCount)
 	if atOnce {
-		e.part = drawn
+		e.fraction = drawn
 		return
 	}
-	e.part = 1 - steadySpread*drawn
+	e.fraction = 1 - intervalJitter*drawn
 }
 
-// draw returns a number from 0 to 1 that is the same for the same peer, count and seed.
+// draw returns a pseudo-random number in [0, 1) that depends only on the peer, the count and the seed.
 func (p *Peers) draw(a netip.AddrPort, count uint64) float64 {
 	return float64(flow.Mix(p.Seed^flow.Mix(flow.AddrBits(a)^count<<48))>>11) / (1 << 53)
 }
 
-// interval is the time between two messages to a peer.
+// interval returns the time between two messages to a peer.
 func (p *Peers) interval(now time.Time, e *peer) time.Duration {
 	switch {
-	case e.alive(now):
-		return p.Interval(e.wants)
-	case now.Sub(e.added) < EagerTime, now.Sub(e.heard) < e.silence()+EagerTime-SilenceTimeout:
-		return max(EagerInterval, perSecond(len(p.order), EagerRate))
+	case e.isAlive(now):
+		return p.Interval(e.requestedInterval)
+	case now.Sub(e.added) < EagerTime, now.Sub(e.lastSeen) < e.silenceTimeout()+EagerTime-SilenceTimeout:
+		return max(EagerInterval, intervalAtRate(len(p.order), EagerRate))
 	}
-	return max(SilentInterval, perSecond(len(p.order), SilentRate))
+	return max(SilentInterval, intervalAtRate(len(p.order), SilentRate))
 }
 
-// Interval is the time between two messages to a peer that is heard of and asks for one in the given time: the longer, the more
-// peers there are, so that their number does not change what this process sends.
+// Interval returns the time between two messages to a living peer that requests the given one. It grows with the number
+// of peers, which bounds the messages of this process to SendRate.
 func (p *Peers) Interval(wanted time.Duration) time.Duration {
-	return max(MinInterval, perSecond(len(p.order), SendRate), wanted)
+	return max(MinInterval, intervalAtRate(len(p.order), SendRate), wanted)
 }
 
-// IntervalTo is the time between two messages to a peer that is heard of.
+// IntervalTo returns the time between two messages to a peer while it is alive.
 func (p *Peers) IntervalTo(a netip.AddrPort) time.Duration {
 	if e := p.m[a]; e != nil {
-		return p.Interval(e.wants)
+		return p.Interval(e.requestedInterval)
 	}
 	return MinInterval
 }
 
-// IntervalFor is what one of a number of processes is asked to leave between two messages to the same receiver, so that their
-// number does not change what the receiver hears.
+// IntervalFor returns the interval that each of a number of senders is asked to keep, so that the receiver gets at most
+// ReceiveRate messages per second.
 func IntervalFor(senders int) time.Duration {
-	return min(max(MinInterval, perSecond(senders, ReceiveRate)), MaxInterval)
+	return min(max(MinInterval, intervalAtRate(senders, ReceiveRate)), MaxInterval)
 }
 
 // RemoteIntervalFor is IntervalFor for senders of other data centres than the receiver's.
 func RemoteIntervalFor(senders int) time.Duration {
 	near := IntervalFor(senders)
-	if near <= farAfter {
+	if near <= remoteThreshold {
 		return near
 	}
-	return min(farFactor*near, MaxInterval)
+	return min(remoteFactor*near, MaxInterval)
 }
 
-// perSecond is the interval of each of n messages when rate of them are sent a second.
-func perSecond(n int, rate float64) time.Duration {
+// intervalAtRate returns the interval of each of n senders or receivers when all together have rate messages per
+// second.
+func intervalAtRate(n int, rate float64) time.Duration {
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
 // MakeAllDue makes the next call of Due return every peer.
 func (p *Peers) MakeAllDue() {
 	for _, e := range p.m {
-		e.told = time.Time{}
+		e.lastSent = time.Time{}
 	}
 }
 
-// Sample returns up to n living peers, others each time.
+// Sample returns up to n random living peers.
 func (p *Peers) Sample(now time.Time, n int) []netip.AddrPort {
 	living := p.Living(now)
 	p.draws++
@@ -199,13 +201,13 @@
 	return living[:min(n, len(living))]
 }
 
-// Len is the number of known peers.
+// Len returns the number of known peers.
 func (p *Peers) Len() int { return len(p.order) }
 
 // All returns the known peers in order of addition.
 func (p *Peers) All() []netip.AddrPort { return p.order }
 
-// Living returns the peers that were heard of lately.
+// Living returns the living peers in order of addition.
 func (p *Peers) Living(now time.Time) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range p.order {
@@ -216,12 +218,12 @@
 	return out
 }
 
-// Expire drops the peers that were silent for ExpireAfter.
+// Expire removes the peers that have been silent for ExpireAfter, and for their silence timeout if that is longer.
 func (p *Peers) Expire(now time.Time) {
 	kept := p.order[:0]
 	for _, a := range p.order {
 		e := p.m[a]
-		if now.Sub(e.added) > ExpireAfter && now.Sub(e.heard) > max(ExpireAfter, e.silence()) {
+		if now.Sub(e.added) > ExpireAfter && now.Sub(e.lastSeen) > max(ExpireAfter, e.silenceTimeout()) {
 			delete(p.m, a)
 			continue
 		}
--- a/pkg/dsr/roster/peers_test.go
+++ b/pkg/dsr/roster/peers_test.go
@@ -14,26 +14,26 @@
 	two   = netip.MustParseAddrPort("10.1.0.2:7000")
 )
 
-func TestAPeerIsToldAsOftenAsItNeeds(t *testing.T) {
+func TestDueFollowsPeerState(t *testing.T) {
 	var p Peers
 	require.True(t, p.Add(start, one))
 	require.False(t, p.Add(start, one))
 	require.True(t, p.MarkSeen(start, two))
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(start))
 	require.Empty(t, p.Due(start.Add(EagerInterval/2)))
-	require.Equal(t, []netip.AddrPort{one}, p.Due(start.Add(EagerInterval)), "one is new and has not answered")
+	require.Equal(t, []netip.AddrPort{one}, p.Due(start.Add(EagerInterval)), "peer one is new and has not answered")
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(start.Add(MinInterval)))
 
 	later := start.Add(EagerTime + time.Second)
 	p.MarkSeen(later, two)
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later))
-	require.Equal(t, []netip.AddrPort{two}, p.Due(later.Add(MinInterval)), "one has been silent for long")
+	require.Equal(t, []netip.AddrPort{two}, p.Due(later.Add(MinInterval)), "peer one has been silent for longer than EagerTime")
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(SilentInterval)))
 	p.MakeAllDue()
 	require.Equal(t, []netip.AddrPort{one, two}, p.Due(later.Add(SilentInterval)))
 }
 
-func TestASilentPeerIsNotAliveAndIsFreshAgainLater(t *testing.T) {
+func TestSilentPeerIsNotAliveUntilSeenAgain(t *testing.T) {
 	var p Peers
 	p.MarkSeen(start, one)
 	require.True(t, p.Alive(start.Add(SilenceTimeout), one))
@@ -42,18 +42,18 @@
 	require.True(t, p.MarkSeen(start.Add(3*SilenceTimeout), one))
 }
 
-func TestASilentPeerIsReportedOnce(t *testing.T) {
+func TestNewlySilentReportsAPeerOnce(t *testing.T) {
 	var p Peers
 	p.MarkSeen(start, one)
 	p.Add(start, two)
 	require.Empty(t, p.NewlySilent(start.Add(SilenceTimeout)))
-	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(SilenceTimeout+1)), "two was never heard of")
+	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(SilenceTimeout+1)), "peer two was never seen")
 	require.Empty(t, p.NewlySilent(start.Add(SilenceTimeout+2)))
 	p.MarkSeen(start.Add(2*SilenceTimeout), one)
 	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(4*SilenceTimeout)))
 }
 
-func TestAPeerIsForgottenAfterALongSilence(t *testing.T) {
+func TestSilentPeerExpires(t *testing.T) {
 	var p Peers
 	p.MarkSeen(start, one)
 	p.Add(start.Add(time.Minute), two)
@@ -61,8 +61,8 @@
 	require.Equal(t, []netip.AddrPort{two}, p.All())
 }
 
-// many are the addresses of n peers.
-func many(n int) []netip.AddrPort {
+// peerAddresses returns the addresses of n peers.
+func peerAddresses(n int) []netip.AddrPort {
 	out := make([]netip.AddrPort, n)
 	for i := range out {
 		out[i] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 7000)
@@ -70,8 +70,8 @@
 	return out
 }
 
-// lively plays some time in which every peer is heard of again and again, and returns the number of messages to peers a second.
-func lively(p *Peers, addresses []netip.AddrPort, length time.Duration) float64 {
+// runLively simulates a period in which every peer is seen all the time, and returns the messages sent per second.
+func runLively(p *Peers, addresses []netip.AddrPort, length time.Duration) float64 {
 	sent := 0
 	for at := time.Duration(0); at < length; at += EagerInterval {
 		now := start.Add(at)
@@ -83,31 +83,31 @@
 	return float64(sent) / length.Seconds()
 }
 
-// With four messages a second to each peer, 490 peers cost 1,960 messages a second, 196 kB with UDP and IP.
-func TestMessagesDoNotGrowWithThePeers(t *testing.T) {
+// The send rate must not grow with the number of peers: four messages a second to each of 490 peers would be 196 kB/s.
+func TestSendRateIsIndependentOfPeerCount(t *testing.T) {
 	for _, n := range []int{59, 490, 3300} {
 		var p Peers
-		addresses := many(n)
+		addresses := peerAddresses(n)
 		for _, a := range addresses {
 			p.MarkSeen(start, a)
 		}
 		p.Due(start)
-		require.LessOrEqual(t, lively(&p, addresses, 3*time.Minute), SendRate*1.25, "%d peers", n)
+		require.LessOrEqual(t, runLively(&p, addresses, 3*time.Minute), SendRate*1.25, "%d peers", n)
 	}
 }
 
-func TestAPeerIsToldAsRarelyAsItAsks(t *testing.T) {
+func TestRequestedIntervalIsHonored(t *testing.T) {
 	var p Peers
 	p.MarkSeen(start, one)
 	p.Due(start)
 	p.SetRequestedInterval(one, 10*time.Second)
-	require.InDelta(t, 0.1/(1-steadySpread/2), lively(&p, []netip.AddrPort{one}, 10*time.Minute), 0.01)
+	require.InDelta(t, 0.1/(1-intervalJitter/2), runLively(&p, []netip.AddrPort{one}, 10*time.Minute), 0.01)
 	require.Equal(t, 10*time.Second, p.IntervalTo(one))
 	p.SetRequestedInterval(one, time.Hour)
-	require.Equal(t, MaxInterval, p.IntervalTo(one), "nobody may ask for silence")
+	require.Equal(t, MaxInterval, p.IntervalTo(one), "the requested interval is bounded")
 }
 
-func TestAPeerThatSpeaksRarelyIsAliveForLonger(t *testing.T) {
+func TestSilenceTimeoutGrowsWithSendInterval(t *testing.T) {
 	var p Peers
 	p.MarkSeen(start, one)
 	p.SetSendInterval(one, 2*time.Second)
@@ -117,38 +117,39 @@
 	require.Equal(t, []netip.AddrPort{one}, p.NewlySilent(start.Add(17*time.Second)))
 }
 
-// Processes that tell everybody at once when power is back would all be silent until the next interval together.
-func TestMessagesOfProcessesThatStartedTogetherSpreadOut(t *testing.T) {
+// Processes that send to everybody at once after a power failure must not stay in step and leave gaps between their
+// messages.
+func TestSimultaneousStartsDesynchronize(t *testing.T) {
 	const processes = 500
 	interval := IntervalFor(processes)
-	heard := make([]bool, int(interval/EagerInterval)+1)
+	seen := make([]bool, int(interval/EagerInterval)+1)
 	for seed := range processes {
 		p := Peers{Seed: uint64(seed)}
 		p.MarkSeen(start, one)
 		p.SetRequestedInterval(one, interval)
 		require.Len(t, p.Due(start), 1)
-		for i := range heard {
+		for i := range seen {
 			now := start.Add(time.Duration(i) * EagerInterval)
 			p.MarkSeen(now, one)
 			if i > 0 && len(p.Due(now)) > 0 {
-				heard[i] = true
+				seen[i] = true
 			}
 		}
 	}
 	silent := 0
-	for _, h := range heard[1:] {
+	for _, h := range seen[1:] {
 		if h {
 			silent = 0
 			continue
 		}
 		silent++
-		require.Less(t, time.Duration(silent)*EagerInterval, 500*time.Millisecond, "a balancer that hears of nobody for so long takes itself for cut off")
+		require.Less(t, time.Duration(silent)*EagerInterval, 500*time.Millisecond, "a balancer without messages for so long counts as isolated")
 	}
 }
 
-func TestASampleIsOfLivingPeersAndChanges(t *testing.T) {
+func TestSampleIsDrawnFromLivingPeers(t *testing.T) {
 	var p Peers
-	addresses := many(30)
+	addresses := peerAddresses(30)
 	for i, a := range addresses {
 		p.Add(start, a)
 		if i < 20 {
@@ -168,8 +169,8 @@
 	require.Len(t, p.Sample(start, 40), 20)
 }
 
-// Reports from another data centre are rarer, where they are not frequent anyway.
-func TestSendersOfOtherDataCentresAreHeardLessOften(t *testing.T) {
+// Reports from another data centre are rarer, unless the interval is short anyway.
+func TestRemoteSendersUseLongerIntervals(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
 		near, far time.Duration
