--- a/pkg/dsr/outlier/detector_test.go
+++ b/pkg/dsr/outlier/detector_test.go
@@ -10,7 +10,7 @@
 
 var now = time.Unix(1000, 0)
 
-func TestATargetThatFailsAllIsLeftOut(t *testing.T) {
+func TestTargetThatFailsAllIsEjected(t *testing.T) {
 	var d Detector
 	for range FailureThreshold - 1 {
 		require.False(t, d.RecordFailure(now))
@@ -18,11 +18,11 @@
 	require.Equal(t, Healthy, d.State(now))
 	require.True(t, d.RecordFailure(now))
 	require.Equal(t, Ejected, d.State(now))
-	require.False(t, d.RecordFailure(now), "what was under way changes nothing")
+	require.False(t, d.RecordFailure(now), "requests in flight do not extend the ejection")
 	require.Equal(t, now.Add(BaseEjection), d.EjectedUntil(now))
 }
 
-func TestATargetComesBackAfterTries(t *testing.T) {
+func TestTargetRecoversAfterProbes(t *testing.T) {
 	var d Detector
 	for range FailureThreshold {
 		d.RecordFailure(now)
@@ -36,7 +36,7 @@
 	require.Zero(t, d.FailureCount())
 }
 
-func TestEachFailedTryDoublesTheRest(t *testing.T) {
+func TestFailedProbeDoublesTheEjection(t *testing.T) {
 	var d Detector
 	for range FailureThreshold {
 		d.RecordFailure(now)
@@ -51,29 +51,29 @@
 	}
 }
 
-// run hands the detector requests of which a share fails, 50 a second while it is healthy and one at a time else. It returns the
-// requests that failed, and the share of the time in which the target was left out.
-func run(share float64, length time.Duration, random *rand.Rand) (lost int, out float64) {
+// run gives the detector requests of which a share fails: 50 a second, and none during ejections. It returns the number
+// of failed requests, and the fraction of the time in which the target was ejected.
+func run(share float64, length time.Duration, random *rand.Rand) (failures int, ejectedShare float64) {
 	var d Detector
-	resting := time.Duration(0)
+	ejected := time.Duration(0)
 	const step = 20 * time.Millisecond
 	for at := time.Duration(0); at < length; at += step {
 		t := now.Add(at)
 		switch {
 		case d.State(t) == Ejected:
-			resting += step
+			ejected += step
 		case random.Float64() < share:
-			lost++
+			failures++
 			d.RecordFailure(t)
 		default:
 			d.RecordSuccess(t)
 		}
 	}
-	return lost, float64(resting) / float64(length)
+	return failures, float64(ejected) / float64(length)
 }
 
-// Ten seeds of a minute with 50 requests a second. A false alarm must cost a healthy service next to nothing.
-func TestFailingTargetsAreLeftOutAndHealthyOnesAreNot(t *testing.T) {
+// Ten seeds of a minute with 50 requests a second: a healthy service must hardly be affected by false positives.
+func TestOnlyFailingTargetsAreEjected(t *testing.T) {
 	for _, c := range []struct {
 		share            float64
 		lostMax          int
--- a/pkg/dsr/outlier/response.go
+++ b/pkg/dsr/outlier/response.go
@@ -2,49 +2,52 @@
 
 import "time"
 
-// ResponseWindowSize is the number of last answers whose least is taken. Where one answer in ten is short and fast, as one that says that nothing
-// has changed, four of five targets have one among them, so that such answers do not stand out.
+// ResponseWindowSize is the number of recent responses in a ResponseWindow. Where one response in ten is short and
+// fast, as one that says that nothing has changed, four of five targets have one in the window, so that these do not
+// stand out.
 const ResponseWindowSize = 16
 
-// An answer may be an error that takes less than fast of the usual least time, or is smaller than short of the usual smallest one.
+// A response may be an error if it takes less than fastFraction of the typical minimum time, or is smaller than
+// smallFraction of the typical minimum size.
 const (
-	fast  = 0.5
-	short = 0.125
+	fastFraction  = 0.5
+	smallFraction = 0.125
 )
 
-// Response is what is seen of an answer from outside, or the least of several.
+// Response describes one response of a target as seen on the network, or the minimum of several.
 type Response struct {
 	// Time is the time from the request to the first byte, Bytes the size.
 	Time  time.Duration
 	Bytes uint32
 }
 
-// LooksFailed reports whether an answer began earlier than is usual and is smaller than is usual, one of them by far: it may well be an error
-// that took no work. Neither alone says so, since a target may be fast, or compress its answers. The usual is the least answer of the
-// median target, the zero value when it is not known.
-func (a Response) LooksFailed(usual Response) bool {
-	if a.Time >= usual.Time || a.Bytes >= usual.Bytes {
+// LooksFailed reports whether a response is both faster and smaller than the typical one, and one of them by far: it
+// may well be an error that took no work. Neither alone suffices, since a target may be fast, or compress its
+// responses. The typical response is the median over the targets of their minimum responses, or the zero value when it
+// is not known.
+func (a Response) LooksFailed(typical Response) bool {
+	if a.Time >= typical.Time || a.Bytes >= typical.Bytes {
 		return false
 	}
-	return float64(a.Time) < fast*float64(usual.Time) || float64(a.Bytes) < short*float64(usual.Bytes)
+	return float64(a.Time) < fastFraction*float64(typical.Time) || float64(a.Bytes) < smallFraction*float64(typical.Bytes)
 }
 
-// ResponseWindow keeps the last answers to requests for one address. The zero value has none.
+// ResponseWindow keeps the last responses to requests for one address. The zero value is empty.
 type ResponseWindow struct {
 	last  [ResponseWindowSize]Response
 	count int
 }
 
-// Add takes an answer.
+// Add adds a response, in place of the oldest one when the window is full.
 func (l *ResponseWindow) Add(a Response) {
 	l.last[l.count%ResponseWindowSize] = a
 	l.count++
 }
 
-// Count is the number of answers so far.
+// Count returns the number of responses added so far.
 func (l *ResponseWindow) Count() int { return l.count }
 
-// Minimum is the least of the last answers; it is known once there were enough.
+// Minimum returns the minimum time and the minimum size in the window, or false while the window is not full.
 func (l *ResponseWindow) Minimum() (Response, bool) {
 	if l.count < ResponseWindowSize {
 		return Response{}, false
