--- a/pkg/dsr/estimate/estimate_test.go
+++ b/pkg/dsr/estimate/estimate_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestTheFirstSampleReplacesTheStartValue(t *testing.T) {
+func TestFirstSampleReplacesTheInitialValue(t *testing.T) {
 	var m Mean
 	require.Equal(t, 30*ms, m.ValueOr(30*ms))
 	require.False(t, m.HasSample())
@@ -19,8 +19,8 @@
 	require.Equal(t, 100*ms, m.ValueOr(30*ms))
 }
 
-// A change by a factor of three is followed to within a tenth after 40 samples.
-func TestAMeanFollowsAChange(t *testing.T) {
+// The mean is within a tenth of a new value, three times the old one, after 40 samples.
+func TestMeanFollowsAChange(t *testing.T) {
 	var m Mean
 	for range 100 {
 		m.Add(20 * ms)
@@ -31,7 +31,7 @@
 	require.InDelta(t, float64(60*ms), float64(m.ValueOr(0)), float64(6*ms))
 }
 
-func TestAnAnswerIsOverdueBeyondItsUsualSpread(t *testing.T) {
+func TestTimeoutIsBeyondTheSampleRange(t *testing.T) {
 	var a Latency
 	require.Equal(t, 25*ms, a.Timeout(25*ms))
 	for i := range 200 {
@@ -41,7 +41,7 @@
 	require.Less(t, a.Timeout(0), 32*ms)
 }
 
-func TestARateFollowsWhatHappens(t *testing.T) {
+func TestRateFollowsEvents(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r Rate
 	require.Zero(t, r.PerSecond(now))
@@ -53,5 +53,5 @@
 		}
 	}
 	require.InDelta(t, 50, r.PerSecond(now), 1)
-	require.InDelta(t, 50/2.718, r.PerSecond(now.Add(rateTime)), 1)
+	require.InDelta(t, 50/2.718, r.PerSecond(now.Add(rateTimeConstant)), 1)
 }
--- a/pkg/dsr/estimate/rate.go
+++ b/pkg/dsr/estimate/rate.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// rateTime is the time over which a rate is averaged.
-const rateTime = 4 * time.Second
+// rateTimeConstant is the time constant of the exponential decay.
+const rateTimeConstant = 4 * time.Second
 
-// Rate is how often something happens, averaged over the last seconds. The zero value has seen nothing.
+// Rate is the frequency of an event, averaged over the last seconds. The zero value has no event.
 type Rate struct {
-	// count is the number of events, of which older ones count less; at is when it was worked out, since when the first one was seen.
+	// count is the exponentially decayed number of events as of at; since is the time of the first event.
 	count     float64
 	at, since time.Time
 }
@@ -24,15 +24,15 @@
 	r.at = now
 }
 
-// PerSecond is the rate at a time. What began a moment ago is not taken for rare.
+// PerSecond returns the rate at a time. It compensates for the missing history of a recent first event.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	if r.since.IsZero() {
 		return 0
 	}
-	seen := rateTime.Seconds() * (1 - math.Exp(-max(now.Sub(r.since), time.Second).Seconds()/rateTime.Seconds()))
+	seen := rateTimeConstant.Seconds() * (1 - math.Exp(-max(now.Sub(r.since), time.Second).Seconds()/rateTimeConstant.Seconds()))
 	return r.decayed(now) / seen
 }
 
 func (r *Rate) decayed(now time.Time) float64 {
-	return r.count * math.Exp(-now.Sub(r.at).Seconds()/rateTime.Seconds())
+	return r.count * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
