--- /dev/null
+++ b/pkg/dsr/dispatch/search.go
@@ -0,0 +1,317 @@
+package dispatch
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/auburnwood/auburnwood/pkg/dsr/configuration"
+	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
+	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
+	"github.com/auburnwood/auburnwood/pkg/flow"
+)
+
+// maySearch reports whether the search budget allows a search. A search may overdraw the budget, so that one that asks
+// more agents than the burst is still possible.
+func (b *Balancer) maySearch(now time.Time) bool {
+	b.searchBudget = min(SearchBurst, b.searchBudget+SearchMessagesPerSecond*now.Sub(b.searchBudgetAt).Seconds())
+	b.searchBudgetAt = now
+	return b.searchBudget >= 1
+}
+
+// search holds a packet and asks agents whether their targets hold its flow. A packet that finds the budget used up is
+// dropped; its sender retransmits it.
+func (b *Balancer) search(now time.Time, f *flowState, s segment.Segment) {
+	if f.phase == lost && !f.since.IsZero() && now.Sub(f.since) < LocateRetryInterval {
+		return
+	}
+	if !b.maySearch(now) {
+		return
+	}
+	f.hold(s.Raw)
+	f.retried = false
+	b.searchHeld(now, f)
+}
+
+// searchHeld starts a search for the owner of the held packets.
+func (b *Balancer) searchHeld(now time.Time, f *flowState) {
+	f.phase, f.undetermined, f.unanswered, f.widened = locating, nil, nil, false
+	f.unasked, f.step = b.likelyOwners(f), SearchInitialAgents
+	b.askMore(now, f)
+}
+
+// likelyOwners returns the agents of the services on the flow's route, in the order in which the flow is offered to
+// them when all targets are free.
+func (b *Balancer) likelyOwners(f *flowState) []netip.AddrPort {
+	route := b.routes.Route(f.key.Destination)
+	if route == nil {
+		return nil
+	}
+	var agents []*agent
+	for i, share := range route.Shares {
+		named := slices.ContainsFunc(route.Shares[:i], func(s configuration.Share) bool { return s.Service == share.Service })
+		if !named {
+			agents = append(agents, b.services[share.Service]...)
+		}
+	}
+	slices.SortFunc(agents, func(x, y *agent) int {
+		return cmp.Or(
+			compareTrue(!x.suspect, !y.suspect),
+			compareTrue(x.dataCentre == b.cfg.DataCentre, y.dataCentre == b.cfg.DataCentre),
+			cmp.Compare(tieBreak(f.hash, x.addr), tieBreak(f.hash, y.addr)),
+		)
+	})
+	out := make([]netip.AddrPort, len(agents))
+	for i, a := range agents {
+		out[i] = a.addr
+	}
+	return out
+}
+
+// routeIncludes reports whether the agent's service is one of the route's.
+func routeIncludes(route *configuration.Route, a *agent) bool {
+	if route == nil {
+		return false
+	}
+	return slices.ContainsFunc(route.Shares, func(s configuration.Share) bool { return s.Service == a.service })
+}
+
+// askMore asks the next, larger group of agents together with those that have not answered. It ends the search when no
+// agent is left to ask.
+func (b *Balancer) askMore(now time.Time, f *flowState) {
+	if len(f.unasked) == 0 {
+		b.ownerNotFound(now, f)
+		return
+	}
+	n := min(f.step, len(f.unasked))
+	f.unanswered = append(f.unanswered, f.unasked[:n]...)
+	f.unasked = f.unasked[n:]
+	f.step *= SearchGrowth
+	f.rounds = 0
+	b.askAgain(now, f)
+}
+
+// askAgain asks all agents that have not answered.
+func (b *Balancer) askAgain(now time.Time, f *flowState) {
+	f.since = now
+	f.rounds++
+	message := dsrpb.Message{
+		Kind:          dsrpb.Kind_KIND_LOCATE,
+		Flow:          f.hash,
+		Configuration: b.routes.Version(),
+	}
+	message.SetKey(f.key)
+	for _, to := range f.unanswered {
+		b.out.ToAgent(to, &message)
+	}
+	b.searchBudget -= float64(len(f.unanswered))
+	b.locates = append(b.locates, due{flow: f, at: now.Add(b.locateTimeout()), phaseStart: now})
+}
+
+// awaitsLiveAgent reports whether an agent that has not answered was seen within AgentSilenceTimeout.
+func (b *Balancer) awaitsLiveAgent(now time.Time, f *flowState) bool {
+	return slices.ContainsFunc(f.unanswered, func(addr netip.AddrPort) bool {
+		a := b.agents[addr]
+		return a != nil && now.Sub(a.lastSeen) <= AgentSilenceTimeout
+	})
+}
+
+// located handles an agent's answer to a search.
+func (b *Balancer) located(now time.Time, f *flowState, from netip.AddrPort, m *dsrpb.Message) {
+	if m.Verdict == dsrpb.Verdict_VERDICT_HELD && (f.phase == locating || f.phase == probing || f.phase == lost) {
+		b.accepted(now, f, from, m)
+	}
+	if f.phase != locating {
+		return
+	}
+	i := slices.Index(f.unanswered, from)
+	if i < 0 {
+		return
+	}
+	f.unanswered = slices.Delete(f.unanswered, i, i+1)
+	if m.Verdict == dsrpb.Verdict_VERDICT_UNKNOWN {
+		f.undetermined = append(f.undetermined, from)
+	}
+	if len(f.unanswered) == 0 {
+		b.askMore(now, f)
+	}
+}
+
+// ownerNotFound continues when no agent that was asked holds the flow: first with all other agents, since an older
+// route may have led to them, then by probing the agents that cannot tell.
+func (b *Balancer) ownerNotFound(now time.Time, f *flowState) {
+	if b.widen(now, f) {
+		return
+	}
+	if now.Sub(f.lastProbe) > ProbeWindow {
+		f.probes = 0
+	}
+	if f.firstMissed.IsZero() {
+		f.firstMissed = now
+	}
+	if b.awaitsLiveAgent(now, f) || now.Sub(b.started) < SettleTime || now.Sub(f.firstMissed) < SettleTime {
+		b.scheduleSecondSearch(now, f)
+		return
+	}
+	f.undetermined = slices.DeleteFunc(f.undetermined, func(a netip.AddrPort) bool { return !b.mayProbe(a, f.key.Destination) })
+	b.sortCandidates(f)
+	b.probeNext(now, f)
+}
+
+// scheduleSecondSearch keeps the held packets for one more search, by which time every agent must be known. The caller
+// retransmits every 1.6 s through any balancer: if each packet were dropped at once, the flow of a living target could
+// get no answer while balancers are restarted every few seconds.
+func (b *Balancer) scheduleSecondSearch(now time.Time, f *flowState) {
+	if f.retried {
+		b.markLost(now, f)
+		return
+	}
+	held := f.held
+	b.markLost(now, f)
+	f.held, f.retried = held, true
+	b.secondSearches = append(b.secondSearches, due{flow: f, at: now.Add(SettleTime), phaseStart: now})
+}
+
+// secondSearch searches for the owner of the packets that were kept.
+func (b *Balancer) secondSearch(now time.Time, d due) {
+	f := d.flow
+	if f.phase == lost && len(f.held) > 0 && d.phaseStart.Equal(f.since) && b.maySearch(now) {
+		b.searchHeld(now, f)
+	}
+}
+
+// sortCandidates orders the agents that cannot tell whether they hold the flow by likelihood. Agents that were probed
+// before come last. An agent that started after the others has seen the least of its target's flows and comes first.
+// Agents that started together are in the order in which the flow is offered to them when all are equally busy.
+func (b *Balancer) sortCandidates(f *flowState) {
+	var newest time.Time
+	for _, a := range f.undetermined {
+		if at := b.incarnationStart(a); at.After(newest) {
+			newest = at
+		}
+	}
+	latest := func(a netip.AddrPort) bool { return newest.Sub(b.incarnationStart(a)) <= StartedTogetherWindow }
+	probed := func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }
+	slices.SortFunc(f.undetermined, func(x, y netip.AddrPort) int {
+		return cmp.Or(
+			compareTrue(!probed(x), !probed(y)),
+			compareTrue(latest(x), latest(y)),
+			cmp.Compare(tieBreak(f.hash, x), tieBreak(f.hash, y)),
+		)
+	})
+	b.randomizeSecond(f)
+}
+
+// randomizeSecond draws the second candidate, differently in each incarnation of the balancer, once a probe has missed
+// the owner. While balancers and agents restart repeatedly, the order by likelihood alone would always name the same
+// few and the flow of a living target would get no answer.
+func (b *Balancer) randomizeSecond(f *flowState) {
+	if len(f.probedAgents) == 0 || len(f.undetermined) <= MaxProbes {
+		return
+	}
+	rest := f.undetermined[1:]
+	fresh := len(rest)
+	if i := slices.IndexFunc(rest, func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }); i > 0 {
+		fresh = i
+	}
+	i := int(flow.Mix(f.hash^uint64(b.started.UnixNano())) % uint64(fresh))
+	rest[0], rest[i] = rest[i], rest[0]
+}
+
+// compareTrue sorts true before false.
+func compareTrue(x, y bool) int {
+	switch {
+	case x == y:
+		return 0
+	case x:
+		return -1
+	}
+	return 1
+}
+
+// widen extends the search to the agents of other services, and to unresponsive ones once more. A flow that stays lost
+// is searched for everywhere only until every agent must be known.
+func (b *Balancer) widen(now time.Time, f *flowState) bool {
+	settled := !f.firstMissed.IsZero() && now.Sub(f.firstMissed) >= SettleTime
+	if f.widened || settled || !b.maySearch(now) {
+		return false
+	}
+	route := b.routes.Route(f.key.Destination)
+	for _, a := range b.order {
+		if !routeIncludes(route, a) {
+			f.unasked = append(f.unasked, a.addr)
+		}
+	}
+	if len(f.unasked) == 0 {
+		return false
+	}
+	f.widened = true
+	b.askMore(now, f)
+	return true
+}
+
+// mayProbe reports whether the agent may be sent a packet of a flow that its target may not hold: its service must be
+// on the route of the address, and its region allowed.
+func (b *Balancer) mayProbe(a netip.AddrPort, destination netip.AddrPort) bool {
+	known := b.agents[a]
+	route := b.routes.Route(destination)
+	return known != nil && routeIncludes(route, known) && b.routes.Regions(route, known.service).Allow(known.region)
+}
+
+// incarnationStart returns when the balancer received the first announcement of the agent's current incarnation.
+func (b *Balancer) incarnationStart(a netip.AddrPort) time.Time {
+	if known := b.agents[a]; known != nil {
+		return known.started
+	}
+	return time.Time{}
+}
+
+// probeNext sends the first held packet to the next agent that may hold the flow.
+func (b *Balancer) probeNext(now time.Time, f *flowState) {
+	if len(f.undetermined) == 0 || f.probes >= MaxProbes || len(f.held) == 0 {
+		b.markLost(now, f)
+		return
+	}
+	f.asked = f.undetermined[0]
+	f.probedAgents = append(f.probedAgents, f.asked)
+	f.undetermined = f.undetermined[1:]
+	f.probes++
+	f.phase, f.since, f.lastProbe = probing, now, now
+	raw := f.held[0]
+	f.held = f.held[1:]
+	b.probes = append(b.probes, due{flow: f, at: now.Add(b.probeTimeout()), phaseStart: now})
+	b.forward(now, f, f.asked, raw, true, dsrpb.Patience_PATIENCE_QUEUE)
+}
+
+// markLost drops the held packets of a flow without a known owner. The caller is not sent a reset: an agent that was
+// not reached may hold the flow.
+func (b *Balancer) markLost(now time.Time, f *flowState) {
+	f.phase, f.since, f.held, f.undetermined, f.unasked = lost, now, nil, nil, nil
+	b.reportDecision(now, EventLost, f, netip.AddrPort{}, dsrpb.Verdict_VERDICT_UNSPECIFIED)
+}
+
+// searchTimedOut continues or ends a search that not every agent has answered in time.
+func (b *Balancer) searchTimedOut(now time.Time, d due) {
+	f := d.flow
+	if f.phase != locating || !d.phaseStart.Equal(f.since) {
+		return
+	}
+	switch {
+	case len(f.unasked) > 0 && !b.maySearch(now):
+		b.markLost(now, f)
+	case len(f.unasked) > 0:
+		b.askMore(now, f)
+	case f.rounds < LocateRounds && b.awaitsLiveAgent(now, f) && b.maySearch(now):
+		b.askAgain(now, f)
+	default:
+		b.ownerNotFound(now, f)
+	}
+}
+
+// probeTimedOut probes the next agent when one has not said whether its target returned the packet.
+func (b *Balancer) probeTimedOut(now time.Time, d due) {
+	if d.flow.phase == probing && d.phaseStart.Equal(d.flow.since) {
+		b.probeNext(now, d.flow)
+	}
+}
