--- a/pkg/arbiter/members.go
+++ b/pkg/arbiter/members.go
@@ -53,7 +53,7 @@
 	m.groups = newGroups(s)
 	m.adoptTables(now, old, a.cfg.Window)
 	if m.self >= 0 {
-		m.mates = m.table.Mates(m.self)
+		m.mates = m.table.ArbitersFor(m.self)
 	}
 	return m
 }
--- a/pkg/limit/limiter.go
+++ b/pkg/limit/limiter.go
@@ -123,8 +123,8 @@
 	return l.admit(now, w, true)
 }
 
-// StartNow gives the work a slot only when one is free and nothing waits.
-func (l *Limiter) StartNow(now time.Time, w *Work) Decision {
+// TryStart gives the work a slot only when one is free and nothing waits.
+func (l *Limiter) TryStart(now time.Time, w *Work) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.queue.size > 0 || !l.free(now) {
@@ -234,9 +234,9 @@
 	case ResultAnswered:
 		if w.trial {
 			l.hold.restart(now.Sub(w.since))
-			l.lead.restart(o.Lead)
+			l.lead.restart(o.ResponseTime)
 		}
-		l.answered(now.Sub(w.since), o.Lead)
+		l.answered(now.Sub(w.since), o.ResponseTime)
 	case ResultShed:
 		l.shed(now, o.RetryAfter)
 	case ResultFailed:
--- a/pkg/limit/limiter_test.go
+++ b/pkg/limit/limiter_test.go
@@ -27,7 +27,7 @@
 	for range 50 {
 		w := work("teacher", time.Hour)
 		require.Equal(t, VerdictStart, l.Admit(start.Add(-d), w).Verdict)
-		l.Done(start, w, Outcome{Result: ResultAnswered, Lead: d})
+		l.Done(start, w, Outcome{Result: ResultAnswered, ResponseTime: d})
 	}
 }
 
@@ -122,7 +122,7 @@
 		require.Equal(t, want, l.Load(start).Limit)
 		w := work("a", time.Hour)
 		l.Admit(start, w)
-		l.Done(start, w, Outcome{Result: ResultAnswered, Lead: time.Millisecond})
+		l.Done(start, w, Outcome{Result: ResultAnswered, ResponseTime: time.Millisecond})
 	}
 	require.Equal(t, 4, l.Load(start).Limit)
 }
@@ -142,7 +142,7 @@
 	trial := work("a", time.Second)
 	require.Equal(t, VerdictStart, l.Admit(start, trial).Verdict)
 	require.Equal(t, VerdictRefuse, l.Admit(start, work("a", time.Second)).Verdict)
-	l.Done(start.Add(10*time.Millisecond), trial, Outcome{Result: ResultAnswered, Lead: 10 * time.Millisecond})
+	l.Done(start.Add(10*time.Millisecond), trial, Outcome{Result: ResultAnswered, ResponseTime: 10 * time.Millisecond})
 	for range 2 {
 		require.Equal(t, VerdictStart, l.Admit(start, work("a", time.Second)).Verdict)
 	}
@@ -207,7 +207,7 @@
 			w := running[i]
 			running = append(running[:i], running[i+1:]...)
 			result := Result(1 + r.IntN(4))
-			running = append(running, l.Done(now, w, Outcome{Result: result, Lead: time.Millisecond})...)
+			running = append(running, l.Done(now, w, Outcome{Result: result, ResponseTime: time.Millisecond})...)
 		}
 		require.LessOrEqual(t, len(running), 3)
 		require.Equal(t, len(running), l.Load(now).Busy)
@@ -245,7 +245,7 @@
 		now = now.Add(time.Millisecond)
 		w := &Work{Caller: "a", Deadline: now.Add(time.Second)}
 		l.Admit(now, w)
-		l.Done(now, w, Outcome{Result: ResultAnswered, Lead: time.Millisecond})
+		l.Done(now, w, Outcome{Result: ResultAnswered, ResponseTime: time.Millisecond})
 	}
 }
 
--- a/pkg/limit/outcome.go
+++ b/pkg/limit/outcome.go
@@ -21,8 +21,8 @@
 type Outcome struct {
 	// Result says how the target treated the request.
 	Result Result
-	// Lead is the time from the start to the beginning of the answer.
-	Lead time.Duration
+	// ResponseTime is the time from the start to the beginning of the answer.
+	ResponseTime time.Duration
 	// RetryAfter is the time that a shedding target asks for; 0 when it names none.
 	RetryAfter time.Duration
 }
--- a/pkg/placement/table.go
+++ b/pkg/placement/table.go
@@ -152,8 +152,8 @@
 	return old == nil || t.FirstAgent(flow) != old.FirstAgent(flow)
 }
 
-// Mates returns, sorted, the indexes of the targets that are first in a row in which target self stands later.
-func (t *Table) Mates(self int) []int {
+// ArbitersFor returns, sorted, the indexes of the targets that are first in a row in which target self stands later.
+func (t *Table) ArbitersFor(self int) []int {
 	seen := make(map[int]bool)
 	for at := 0; at < len(t.rows); at += t.size {
 		row := t.rows[at : at+t.size]
--- a/pkg/placement/table_test.go
+++ b/pkg/placement/table_test.go
@@ -98,9 +98,9 @@
 
 func TestMates(t *testing.T) {
 	table := NewTable(service(5))
-	require.Equal(t, []int{0, 1, 3, 4}, table.Mates(2))
-	require.Empty(t, NewTable(service(1)).Mates(0))
-	require.Empty(t, NewTable(service(0)).Mates(0))
+	require.Equal(t, []int{0, 1, 3, 4}, table.ArbitersFor(2))
+	require.Empty(t, NewTable(service(1)).ArbitersFor(0))
+	require.Empty(t, NewTable(service(0)).ArbitersFor(0))
 }
 
 func BenchmarkAppendRow(b *testing.B) {
--- a/pkg/request/options.go
+++ b/pkg/request/options.go
@@ -53,7 +53,7 @@
 	MaxTimeout time.Duration
 	// Grace is how long after its deadline a started request may still answer; 0 means DefaultGrace.
 	Grace time.Duration
-	// TicketLife is the time in which a ticket must be submitted; 0 means ticket.DefaultLife.
+	// TicketLife is the time in which a ticket must be submitted; 0 means ticket.DefaultTTL.
 	TicketLife time.Duration
 	// TicketRetention is how long after its expiry the fate of a ticket is remembered; 0 means
 	// ticket.DefaultRetention.
--- a/pkg/request/run_local.go
+++ b/pkg/request/run_local.go
@@ -37,14 +37,14 @@
 		return u.localShed(after)
 	}
 	if closeDelimited(res) {
-		u.done(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
+		u.done(limit.Outcome{Result: limit.ResultAnswered, ResponseTime: lead})
 		return refused(noLength())
 	}
 	late.Stop()
 	defer u.boundOrphan(cancel)()
 	removeOwnHeaders(res.Header)
 	o := u.answer(res)
-	u.done(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
+	u.done(limit.Outcome{Result: limit.ResultAnswered, ResponseTime: lead})
 	return o
 }
 
@@ -55,7 +55,7 @@
 		u.failure = notConnected(err)
 		return u.unlessGone(ctx)
 	}
-	u.done(limit.Outcome{Result: failureResult(ctx), Lead: lead})
+	u.done(limit.Outcome{Result: failureResult(ctx), ResponseTime: lead})
 	return u.sent(ctx, err)
 }
 
--- a/pkg/request/serve_ticket.go
+++ b/pkg/request/serve_ticket.go
@@ -44,7 +44,7 @@
 
 // serveRepeat answers a submission of a ticket that another one holds or held.
 func (s *Server) serveRepeat(u *submission, res ticket.Result, holder *flight) {
-	if res.Other {
+	if res.DifferentRequest {
 		s.refuseTicket(u, &Refusal{Reason: refusal.ReasonTicketSpent, Status: http.StatusUnprocessableEntity,
 			Detail: "the ticket was used for another request", Run: refusal.RunUnknown, Submission: refusal.RunNo})
 		return
--- a/pkg/request/server.go
+++ b/pkg/request/server.go
@@ -61,7 +61,7 @@
 		limiter: limit.New(limit.Options{Slots: o.Slots, Queue: o.Queue, Cold: o.Cold, Unbounded: o.Unbounded,
 			Rand: o.newRand()}),
 		budget: limit.NewBudget(o.RetryRatio, limit.DefaultRetryBurst),
-		book: ticket.NewBook(ticket.Options{Issuer: o.Agent, Incarnation: o.Incarnation, Life: o.TicketLife,
+		book: ticket.NewBook(ticket.Options{Issuer: o.Agent, Incarnation: o.Incarnation, TTL: o.TicketLife,
 			Retention: o.TicketRetention, Max: o.TicketMax, Rand: o.newRand()}),
 		flights: newFlights(),
 		answers: newAnswers(o.Answers),
--- a/pkg/request/submission.go
+++ b/pkg/request/submission.go
@@ -64,7 +64,7 @@
 func (u *submission) admit() limit.Decision {
 	now := u.s.o.Now()
 	if u.steered {
-		return u.s.limiter.StartNow(now, u.newWork())
+		return u.s.limiter.TryStart(now, u.newWork())
 	}
 	return u.s.limiter.Admit(now, u.newWork())
 }
--- a/pkg/rollout/confident.go
+++ b/pkg/rollout/confident.go
@@ -35,8 +35,8 @@
 // Name implements Gate.
 func (ConfidentBurn) Name() string { return "confident" }
 
-// Judge implements Gate.
-func (ConfidentBurn) Judge(q Question) (Verdict, string) {
+// Evaluate implements Gate.
+func (ConfidentBurn) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.New.Requests == 0 {
 		return unreached(q)
 	}
@@ -60,7 +60,7 @@
 
 // unreached judges a version that no request has reached in this step, for example because it has no target. It gets no
 // larger share, and is given up when the old version had requests all the while.
-func unreached(q Question) (Verdict, string) {
+func unreached(q GateInput) (Verdict, string) {
 	if q.Evidence.Old.Requests == 0 || q.Evidence.Elapsed < time.Duration(maxWindows)*q.Window {
 		return VerdictObserve, "no request has reached the new version"
 	}
--- a/pkg/rollout/fixed.go
+++ b/pkg/rollout/fixed.go
@@ -9,8 +9,8 @@
 // Name implements Gate.
 func (FixedThreshold) Name() string { return "fixed" }
 
-// Judge implements Gate.
-func (FixedThreshold) Judge(q Question) (Verdict, string) {
+// Evaluate implements Gate.
+func (FixedThreshold) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.Elapsed < q.Window {
 		return VerdictObserve, "the window has not passed"
 	}
--- a/pkg/rollout/gate.go
+++ b/pkg/rollout/gate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Question is what a gate is asked at one time.
-type Question struct {
+// GateInput is what a gate is asked at one time.
+type GateInput struct {
 	Limits   Limits
 	Evidence Evidence
 	// Window is the shortest time for which the step is observed.
@@ -16,6 +16,6 @@
 type Gate interface {
 	// Name names the gate in tables and logs.
 	Name() string
-	// Judge returns the verdict and its reason in one sentence.
-	Judge(q Question) (Verdict, string)
+	// Evaluate returns the verdict and its reason in one sentence.
+	Evaluate(q GateInput) (Verdict, string)
 }
--- a/pkg/rollout/machine.go
+++ b/pkg/rollout/machine.go
@@ -19,7 +19,7 @@
 	if s.Weight == 0 {
 		return enter(r, s, 0, now, "the rollout has begun")
 	}
-	v, why := g.Judge(question(r, s, e))
+	v, why := g.Evaluate(question(r, s, e))
 	switch v {
 	case VerdictPromote:
 		return enter(r, s, s.Step+1, now, why)
@@ -29,8 +29,8 @@
 	return s
 }
 
-func question(r resource.Rollout, s resource.RolloutStatus, e Evidence) Question {
-	q := Question{Limits: LimitsOf(r), Evidence: e, Next: full}
+func question(r resource.Rollout, s resource.RolloutStatus, e Evidence) GateInput {
+	q := GateInput{Limits: LimitsOf(r), Evidence: e, Next: full}
 	if s.Step < len(r.Steps) {
 		q.Window = time.Duration(r.Steps[s.Step].Window)
 	}
--- a/pkg/rollout/machine_test.go
+++ b/pkg/rollout/machine_test.go
@@ -14,7 +14,7 @@
 
 func (fakeGate) Name() string { return "fake" }
 
-func (g fakeGate) Judge(Question) (Verdict, string) { return Verdict(g), "because" }
+func (g fakeGate) Evaluate(GateInput) (Verdict, string) { return Verdict(g), "because" }
 
 func testRollout() resource.Rollout {
 	return DefaultComparison(1, 1).Rollout
--- a/pkg/rollout/relative.go
+++ b/pkg/rollout/relative.go
@@ -6,8 +6,8 @@
 // Name implements Gate.
 func (RelativeBurn) Name() string { return "relative" }
 
-// Judge implements Gate.
-func (RelativeBurn) Judge(q Question) (Verdict, string) {
+// Evaluate implements Gate.
+func (RelativeBurn) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.Elapsed < q.Window {
 		return VerdictObserve, "the window has not passed"
 	}
--- a/pkg/ticket/book.go
+++ b/pkg/ticket/book.go
@@ -36,7 +36,7 @@
 }
 
 func (b *Book) issue(now time.Time) Ticket {
-	expiry := now.Add(b.o.Life).UnixMilli()
+	expiry := now.Add(b.o.TTL).UnixMilli()
 	e := entry{secret: b.o.Rand.Uint64(), expiry: expiry, state: StateIssued}
 	seq := b.ring.push(e)
 	return Ticket{
@@ -125,7 +125,7 @@
 		return Result{Won: true, State: StateWaiting}
 	}
 	other := e.fingerprint != fingerprint && e.state != StateExpired && e.fingerprint != 0
-	return Result{State: e.state, Status: int(e.status), Other: other}
+	return Result{State: e.state, Status: int(e.status), DifferentRequest: other}
 }
 
 // Start makes a waiting ticket running. It returns false when a cancel came first; the work must then not be sent.
--- a/pkg/ticket/options.go
+++ b/pkg/ticket/options.go
@@ -7,7 +7,7 @@
 
 // Defaults of Options.
 const (
-	DefaultLife      = time.Minute
+	DefaultTTL       = time.Minute
 	DefaultRetention = 5 * time.Minute
 	DefaultMax       = 1 << 18
 )
@@ -18,8 +18,8 @@
 	Issuer string
 	// Incarnation differs with every start of the agent.
 	Incarnation uint64
-	// Life is the time in which a ticket must be submitted; 0 means DefaultLife.
-	Life time.Duration
+	// TTL is the time in which a ticket must be submitted; 0 means DefaultTTL.
+	TTL time.Duration
 	// Retention is how long after its expiry the fate of a ticket is remembered; 0 means DefaultRetention.
 	Retention time.Duration
 	// Max is the highest number of tickets that are remembered; 0 means DefaultMax. A full book issues none.
@@ -29,8 +29,8 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.Life == 0 {
-		o.Life = DefaultLife
+	if o.TTL == 0 {
+		o.TTL = DefaultTTL
 	}
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
--- a/pkg/ticket/result.go
+++ b/pkg/ticket/result.go
@@ -12,6 +12,6 @@
 	Status int
 	// Ended is when a ticket in StateCancelled was cancelled.
 	Ended time.Time
-	// Other is true when the ticket was first submitted with another request.
-	Other bool
+	// DifferentRequest is true when the ticket was first submitted with another request.
+	DifferentRequest bool
 }
--- a/pkg/ticket/ticket_test.go
+++ b/pkg/ticket/ticket_test.go
@@ -37,7 +37,7 @@
 var start = time.UnixMilli(1_700_000_000_000)
 
 func newTestBook(incarnation uint64, limit int) *Book {
-	return NewBook(Options{Issuer: "a", Incarnation: incarnation, Life: time.Second, Retention: 10 * time.Second,
+	return NewBook(Options{Issuer: "a", Incarnation: incarnation, TTL: time.Second, Retention: 10 * time.Second,
 		Max: limit, Rand: rand.New(rand.NewPCG(incarnation, 1))})
 }
 
@@ -119,8 +119,8 @@
 	b := newTestBook(1, 0)
 	ticket := issueOne(t, b)
 	require.True(t, b.Spend(start, ticket, 1).Won)
-	require.False(t, b.Spend(start, ticket, 1).Other)
-	require.True(t, b.Spend(start, ticket, 2).Other)
+	require.False(t, b.Spend(start, ticket, 1).DifferentRequest)
+	require.True(t, b.Spend(start, ticket, 2).DifferentRequest)
 }
 
 func TestMemoryIsBoundedWithoutForgettingEarly(t *testing.T) {
