--- a/pkg/arbiter/api.go
+++ b/pkg/arbiter/api.go
@@ -7,7 +7,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// Input is one caller's packet as it reached the agent.
+// Input is a packet of a caller as received by the agent.
 type Input struct {
 	// Kind is KIND_FORWARD, KIND_OFFER or KIND_DECLINED.
 	Kind wire.Kind
@@ -23,16 +23,18 @@
 	Hops uint32
 	// Sender is the packet address of the process that sent the datagram.
 	Sender netip.AddrPort
-	// Load and Bound are the sender's load and the highest load at which an offer should be taken.
+	// Load is the sender's number of open flows. Bound is the highest load at which an offer should be accepted; with
+	// KIND_DECLINED it holds the reason.
 	Load, Bound uint32
-	// Final marks an offer that may be declined only for lack of room; with KIND_FORWARD, that the sender holds this agent for the owner. The agent passes the datagram's field final, also back with KIND_DECLINED.
+	// Final marks an offer that is not declined for load, only by an agent that is full or draining. With KIND_FORWARD
+	// it means that the sender takes this agent for the flow's owner. KIND_DECLINED carries the value of the declined
+	// packet.
 	Final bool
 }
 
-// Action says what the agent does with a packet.
+// Action is what the agent does with a packet.
 type Action uint8
 
-// Actions.
 const (
 	// ActionDeliver hands the packet to the agent's own TCP or UDP stack.
 	ActionDeliver Action = iota + 1
@@ -42,21 +44,20 @@
 	ActionOffer
 	// ActionDecline sends the opening packet back to Decision.To as KIND_DECLINED.
 	ActionDecline
-	// ActionRefuse answers the caller with a reset and leaves a refusal record.
+	// ActionRefuse answers the caller with a reset and writes a refusal record.
 	ActionRefuse
-	// ActionDrop drops the packet silently; the caller's TCP sends it again.
+	// ActionDrop drops the packet silently; the caller's TCP retransmits it.
 	ActionDrop
 )
 
 // Decision is the outcome for one packet.
 type Decision struct {
-	// Action says what to do.
 	Action Action
 	// To is the packet address for ActionForward, ActionOffer and ActionDecline.
 	To netip.AddrPort
 	// Position is the receiver's index in the row.
 	Position uint32
-	// Bound belongs to ActionOffer and ActionDecline, Final to these and to ActionForward; both go into the datagram.
+	// Bound is set for ActionOffer and ActionDecline, Final also for ActionForward; both are sent in the datagram.
 	Bound uint32
 	Final bool
 	// Accepted is true when the packet starts a flow that this agent now owns; the agent logs it once.
@@ -67,19 +68,20 @@
 	Why string
 	// Load is this agent's number of open flows after the decision.
 	Load uint32
-	// Notify is a message to send besides the action, when Notify.To is valid.
+	// Notify is a message to send in addition to the action, when Notify.To is valid.
 	Notify Message
 }
 
-// Message is a datagram that the arbiter wants sent to another process.
+// Message is a control datagram from or to another process.
 //
-// A KIND_ENDED whose To is the agent itself is not sent: the agent then drops its own endpoints of Flows silently, without a reset to the caller, because another agent owns them.
+// A KIND_ENDED whose To is the agent itself is not sent: the agent then closes its own endpoints of Flows silently,
+// without a reset to the caller, because another agent owns them.
 type Message struct {
 	// To is the receiver's packet address.
 	To netip.AddrPort
 	// Kind is KIND_PLACED, KIND_MOVED, KIND_ENDED, KIND_LOCATE, KIND_LOCATED or KIND_LOAD.
 	Kind wire.Kind
-	// Flow is the flow hash of a message about one flow; it counts only when Flows is empty.
+	// Flow is the flow hash of a message about one flow; it is ignored unless Flows is empty.
 	Flow uint64
 	// Flows are the flow hashes of a message about several flows; every kind but KIND_LOAD may have them.
 	Flows []uint64
@@ -87,7 +89,7 @@
 	Owner netip.AddrPort
 	// Load is the sender's number of open flows.
 	Load uint32
-	// Incarnation is the incarnation of the sending agent; the receiver passes the datagram's.
+	// Incarnation is the incarnation of the sending agent, as in the datagram.
 	Incarnation uint64
 	// Final marks flows whose handshake is complete, in KIND_PLACED, KIND_MOVED and KIND_LOCATED (the datagram's field final).
 	Final bool
--- a/pkg/arbiter/arbiter.go
+++ b/pkg/arbiter/arbiter.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// Arbiter decides for one agent. Its methods may be called by several goroutines.
+// Arbiter decides on the packets that one agent receives. Its methods are safe for concurrent use.
 type Arbiter struct {
 	cfg     Config
 	encoded []byte
@@ -20,16 +20,16 @@
 	drains  atomic.Bool
 	locator locator
 	ended   endedFlows
-	tells   tells
+	outbox  outbox
 
-	// mu guards what follows; it is taken by SetService and Tick only.
-	mu       sync.Mutex
-	announce []Message
-	// repeat are the times at which moved flows are announced again.
-	repeat   []time.Time
-	sweepAt  int
-	mateAt   int
-	loadSent time.Time
+	// mu guards the fields down to loadSent. SetService, Tick and Snapshot lock it.
+	mu         sync.Mutex
+	movedQueue []Message
+	// repeat holds the times, in order, at which the first agents of moved flows are notified again.
+	repeat     []time.Time
+	sweepAt    int
+	nextReport int
+	loadSent   time.Time
 
 	epochOnce sync.Once
 	epoch     time.Time
@@ -43,13 +43,13 @@
 		a.shards[i].flows = make(map[uint64]entry)
 		a.shards[i].pending = make(map[uint64]pending)
 	}
-	a.locator.flows = make(map[uint64]*locate)
+	a.locator.flows = make(map[uint64]*ownerQuery)
 	return a
 }
 
-// stamp converts now; the first call fixes the epoch.
+// stamp converts now; the first call sets the epoch.
 func (a *Arbiter) stamp(now time.Time) stamp {
-	// The epoch lies a day back, so that a clock that steps a little does not wrap the stamp.
+	// The epoch is one day back so that a small backward step of the clock does not wrap the stamp.
 	a.epochOnce.Do(func() { a.epoch = now.Add(-24 * time.Hour) })
 	return stamp(now.Sub(a.epoch) / stampUnit)
 }
@@ -59,10 +59,10 @@
 	return len(row) >= wire.AddrSize && bytes.Equal(row[:wire.AddrSize], a.encoded)
 }
 
-// Drain makes the agent take no new flow from now on; it goes on arbitrating.
+// Drain makes the agent accept no new flow from now on; it continues to arbitrate.
 func (a *Arbiter) Drain(time.Time) { a.drains.Store(true) }
 
-// draining reports whether this agent takes no new flow.
+// draining reports whether this agent accepts no new flow because it drains or has left after draining.
 func (a *Arbiter) draining(m *members) bool {
 	if a.drains.Load() {
 		return true
--- a/pkg/arbiter/bench_test.go
+++ b/pkg/arbiter/bench_test.go
@@ -74,7 +74,7 @@
 	row := t.AppendRow(nil, firstFlows(t, 1)[0])
 	b.ReportAllocs()
 	for b.Loop() {
-		f := random.Uint64() &^ 4095 // one slot, of which the row is
+		f := random.Uint64() &^ 4095 // the slot of the row
 		f |= firstSlot(t)
 		d := a.Packet(now, Input{Kind: wire.Kind_KIND_FORWARD, Flow: f, Opening: true, Row: row})
 		if d.Action == ActionDeliver {
--- a/pkg/arbiter/choice.go
+++ b/pkg/arbiter/choice.go
@@ -14,52 +14,55 @@
 	maxRow = 8
 	// maxTries is the number of offers that may be declined for load; the next one is final.
 	maxTries = 2
-	// maxBeyond is the number of agents outside the row that are tried when the row has no room.
-	maxBeyond = 8
-	// keepShare is how far, as a part of the mean, the load of the first agent may lie above the mean of the row before a service that prefers flows hands a flow over.
-	keepShare = 0.02
-	// keepFull is the mean load from which on keepShare holds whole; below, it falls with the mean, since each flow is a larger part of it.
-	keepFull = 200
-	// boundSlack is how far, as a part of the bound, an offered agent may lie above it; it saves offers that are declined for a flow or two.
+	// maxOutsideRow is the number of agents outside the row that are tried when the row has no room.
+	maxOutsideRow = 8
+	// keepMargin is the fraction by which the first agent's load may exceed the mean of the row before a service that
+	// prefers flows offers the flow to another agent.
+	keepMargin = 0.02
+	// keepMarginFullLoad is the mean load from which keepMargin applies in full; below it, the margin falls with the
+	// mean, since each flow is a larger fraction of it.
+	keepMarginFullLoad = 200
+	// boundSlack is the fraction added to the bound of an offer; it avoids declines over a difference of one or two
+	// flows.
 	boundSlack = 0.01
-	// leastRamp is the lowest part of its weight that a target has at the start of its slow start.
-	leastRamp = 0.02
+	// minRamp is the lowest fraction of its weight that a target has during its slow start.
+	minRamp = 0.02
 )
 
-// Bounds of KIND_DECLINED: why the offer was declined.
+// Values of Bound in KIND_DECLINED: why the offer was declined.
 const (
 	declinedDraining uint32 = 0
 	declinedLoaded   uint32 = 1
-	// declinedUnknown answers the question of another arbiter, not an offer.
+	// declinedUnknown answers an arbiter that asked about a flow, not an offer.
 	declinedUnknown uint32 = 2
 	declinedFull    uint32 = math.MaxUint32
 	// declinedLimit is the highest bound of an offer.
 	declinedLimit = math.MaxUint32 - 1
 )
 
-// candidate is one agent that may take a new flow.
+// candidate is an agent that may accept a new flow.
 type candidate struct {
 	position int
 	// peer is nil for this agent itself.
-	peer    *peer
-	load    uint32
-	weight  float64
-	suspect bool
-	version string
+	peer      *peer
+	load      uint32
+	weight    float64
+	isSuspect bool
+	version   string
 }
 
-// score is the load in relation to the weight that the candidate would have with one more flow.
+// score returns the load per weight that the candidate would have with one more flow.
 func (c *candidate) score() float64 { return float64(c.load+1) / c.weight }
 
-// candidates are the agents of a row that may take a new flow.
+// candidates are the agents of a row that may accept a new flow.
 type candidates struct {
 	list [maxRow]candidate
 	n    int
-	// full and draining count the agents left out.
+	// full and draining count the agents left out for these reasons.
 	full, draining int
 }
 
-// candidates lists the agents of the row that may take the flow.
+// candidates lists the agents of the row that may accept the flow.
 func (a *Arbiter) candidates(now time.Time, m *members, in *Input, p pending) candidates {
 	var cs candidates
 	for i := range min(wire.RowLen(in.Row), maxRow) {
@@ -71,7 +74,7 @@
 		if p.excluded&(1<<i) != 0 {
 			continue
 		}
-		a.consider(now, m, index, i, &cs)
+		a.addCandidate(now, m, index, i, &cs)
 	}
 	cs.keepReachable()
 	if version, ok := m.versionFor(in.Flow); ok {
@@ -80,8 +83,8 @@
 	return cs
 }
 
-// consider adds target index of the view to the candidates if it may take a flow.
-func (a *Arbiter) consider(now time.Time, m *members, index, position int, cs *candidates) {
+// addCandidate adds target index of the view to the candidates if it may accept a flow.
+func (a *Arbiter) addCandidate(now time.Time, m *members, index, position int, cs *candidates) {
 	t := &m.service.Targets[index]
 	self := index == m.self
 	switch {
@@ -100,7 +103,7 @@
 	}
 }
 
-// keep leaves only the candidates for which ok is true, unless there is none.
+// keep removes the candidates for which ok is false, unless none would be left.
 func (cs *candidates) keep(ok func(c *candidate) bool) {
 	n := 0
 	for i := range cs.n {
@@ -115,15 +118,16 @@
 }
 
 func (cs *candidates) keepReachable() {
-	cs.keep(func(c *candidate) bool { return !c.suspect })
+	cs.keep(func(c *candidate) bool { return !c.isSuspect })
 }
 
 func (cs *candidates) keepVersion(version string) {
 	cs.keep(func(c *candidate) bool { return c.version == version })
 }
 
-// least returns the candidate with the lowest score and the lowest score of the others; the latter is infinite when there is no other.
-func (cs *candidates) least() (*candidate, float64) {
+// leastLoaded returns the candidate with the lowest score and the lowest score of the others, which is infinite when
+// there is no other.
+func (cs *candidates) leastLoaded() (*candidate, float64) {
 	best := &cs.list[0]
 	second := math.Inf(1)
 	for i := 1; i < cs.n; i++ {
@@ -148,7 +152,7 @@
 	return nil
 }
 
-// mean is the load of all candidates in relation to their weight.
+// mean returns the total load of the candidates per total weight.
 func (cs *candidates) mean() float64 {
 	var load, weight float64
 	for i := range cs.n {
@@ -158,20 +162,22 @@
 	return load / weight
 }
 
-// pick chooses among at least one candidate. The second result is the highest load at which the chosen one should take the flow.
+// pick chooses one of the candidates, of which there must be at least one. The second result is the highest load at
+// which the chosen agent should accept the flow.
 func (cs *candidates) pick(prefer resource.Preference) (*candidate, uint32) {
 	self := cs.self()
 	if prefer == resource.PreferFlows && self != nil {
 		mean := cs.mean() * self.weight
-		if float64(self.load) <= mean*(1+keepShare*min(mean/keepFull, 1)) {
+		if float64(self.load) <= mean*(1+keepMargin*min(mean/keepMarginFullLoad, 1)) {
 			return self, 0
 		}
 	}
-	best, second := cs.least()
+	best, second := cs.leastLoaded()
 	return best, bound(best, second)
 }
 
-// bound is the load at which best is as loaded as the second best is believed to be, at least the load that best is believed to have.
+// bound returns the load at which the score of best reaches second, the score of the second best, plus boundSlack; it
+// is at least the estimated load of best.
 func bound(best *candidate, second float64) uint32 {
 	limit := second*best.weight*(1+boundSlack) - 1
 	if limit >= declinedLimit {
@@ -180,7 +186,7 @@
 	return max(best.load, uint32(max(limit, 0)))
 }
 
-// candidate describes target index of the view.
+// candidate returns target index of the view as a candidate; its weight is 0 when it has no peer.
 func (a *Arbiter) candidate(now time.Time, m *members, index int) candidate {
 	t := &m.service.Targets[index]
 	c := candidate{peer: m.peers[index], version: t.Version, weight: weight(now, m, t)}
@@ -193,11 +199,11 @@
 		return c
 	}
 	c.load = c.peer.estimate()
-	c.suspect = c.peer.suspect(a.stamp(now))
+	c.isSuspect = c.peer.isSuspect(a.stamp(now))
 	return c
 }
 
-// weight is the target's weight with its slow start.
+// weight returns the target's weight, reduced during its slow start.
 func weight(now time.Time, m *members, t *view.Target) float64 {
 	w := float64(t.Weight)
 	rise := time.Duration(m.service.Spec.SlowStart)
@@ -205,5 +211,5 @@
 		return w
 	}
 	part := float64(now.Sub(t.ActiveSince)) / float64(rise)
-	return w * min(max(part, leastRamp), 1)
+	return w * min(max(part, minRamp), 1)
 }
--- a/pkg/arbiter/config.go
+++ b/pkg/arbiter/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Config is what an arbiter needs to know about its own agent.
+// Config configures the arbiter of one agent.
 type Config struct {
 	// Self is the agent's packet address.
 	Self netip.AddrPort
@@ -14,9 +14,9 @@
 	Incarnation uint64
 	// Connections is the highest number of open flows; 0 means no limit.
 	Connections uint32
-	// Window is the time for which views may be uneven after a change; 0 means DefaultWindow.
+	// Window is the time after a change for which the views of processes may differ; 0 means DefaultWindow.
 	Window time.Duration
-	// Linger is the time for which an ended flow is remembered; 0 means DefaultLinger.
+	// Linger is how long an ended flow is kept; 0 means DefaultLinger.
 	Linger time.Duration
 	// Idle is the time without packets after which the owner of a redirect is asked whether it still has the flow; 0 means DefaultIdle.
 	Idle time.Duration
--- a/pkg/arbiter/counts.go
+++ b/pkg/arbiter/counts.go
@@ -1,30 +1,30 @@
 package arbiter
 
-// Counts are numbers of an arbiter's state.
+// Counts summarizes an arbiter's state.
 type Counts struct {
 	// Load is the number of open flows that this agent owns.
 	Load int
-	// Redirects is the number of flows known to be owned by another agent.
+	// Redirects is the number of flows that are redirected to another agent.
 	Redirects int
 	// Pending is the number of opening flows that are not placed yet.
 	Pending int
-	// Ended is the number of remembered ended flows.
+	// Ended is the number of ended flows that are still kept.
 	Ended int
-	// Locating is the number of flows whose owner is being asked for.
+	// Locating is the number of flows whose owner is being located.
 	Locating int
 	// Lost is the number of flows that no agent owns.
 	Lost int
 	// Peers is the number of known incarnations of other agents.
 	Peers int
-	// Announcing is the number of announcements that wait to be sent.
-	Announcing int
+	// QueuedMoved is the number of KIND_MOVED messages that are not sent yet.
+	QueuedMoved int
 }
 
-// Snapshot returns counts of the state. It looks through all flows; call it for status, not for each packet.
+// Snapshot returns counts of the state. It iterates over all flows: call it for status, not per packet.
 func (a *Arbiter) Snapshot() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := Counts{Load: int(a.load.Load()), Peers: len(*a.peers.list.Load()), Announcing: len(a.announce)}
+	c := Counts{Load: int(a.load.Load()), Peers: len(*a.peers.list.Load()), QueuedMoved: len(a.movedQueue)}
 	for i := range a.shards {
 		s := &a.shards[i]
 		s.mu.Lock()
@@ -40,7 +40,7 @@
 	switch e.state {
 	case stateRedirect:
 		c.Redirects++
-	case stateAsked, stateOffered, stateBeyond:
+	case stateAsked, stateOffered, stateOfferedOutside:
 		c.Pending++
 	case stateEnded:
 		c.Ended++
--- a/pkg/arbiter/ended.go
+++ b/pkg/arbiter/ended.go
@@ -16,7 +16,8 @@
 	flows []uint64
 }
 
-// Opened tells that the handshake of an own flow is complete; for UDP, that a second packet arrived. From then on the agent does not give the flow up to another.
+// Opened records that the handshake of an own flow is complete or, for UDP, that a second packet arrived. From then on
+// the agent does not abandon the flow to another.
 func (a *Arbiter) Opened(now time.Time, flow uint64) []Message {
 	s := a.shard(flow)
 	s.mu.Lock()
@@ -31,7 +32,7 @@
 	if !first.IsValid() {
 		return nil
 	}
-	return []Message{a.claimOf(first, flow, true)}
+	return []Message{a.placedMessage(first, flow, true)}
 }
 
 // firstElsewhere returns the first agent of the flow's row, or the zero value when that is this agent.
@@ -47,7 +48,7 @@
 	return first
 }
 
-// Ended tells that an own flow has ended; the first agent hears of it with the next Tick.
+// Ended records that an own flow has ended; the next Tick notifies its first agent.
 func (a *Arbiter) Ended(now time.Time, flow uint64) []Message {
 	s := a.shard(flow)
 	s.mu.Lock()
@@ -77,7 +78,7 @@
 	return flows
 }
 
-// tickEnded reports ended flows to their first agents, present and next.
+// tickEnded notifies the first agents, of the present and the next table, of ended flows.
 func (a *Arbiter) tickEnded(m *members) []Message {
 	byFirst := make(map[netip.AddrPort][]uint64)
 	for _, flow := range a.ended.take() {
--- a/pkg/arbiter/group.go
+++ b/pkg/arbiter/group.go
@@ -4,13 +4,13 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// group is one version of the targets with its part of the new flows.
+// group is a version of the targets with its total weight for new flows.
 type group struct {
 	version string
 	weight  uint64
 }
 
-// newGroups returns the versions among which new flows are divided by weight, or nil when the versions do not matter.
+// newGroups returns the versions among which new flows are divided by weight, or nil when any version may take a flow.
 func newGroups(s *view.Service) []group {
 	if len(s.Spec.Shares) == 0 && s.Spec.Rollout == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return append(groups, group{version, weight})
 }
 
-// versionFor returns the version to which the flow's hash gives the flow; false when any version will do.
+// versionFor returns the version that the flow's hash selects; false when any version may take the flow.
 func (m *members) versionFor(flow uint64) (string, bool) {
 	var sum uint64
 	for _, g := range m.groups {
@@ -43,7 +43,7 @@
 	if len(m.groups) < 2 || sum == 0 {
 		return "", false
 	}
-	// The product's high half is spread evenly, whatever bits of the hash chose the row.
+	// The product's high half is uniform whatever low bits of the hash chose the row.
 	spread := (flow * 0x9e3779b97f4a7c15) >> 32
 	at := spread * sum >> 32
 	for _, g := range m.groups {
--- a/pkg/arbiter/history_test.go
+++ b/pkg/arbiter/history_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// history drives a world by random operations.
+// history applies random operations to a world.
 type history struct {
 	w    *world
 	next int
@@ -52,7 +52,7 @@
 	for _, c := range h.live() {
 		if c.acked == c.sent {
 			c.sent++
-			h.w.data(c, c.life, c.sent, 200*time.Millisecond)
+			h.w.data(c, c.generation, c.sent, 200*time.Millisecond)
 		}
 	}
 }
@@ -93,14 +93,14 @@
 	h.w.run(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// join announces a target, and makes it active once every process may know of it.
+// join adds a joining target, and makes it active once every process has seen it.
 func (h *history) join(t *rapid.T) {
 	if len(h.w.targets) >= 10 {
 		return
 	}
 	n := h.w.addNode(h.next, view.StateJoining)
 	h.next++
-	h.w.spread(2 * time.Second)
+	h.w.distributeView(2 * time.Second)
 	h.w.after(2500*time.Millisecond, func() {
 		h.setState(n, view.StateActive)
 	})
@@ -113,7 +113,7 @@
 			h.w.targets[i].ActiveSince = h.w.now
 		}
 	}
-	h.w.spread(2 * time.Second)
+	h.w.distributeView(2 * time.Second)
 }
 
 func (h *history) pick(t *rapid.T) *node {
@@ -124,7 +124,7 @@
 	return h.w.nodes[active[rapid.IntRange(0, len(active)-1).Draw(t, "target")].Agent]
 }
 
-// drain takes a target out of the choice; it leaves when its flows have ended.
+// drain drains a target; it leaves when its flows have ended.
 func (h *history) drain(t *rapid.T) {
 	if n := h.pick(t); n != nil {
 		h.drainNode(n)
@@ -147,17 +147,17 @@
 			return
 		}
 		h.remove(n)
-		// The agent serves on until every process may know that it left.
+		// The agent keeps serving until every process has a view without it.
 		h.w.after(4*time.Second, func() { n.dead = true })
 	})
 }
 
 func (h *history) remove(n *node) {
 	h.w.targets = slices.DeleteFunc(h.w.targets, func(t view.Target) bool { return t.Agent == n.addr })
-	h.w.spread(2 * time.Second)
+	h.w.distributeView(2 * time.Second)
 }
 
-// kill ends an agent without warning; views drop it later.
+// kill stops an agent without warning; views drop it later.
 func (h *history) kill(t *rapid.T) {
 	if n := h.pick(t); n != nil {
 		h.killNode(n)
@@ -178,12 +178,12 @@
 	}
 }
 
-// traceOf is what happened to a flow, when tracing is set.
+// traceOf returns the trace of a flow, when tracing is set.
 func (h *history) traceOf(flow uint64) string {
 	return strings.Join(slices.Concat(h.w.trace[flow], h.w.trace[0]), "\n")
 }
 
-// settle ends the losses and lets every packet arrive.
+// settle stops the loss and lets every packet arrive.
 func (h *history) settle(t *rapid.T) {
 	h.w.loss, h.w.dup = 0, 0
 	h.w.run(45 * time.Second)
@@ -216,7 +216,7 @@
 	})
 }
 
-// A failing history was once not to be replayed, because messages left in the order of Go's maps.
+// Guards against messages in map iteration order, which made failing histories impossible to replay.
 func TestHistoryReplays(t *testing.T) {
 	first := replayed(t)
 	for range 3 {
@@ -224,7 +224,7 @@
 	}
 }
 
-// replayed runs one busy history and returns all that was noted of it.
+// replayed runs one busy history and returns its trace.
 func replayed(t *testing.T) map[uint64][]string {
 	w := newWorld(3, 6, 3, resource.ServiceSpec{Preference: resource.PreferBalance})
 	w.tracing, w.loss, w.dup = true, 0.1, 0.1
@@ -245,7 +245,7 @@
 	return w.trace
 }
 
-func TestQuietService(t *testing.T) {
+func TestStableService(t *testing.T) {
 	w := newWorld(1, 7, 5, resource.ServiceSpec{Preference: resource.PreferBalance})
 	for range 1000 {
 		w.open(w.random.Uint64())
--- a/pkg/arbiter/idle_test.go
+++ b/pkg/arbiter/idle_test.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// pass lets time go by with a Tick each 100 ms, and returns the messages about the flow.
-func (b *bed) pass(d time.Duration, flow uint64) []Message {
+// advance moves the clock by d with a Tick each 100 ms, and returns the messages about the flow.
+func (b *testbed) advance(d time.Duration, flow uint64) []Message {
 	var about []Message
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(100 * time.Millisecond) {
 		for _, m := range b.a.Tick(b.now) {
@@ -25,28 +25,28 @@
 	return about
 }
 
-// A first agent once forgot after some time to whom a flow belongs, and gave an idle UDP flow a second owner.
+// Guards against an idle UDP flow that gets a second owner because its redirect expired.
 func TestIdleFlowKeepsItsOwner(t *testing.T) {
 	cases := []struct {
 		name     string
 		idle     time.Duration
-		redirect func(b *bed, in Input)
+		redirect func(b *testbed, in Input)
 	}{
-		{"flow is left to another arbiter", 2 * DefaultLinger, func(b *bed, in Input) {
+		{"flow is yielded to another arbiter", 2 * DefaultLinger, func(b *testbed, in Input) {
 			in.Sender, in.Hops = b.peer(1), 1
 			in.Row = append(slices.Clone(b.row[wire.AddrSize:]), b.row[:wire.AddrSize]...)
 			require.Equal(t, ActionDecline, b.a.Packet(b.now, in).Action)
 		}},
-		{"flow is claimed by its owner", 2 * DefaultIdle, func(b *bed, in Input) {
+		{"flow is claimed by its owner", 2 * DefaultIdle, func(b *testbed, in Input) {
 			b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: in.Flow, Incarnation: 1})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			in := b.input(true)
 			c.redirect(b, in)
-			asked := b.pass(c.idle, in.Flow)
+			asked := b.advance(c.idle, in.Flow)
 			require.NotEmpty(t, asked)
 			for _, m := range asked {
 				require.Equal(t, wire.Kind_KIND_LOCATE, m.Kind)
@@ -62,22 +62,22 @@
 	}
 }
 
-// A redirect to an agent that left the views is not kept by questions.
-func TestRedirectToGoneAgentIsForgotten(t *testing.T) {
-	b := newBed(t, nil)
+// Questions must not keep a redirect to an agent that left the views.
+func TestRedirectToGoneAgentExpires(t *testing.T) {
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: in.Flow, Incarnation: 1})
 	less := *b.s
 	less.Targets = append(append([]view.Target(nil), b.s.Targets[0]), b.s.Targets[2:]...)
 	b.a.SetService(b.now, &less)
-	require.Empty(t, b.pass(2*DefaultIdle, in.Flow))
+	require.Empty(t, b.advance(2*DefaultIdle, in.Flow))
 	require.Zero(t, b.a.Snapshot().Redirects)
 }
 
-// The agent that is first by the placing agent's own view once heard of the flow only by chance.
-func TestPlacedFlowIsToldToTheFirstOfTheView(t *testing.T) {
-	b := newBed(t, nil)
-	b.pass(time.Second, 0)
+// Guards against placing a flow without notifying the first agent of the placing agent's own view.
+func TestPlacedFlowIsReportedToLocalFirstAgent(t *testing.T) {
+	b := newTestbed(t, nil)
+	b.advance(time.Second, 0)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 2)
 	d := b.a.Packet(b.now, in)
@@ -85,15 +85,15 @@
 	answer := b.answer(2, d, 0, declinedUnknown)
 	answer.Flow = in.Flow
 	require.True(t, b.a.Packet(b.now, answer).Accepted)
-	told := b.pass(100*time.Millisecond, in.Flow)
-	require.Len(t, told, 1)
-	require.Equal(t, wire.Kind_KIND_PLACED, told[0].Kind)
-	require.Equal(t, b.peer(2), told[0].To)
+	sent := b.advance(100*time.Millisecond, in.Flow)
+	require.Len(t, sent, 1)
+	require.Equal(t, wire.Kind_KIND_PLACED, sent[0].Kind)
+	require.Equal(t, b.peer(2), sent[0].To)
 }
 
-// An agent to which the flow was left names the owner when it leaves; that once counted for nothing.
-func TestLeavingArbiterNamesTheOwner(t *testing.T) {
-	b := newBed(t, nil)
+// Guards against ignoring the owner that a leaving agent names for a flow that was yielded to it.
+func TestHintFromFormerArbiterIsUsed(t *testing.T) {
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	question := in
 	question.Sender, question.Hops = b.peer(1), 1
@@ -101,23 +101,23 @@
 	require.Equal(t, ActionDecline, b.a.Packet(b.now, question).Action)
 	named := Message{Kind: wire.Kind_KIND_MOVED, Flow: in.Flow, Owner: b.peer(2), Incarnation: 1}
 	b.a.Control(b.now, b.peer(3), named)
-	require.Equal(t, b.peer(1), b.a.Packet(b.now, in).To, "an agent to which the flow was not left counts for nothing")
+	require.Equal(t, b.peer(1), b.a.Packet(b.now, in).To, "a hint from an agent to which the flow was not yielded is ignored")
 	b.a.Control(b.now, b.peer(1), named)
 	require.Equal(t, b.peer(2), b.a.Packet(b.now, in).To)
 }
 
-// Each view change once put the repeated announcements off anew.
-func TestViewChangesDoNotPutOffAnnouncements(t *testing.T) {
-	b := newBed(t, nil)
-	b.pass(time.Second, 0)
+// Guards against view changes that postpone the scheduled KIND_MOVED messages.
+func TestViewChangesDoNotDelayMovedMessages(t *testing.T) {
+	b := newTestbed(t, nil)
+	b.advance(time.Second, 0)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 2)
 	d := b.a.Packet(b.now, in)
 	answer := b.answer(2, d, 0, declinedUnknown)
 	answer.Flow = in.Flow
 	require.True(t, b.a.Packet(b.now, answer).Accepted)
-	b.pass(200*time.Millisecond, in.Flow)
-	announced := 0
+	b.advance(200*time.Millisecond, in.Flow)
+	moved := 0
 	for i := range 8 {
 		s := *b.s
 		s.Targets = slices.Clone(b.s.Targets)
@@ -125,19 +125,19 @@
 			s.Targets[3].State = view.StateJoining
 		}
 		b.a.SetService(b.now, &s)
-		for _, m := range b.pass(time.Second, in.Flow) {
+		for _, m := range b.advance(time.Second, in.Flow) {
 			if m.Kind == wire.Kind_KIND_MOVED && m.To == b.peer(2) {
-				announced++
+				moved++
 			}
 		}
 	}
-	require.GreaterOrEqual(t, announced, 4)
+	require.GreaterOrEqual(t, moved, 4)
 }
 
-// A joining agent was once told of its future flows in one message only, which may be lost.
-func TestJoiningAgentIsToldAgain(t *testing.T) {
-	b := newBed(t, func(s *view.Service) { s.Targets[3].State = view.StateJoining })
-	b.pass(20*time.Second, 0)
+// Guards against notifying a joining agent of its future flows only once, in a message that may be lost.
+func TestJoiningAgentIsNotifiedAgain(t *testing.T) {
+	b := newTestbed(t, func(s *view.Service) { s.Targets[3].State = view.StateJoining })
+	b.advance(20*time.Second, 0)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 0)
 	for b.a.members.Load().next.First(in.Flow) != 3 || b.a.members.Load().table.First(in.Flow) != 0 {
@@ -147,18 +147,19 @@
 	s := *b.s
 	s.Targets = append(slices.Clone(b.s.Targets), view.Target{ID: "joins too", Incarnation: 1, Agent: netip.MustParseAddrPort("127.0.0.1:7"), State: view.StateJoining, Weight: 1, Connections: 1})
 	b.a.SetService(b.now, &s)
-	told := 0
-	for _, m := range b.pass(2*time.Second, in.Flow) {
+	sent := 0
+	for _, m := range b.advance(2*time.Second, in.Flow) {
 		if m.Kind == wire.Kind_KIND_MOVED && m.To == b.peer(3) {
-			told++
+			sent++
 		}
 	}
-	require.NotZero(t, told)
+	require.NotZero(t, sent)
 }
 
-// The first agent of an earlier row is gone; the owner, which it chose, stands in no row of the present view.
-func TestEarlierRowIsAskedForAGoneFirst(t *testing.T) {
-	b := newBed(t, nil)
+// Guards against a second owner when the first agent of an earlier row is gone and the owner it chose is in no row of
+// the present view.
+func TestEarlierRowIsAskedWhenItsFirstAgentIsGone(t *testing.T) {
+	b := newTestbed(t, nil)
 	old := b.a.members.Load().table
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 1)
--- a/pkg/arbiter/imbalance_test.go
+++ b/pkg/arbiter/imbalance_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// meanLife is the mean time for which a flow of the experiment is open.
-	meanLife = 20 * time.Second
+	// meanDuration is the mean duration of the experiment's flows.
+	meanDuration = 20 * time.Second
 	// warmUp is the time before the first sample.
 	warmUp = 60 * time.Second
 	// measured is the time of the samples.
 	measured = 60 * time.Second
 )
 
-// spread is the imbalance of one way to place flows: the highest over the mean of open flows.
-type spread struct {
+// imbalance measures one placement method by the highest over the mean number of open flows.
+type imbalance struct {
 	open    []int
 	sum     float64
 	samples int
 	worst   float64
 }
 
-func (s *spread) sample() {
+func (s *imbalance) sample() {
 	highest, sum := 0, 0
 	for _, n := range s.open {
 		highest = max(highest, n)
@@ -40,30 +40,30 @@
 	s.worst = max(s.worst, v)
 }
 
-func (s *spread) mean() float64 { return s.sum / float64(s.samples) }
+func (s *imbalance) mean() float64 { return s.sum / float64(s.samples) }
 
 // experiment opens flows at 60 % load and compares the arbiters with the baselines on the same flows.
 type experiment struct {
-	w         *world
-	balancers int
-	rate      float64
-	names     []string
-	choosers  []baseline.Chooser
-	spreads   []*spread
-	arbiters  *spread
-	reported  *baseline.LeastReported
+	w          *world
+	balancers  int
+	rate       float64
+	names      []string
+	choosers   []baseline.Chooser
+	imbalances []*imbalance
+	arbiters   *imbalance
+	reported   *baseline.LeastReported
 }
 
 func newExperiment(targets, balancers, connections int, prefer resource.Preference) *experiment {
 	x := &experiment{w: newWorld(7, targets, balancers, resource.ServiceSpec{Preference: prefer}), balancers: balancers}
-	x.rate = 0.6 * float64(targets*connections) / meanLife.Seconds()
+	x.rate = 0.6 * float64(targets*connections) / meanDuration.Seconds()
 	x.reported = baseline.NewLeastReported(targets)
 	x.names = []string{"hash", "round robin", "least reported"}
 	x.choosers = []baseline.Chooser{baseline.Hash{Targets: targets}, baseline.NewRoundRobin(targets, balancers), x.reported}
 	for range x.choosers {
-		x.spreads = append(x.spreads, &spread{open: make([]int, targets)})
+		x.imbalances = append(x.imbalances, &imbalance{open: make([]int, targets)})
 	}
-	x.arbiters = &spread{open: make([]int, targets)}
+	x.arbiters = &imbalance{open: make([]int, targets)}
 	return x
 }
 
@@ -78,20 +78,20 @@
 	w := x.w
 	flow := w.random.Uint64()
 	c := w.open(flow)
-	life := time.Duration(w.random.ExpFloat64() * float64(meanLife))
+	duration := time.Duration(w.random.ExpFloat64() * float64(meanDuration))
 	balancer := w.random.IntN(x.balancers)
 	for i, chooser := range x.choosers {
-		s, at := x.spreads[i], chooser.Choose(balancer, flow)
+		s, at := x.imbalances[i], chooser.Choose(balancer, flow)
 		s.open[at]++
-		w.after(life, func() { s.open[at]-- })
+		w.after(duration, func() { s.open[at]-- })
 	}
-	w.after(life, func() { w.close(c) })
+	w.after(duration, func() { w.close(c) })
 	w.after(time.Duration(w.random.ExpFloat64()/x.rate*float64(time.Second)), x.arrive)
 }
 
-// report brings the loads to the baseline once a second; the first target's load endpoint reports a tenth.
+// report sends the loads to the baseline once a second; the first target reports a tenth of its load.
 func (x *experiment) report() {
-	for i, n := range x.spreads[2].open {
+	for i, n := range x.imbalances[2].open {
 		if i == 0 {
 			n /= 10
 		}
@@ -101,7 +101,7 @@
 }
 
 func (x *experiment) sample() {
-	for _, s := range x.spreads {
+	for _, s := range x.imbalances {
 		s.sample()
 	}
 	for i, t := range x.w.targets {
@@ -124,7 +124,7 @@
 					require.LessOrEqual(t, x.arbiters.mean(), 1.05)
 					require.Empty(t, x.w.faults)
 					t.Logf("arbiters mean %.3f worst %.3f, offers for each flow %.2f, declined %.2f", x.arbiters.mean(), x.arbiters.worst, x.w.ratio(ActionOffer), x.w.ratio(ActionDecline))
-					for i, s := range x.spreads {
+					for i, s := range x.imbalances {
 						t.Logf("%s mean %.3f worst %.3f", x.names[i], s.mean(), s.worst)
 						require.Greater(t, s.mean(), x.arbiters.mean(), x.names[i])
 					}
--- a/pkg/arbiter/main_test.go
+++ b/pkg/arbiter/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// historySeed and histories are the seed and the number of the random histories of a run that names none, so that each run gives the same verdict.
+// historySeed and histories are the default seed and number of random histories, so that runs are reproducible.
 const (
 	historySeed = "1"
 	histories   = "100"
--- a/pkg/arbiter/members.go
+++ b/pkg/arbiter/members.go
@@ -8,10 +8,10 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// maxPast is the number of earlier tables that are kept while views are uneven.
+// maxPast is the number of earlier tables that are kept while views may differ.
 const maxPast = 8
 
-// past is a table that was in force until a time.
+// past is an earlier table and the time until which it was in force.
 type past struct {
 	table *placement.Table
 	until time.Time
@@ -30,14 +30,14 @@
 	// self is the index of the agent's own target, or -1.
 	self int
 	// left is true when the view does not name the agent and the last one that did had it draining.
-	left   bool
-	peers  []*peer
-	byAddr map[netip.AddrPort]int
-	mates  []int
-	groups []group
+	left     bool
+	peers    []*peer
+	byAddr   map[netip.AddrPort]int
+	arbiters []int
+	groups   []group
 }
 
-// newMembers makes the snapshot that follows old.
+// newMembers returns the snapshot that follows old.
 func (a *Arbiter) newMembers(now time.Time, s *view.Service, old *members) *members {
 	m := &members{service: s, self: -1, byAddr: make(map[netip.AddrPort]int, len(s.Targets)), changed: now}
 	m.peers = make([]*peer, len(s.Targets))
@@ -53,17 +53,17 @@
 	m.groups = newGroups(s)
 	m.adoptTables(now, old, a.cfg.Window)
 	if m.self >= 0 {
-		m.mates = m.table.ArbitersFor(m.self)
+		m.arbiters = m.table.ArbitersFor(m.self)
 	}
 	return m
 }
 
-// drains reports whether the view has the agent draining.
+// drains reports whether the view lists the agent as draining.
 func (m *members) drains() bool {
 	return m.self >= 0 && m.service.Targets[m.self].State == view.StateDraining
 }
 
-// adoptTables ranks the targets anew, or takes the tables of old when no row can differ.
+// adoptTables builds the tables, or reuses those of old when no row can differ.
 func (m *members) adoptTables(now time.Time, old *members, window time.Duration) {
 	if old != nil && sameRows(old.service, m.service) {
 		m.table, m.next = old.table, old.next
@@ -94,12 +94,12 @@
 	return nil
 }
 
-// settled reports whether the rows have been the same for the window.
-func (m *members) settled(now time.Time, window time.Duration) bool {
+// isSettled reports whether the rows have been the same for the window.
+func (m *members) isSettled(now time.Time, window time.Duration) bool {
 	return now.Sub(m.changed) >= window
 }
 
-// sameRows reports whether both snapshots rank the same agents in the same way, and the same ones join.
+// sameRows reports whether both snapshots rank the same agents in the same way and have the same ones joining.
 func sameRows(a, b *view.Service) bool {
 	if len(a.Targets) != len(b.Targets) {
 		return false
--- a/pkg/arbiter/offer.go
+++ b/pkg/arbiter/offer.go
@@ -4,7 +4,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// offer decides about KIND_OFFER at the agent that is to take the flow.
+// offer decides on KIND_OFFER at the agent to which the flow is offered.
 func (c *call) offer() Decision {
 	if !c.in.Opening {
 		return c.drop("offer without an opening packet")
@@ -12,14 +12,14 @@
 	switch c.e.state {
 	case stateOwn:
 		d := c.decide(ActionDeliver, "own flow")
-		d.Notify = c.placed(c.in.Sender)
+		d.Notify = c.placedMessage(c.in.Sender)
 		return d
 	case stateAsked:
 		// The agent that was asked places the flow itself, and may choose this one.
 		if c.a.peers.get(c.e.peer).addr != c.in.Sender {
 			return c.drop("flow is being placed by this agent too")
 		}
-	case stateOffered, stateBeyond:
+	case stateOffered, stateOfferedOutside:
 		return c.drop("flow is being placed by this agent too")
 	case stateRedirect:
 		if d, ok := c.offeredElsewhere(); ok {
@@ -29,13 +29,13 @@
 			return c.decline(declinedLoaded)
 		}
 	}
-	return c.consider()
+	return c.takeOffer()
 }
 
-// offeredElsewhere sends an offered packet to the owner that this agent knows.
+// offeredElsewhere forwards an offered packet to the owner in this agent's redirect.
 func (c *call) offeredElsewhere() (Decision, bool) {
 	p := c.a.peers.get(c.e.peer)
-	if p.dead(c.at) || p.addr == c.in.Sender || c.e.has(flagEnded) {
+	if p.isDead(c.at) || p.addr == c.in.Sender || c.e.has(flagEnded) {
 		return Decision{}, false
 	}
 	c.e.flags |= flagProbed | flagByOffer
@@ -43,8 +43,8 @@
 	return c.forwardTo(p.addr, true, "redirect to owner"), true
 }
 
-// consider takes the offered flow if there is room and the load is within the bound.
-func (c *call) consider() Decision {
+// takeOffer accepts the offered flow if there is room and the load is within the bound.
+func (c *call) takeOffer() Decision {
 	if c.a.draining(c.m) {
 		return c.decline(declinedDraining)
 	}
@@ -58,33 +58,33 @@
 		return c.decline(declinedFull)
 	}
 	d := c.accepted("offered by the first agent")
-	d.Notify = c.placed(c.in.Sender)
+	d.Notify = c.placedMessage(c.in.Sender)
 	first, ok := wire.RowAddr(c.in.Row, 0)
-	if ok && first != c.in.Sender && first != c.a.cfg.Self && first != c.ranked() {
+	if ok && first != c.in.Sender && first != c.a.cfg.Self && first != c.localFirst() {
 		// The offer came from an agent that the first one had asked.
-		c.a.tells.add(c.placed(first))
+		c.a.outbox.add(c.placedMessage(first))
 	}
 	return d
 }
 
-// decline returns an offered packet with the reason as its bound.
+// decline returns an offered packet with the reason in its bound.
 func (c *call) decline(reason uint32) Decision {
 	d := c.answer(ActionDecline, "offer declined")
 	d.Bound = reason
 	return d
 }
 
-// declined decides about KIND_DECLINED at the agent that sent the packet.
+// declined decides on KIND_DECLINED at the agent to which a packet is returned.
 func (c *call) declined() Decision {
 	q := c.senderPeer()
 	if !c.in.Opening || q == nil {
-		return c.drop("declined datagram is not of an opening flow")
+		return c.drop("declined datagram is not for an opening flow")
 	}
 	if c.e.peer != q.id {
-		return c.drop("answer is not of the agent that was asked")
+		return c.drop("answer is not from the agent that was asked")
 	}
 	p := c.s.pending[c.in.Flow]
-	if c.in.Hops <= uint32(p.sent) {
+	if c.in.Hops <= uint32(p.sentHops) {
 		return c.drop("answer to an earlier question or offer")
 	}
 	switch c.e.state {
@@ -93,7 +93,7 @@
 			return c.drop("late answer")
 		}
 		return c.askFrom(p)
-	case stateOffered, stateBeyond:
+	case stateOffered, stateOfferedOutside:
 		return c.offerDeclined(q, p)
 	case stateRedirect:
 		return c.ownerDeclined()
@@ -101,13 +101,13 @@
 	return c.drop("late answer")
 }
 
-// offerDeclined chooses again after an offer was declined.
+// offerDeclined chooses another agent after an offer was declined.
 func (c *call) offerDeclined(q *peer, p pending) Decision {
 	if c.in.Final != c.e.has(flagFinal) || c.in.Bound == declinedUnknown {
 		return c.drop("answer to an earlier offer")
 	}
 	q.answered()
-	q.heard(c.at, c.in.Load)
+	q.recordMessage(c.at, c.in.Load)
 	if c.in.Bound == declinedLoaded && !c.in.Final {
 		return c.place(p)
 	}
@@ -116,7 +116,7 @@
 	return c.excludeAndPlace(p, c.position(q.addr))
 }
 
-// ownerDeclined starts a flow anew when the supposed owner says that the former one has ended.
+// ownerDeclined starts a new flow when the supposed owner answers that it does not know the former one.
 func (c *call) ownerDeclined() Decision {
 	if !c.in.Final || !c.e.has(flagProbed) {
 		return c.drop("late answer")
@@ -128,7 +128,7 @@
 	return c.open()
 }
 
-// returnToFirst answers the first agent of the row, which asked this one or offered it the flow.
+// returnToFirst returns the packet to the first agent of the row, which asked this one or offered it the flow.
 func (c *call) returnToFirst() Decision {
 	first, ok := wire.RowAddr(c.in.Row, 0)
 	if !ok {
--- a/pkg/arbiter/open.go
+++ b/pkg/arbiter/open.go
@@ -12,10 +12,12 @@
 )
 
 const (
-	// askLimit is the time after which an agent that does not answer a question is taken for dead, though the view still names it.
-	askLimit = 3 * time.Second
-	// askSilentLimit is the same for an agent that sent nothing since it was asked. The third opening packet of a caller's TCP, 3 s after the first, must find it over.
-	askSilentLimit = 2500 * time.Millisecond
+	// askTimeout is the time after which an agent that does not answer a question is considered dead, even if the view
+	// still names it.
+	askTimeout = 3 * time.Second
+	// askSilentTimeout is the same for an agent that sent nothing since it was asked. It must be over at the caller's
+	// second TCP retransmission, 3 s after the first SYN.
+	askSilentTimeout = 2500 * time.Millisecond
 )
 
 // open starts the arbitration of a new flow at the first agent of its row.
@@ -27,7 +29,7 @@
 	return c.askFrom(pending{})
 }
 
-// askFrom asks the next other possible arbiter, or places the flow when all have been asked.
+// askFrom asks the next of the other possible arbiters, or places the flow when all have been asked.
 func (c *call) askFrom(p pending) Decision {
 	arbiters := c.otherArbiters()
 	if int(p.tries) >= arbiters.n {
@@ -36,26 +38,26 @@
 	q := arbiters.list[p.tries]
 	p.tries++
 	c.e = entry{at: c.at, peer: q.id, state: stateAsked}
-	c.progress(p)
+	c.savePending(p)
 	return c.forwardTo(q.addr, false, "another agent may have placed the flow")
 }
 
-// progress stores the entry of an opening flow whose packet is about to leave as a question or an offer.
-func (c *call) progress(p pending) {
-	p.sent = uint8(c.in.Hops + 1)
-	c.s.progress(c.in.Flow, c.e, p)
+// savePending stores the entry of an opening flow whose packet is about to be sent as a question or an offer.
+func (c *call) savePending(p pending) {
+	p.sentHops = uint8(c.in.Hops + 1)
+	c.s.savePending(c.in.Flow, c.e, p)
 }
 
-// arbiterList is a short list of distinct agents.
+// arbiterList is a bounded list of distinct agents.
 type arbiterList struct {
 	list [maxRow + maxPast + 1]*peer
 	n    int
 }
 
-// add adds the live agent at an address.
+// add adds the agent at an address unless it is dead.
 func (l *arbiterList) add(c *call, addr netip.AddrPort) {
 	q := c.m.peerAt(addr)
-	if q == nil || q.dead(c.at) || l.n == len(l.list) {
+	if q == nil || q.isDead(c.at) || l.n == len(l.list) {
 		return
 	}
 	if !slices.Contains(l.list[:l.n], q) {
@@ -64,13 +66,15 @@
 	}
 }
 
-// otherArbiters lists the agents that may have placed the flow, or know who did: the present first one if a balancer ranks otherwise, and during the window those of earlier tables. Where a first agent is gone, refuses datagrams or is not known, the rest of the row is asked, since it holds the owner.
+// otherArbiters lists the agents that may have placed the flow or know its owner: the first agent of this view if a
+// balancer ranks differently and, during the window, those of earlier tables. Where a first agent is gone, unknown or
+// refuses datagrams, the rest of the row is asked, since one of them may be the owner.
 func (c *call) otherArbiters() arbiterList {
 	var l arbiterList
 	first := c.m.table.FirstAgent(c.in.Flow)
 	l.add(c, first)
 	askRow := c.unreachable(first)
-	if !c.m.settled(c.now, c.a.cfg.Window) {
+	if !c.m.isSettled(c.now, c.a.cfg.Window) {
 		askRow = c.addPast(&l) || askRow
 	}
 	if askRow {
@@ -82,7 +86,7 @@
 	return l
 }
 
-// addPast adds the first agents of earlier tables, and reports whether one of them cannot be asked.
+// addPast adds the first agents of earlier tables, and reports whether one of them cannot be asked or there is none.
 func (c *call) addPast(l *arbiterList) bool {
 	missing := len(c.m.past) == 0
 	for _, old := range c.m.past {
@@ -99,7 +103,7 @@
 	return missing
 }
 
-// addRow adds the other agents of an earlier row; its first one chose the owner among them.
+// addRow adds the other agents of an earlier row, among which its first agent chose the owner.
 func (c *call) addRow(l *arbiterList, t *placement.Table) {
 	row := t.Row(c.in.Flow)
 	for _, i := range row.Index[min(1, row.Len):row.Len] {
@@ -107,21 +111,22 @@
 	}
 }
 
-// unreachable reports whether another agent cannot be asked, as no view names it or its host refuses datagrams.
+// unreachable reports whether another agent cannot be asked because no view names it or its host refuses datagrams.
 func (c *call) unreachable(addr netip.AddrPort) bool {
 	if addr == c.a.cfg.Self {
 		return false
 	}
 	q := c.m.peerAt(addr)
-	return q == nil || q.dead(c.at)
+	return q == nil || q.isDead(c.at)
 }
 
-// yield answers another arbiter that asks about an opening flow which this agent does not know, and leaves the flow to it.
+// yield tells another arbiter, which asks about an opening flow, that this agent does not know it, and redirects the
+// flow to that arbiter.
 func (c *call) yield() Decision {
 	if q := c.senderPeer(); q != nil {
 		c.s.set(c.in.Flow, entry{at: c.at, peer: q.id, state: stateRedirect, flags: flagYielded})
 	}
-	d := c.answer(ActionDecline, "flow is not here")
+	d := c.answer(ActionDecline, "flow is not known here")
 	d.Bound = declinedUnknown
 	return d
 }
@@ -135,57 +140,58 @@
 	return c.a.peers.at(c.in.Sender)
 }
 
-// again decides about a repeated opening packet of a flow that this agent is placing.
-func (c *call) again() Decision {
+// retransmission decides on a repeated opening packet of a flow that this agent is placing.
+func (c *call) retransmission() Decision {
 	q := c.a.peers.get(c.e.peer)
 	p := c.s.pending[c.in.Flow]
 	if c.e.state == stateAsked && q.addr == c.in.Sender {
-		return c.mutual(q, p)
+		return c.settleMutualQuestion(q, p)
 	}
-	dead := q.dead(c.at)
+	isDead := q.isDead(c.at)
 	switch {
-	case c.e.state == stateAsked && dead:
-		// Without it the list of agents to ask is another one.
+	case c.e.state == stateAsked && isDead:
+		// Without the dead agent the list of arbiters to ask differs.
 		return c.askFrom(pending{})
-	case c.e.state == stateAsked && c.unanswered(q):
+	case c.e.state == stateAsked && c.isUnresponsive(q):
 		return c.askFrom(p)
 	case c.e.state == stateAsked:
-		c.progress(p)
+		c.savePending(p)
 		// Placing the flow without the answer could give it a second owner.
 		return c.forwardTo(q.addr, false, "another agent may have placed the flow")
-	case dead, q.silent(c.at) && c.hasOther(q, p):
+	case isDead, q.isSilent(c.at) && c.hasAlternative(q, p):
 		return c.excludeAndPlace(p, c.position(q.addr))
 	}
-	c.progress(p)
+	c.savePending(p)
 	// The receiver answers a repeated offer as it did the first one.
 	return c.offerTo(q, c.e.has(flagFinal), q.estimate())
 }
 
-// unanswered reports whether the agent that was asked is taken for dead.
-func (c *call) unanswered(q *peer) bool {
+// isUnresponsive reports whether the agent that was asked is considered dead.
+func (c *call) isUnresponsive(q *peer) bool {
 	asked := c.e.at.since(c.at)
-	heard := stamp(q.last.Load()).since(c.at) <= asked
-	return asked > askLimit || asked > askSilentLimit && !heard
+	seen := stamp(q.lastSeen.Load()).since(c.at) <= asked
+	return asked > askTimeout || asked > askSilentTimeout && !seen
 }
 
-// hasOther reports whether an agent of the row other than q may take the flow and answers.
-func (c *call) hasOther(q *peer, p pending) bool {
+// hasAlternative reports whether an agent of the row other than q, not a suspect one, may accept the flow.
+func (c *call) hasAlternative(q *peer, p pending) bool {
 	if c.m == nil {
 		return false
 	}
 	cs := c.a.candidates(c.now, c.m, &c.in, p)
 	for i := range cs.n {
-		if cs.list[i].peer != q && !cs.list[i].suspect {
+		if cs.list[i].peer != q && !cs.list[i].isSuspect {
 			return true
 		}
 	}
 	return false
 }
 
-// mutual settles two agents that ask each other about one flow: the lower address places it.
-func (c *call) mutual(q *peer, p pending) Decision {
+// settleMutualQuestion decides between two agents that ask each other about one flow: the one with the lower address
+// places it.
+func (c *call) settleMutualQuestion(q *peer, p pending) Decision {
 	if c.in.Final {
-		// The other agent has left the flow to this one.
+		// The other agent has yielded the flow to this one.
 		return c.askFrom(p)
 	}
 	if c.a.cfg.Self.Compare(q.addr) < 0 {
@@ -200,18 +206,18 @@
 		return c.refuse(refusal.ReasonNoConfiguration, "no view of the service")
 	}
 	cs := c.a.candidates(c.now, c.m, &c.in, p)
-	if cs.n == 0 && c.believedActive() && c.accept() {
-		return c.accepted("taken by the first agent, which its own view does not name")
+	if cs.n == 0 && c.isRankedFirst() && c.accept() {
+		return c.accepted("accepted by the first agent, which its own view does not name")
 	}
 	if cs.n == 0 {
 		p.full = p.full || cs.full > 0
 		p.draining = p.draining || cs.draining > 0
-		return c.placeBeyond(p)
+		return c.placeOutsideRow(p)
 	}
 	best, limit := cs.pick(c.m.service.Spec.Preference)
 	if best.peer == nil {
 		if c.accept() {
-			return c.accepted("taken by the first agent")
+			return c.accepted("accepted by the first agent")
 		}
 		return c.excludeAndPlace(p, uint32(best.position))
 	}
@@ -223,20 +229,21 @@
 	if final {
 		c.e.flags = flagFinal
 	}
-	c.progress(p)
+	c.savePending(p)
 	best.peer.offered(c.at)
 	return c.offerTo(best.peer, final, limit)
 }
 
-// believedActive reports whether a balancer ranks this agent first though its own view does not name it: the view is older than the balancer's, or wrong. An agent that drains or left takes nothing.
-func (c *call) believedActive() bool {
+// isRankedFirst reports whether a balancer ranks this agent first though its own view does not name it: the view is
+// wrong or older than the balancer's. It is false for an agent that drains or left after draining.
+func (c *call) isRankedFirst() bool {
 	return c.m.self < 0 && c.a.isFirst(c.in.Row) && !c.a.draining(c.m)
 }
 
-// excludeAndPlace chooses again without the agent at a row position.
+// excludeAndPlace places the flow without the agent at a row position.
 func (c *call) excludeAndPlace(p pending, position uint32) Decision {
-	if c.e.state == stateBeyond {
-		return c.placeBeyond(p)
+	if c.e.state == stateOfferedOutside {
+		return c.placeOutsideRow(p)
 	}
 	if position < maxRow {
 		p.excluded |= 1 << position
@@ -244,21 +251,22 @@
 	return c.place(p)
 }
 
-// placeBeyond offers the flow to agents outside the row, one after the other, and refuses it when they have no room either.
-func (c *call) placeBeyond(p pending) Decision {
-	for p.offeredBeyond < maxBeyond {
-		index, ok := c.beyond(int(p.seenBeyond))
+// placeOutsideRow offers the flow to agents outside the row, one after the other, and refuses it when none of them
+// accepts.
+func (c *call) placeOutsideRow(p pending) Decision {
+	for p.offeredOutside < maxOutsideRow {
+		index, ok := c.outsideRow(int(p.seenOutside))
 		if !ok {
 			break
 		}
-		p.seenBeyond++
+		p.seenOutside++
 		q := c.m.peers[index]
-		if !c.usable(index) {
+		if !c.canOffer(index) {
 			continue
 		}
-		p.offeredBeyond++
-		c.e = entry{at: c.at, peer: q.id, state: stateBeyond, flags: flagFinal}
-		c.progress(p)
+		p.offeredOutside++
+		c.e = entry{at: c.at, peer: q.id, state: stateOfferedOutside, flags: flagFinal}
+		c.savePending(p)
 		q.offered(c.at)
 		return c.offerTo(q, true, declinedLimit)
 	}
@@ -266,8 +274,8 @@
 	return c.refuse(c.placeReason(p), "no agent takes the flow")
 }
 
-// beyond returns the n-th target to try outside the row; the order starts at a place that the flow's hash chooses.
-func (c *call) beyond(n int) (int, bool) {
+// outsideRow returns the n-th target to try outside the row; the flow's hash selects the start of the order.
+func (c *call) outsideRow(n int) (int, bool) {
 	count := len(c.m.service.Targets)
 	if n >= count {
 		return 0, false
@@ -275,17 +283,17 @@
 	return int((c.in.Flow>>32 + uint64(n)) % uint64(count)), true
 }
 
-// usable reports whether a target outside the row may be offered the flow.
-func (c *call) usable(index int) bool {
+// canOffer reports whether a target outside the row may be offered the flow.
+func (c *call) canOffer(index int) bool {
 	t := &c.m.service.Targets[index]
 	if index == c.m.self || t.State != view.StateActive || t.Weight == 0 {
 		return false
 	}
 	q := c.m.peers[index]
-	return q != nil && !q.suspect(c.at) && c.position(t.Agent) >= uint32(min(wire.RowLen(c.in.Row), maxRow))
+	return q != nil && !q.isSuspect(c.at) && c.position(t.Agent) >= uint32(min(wire.RowLen(c.in.Row), maxRow))
 }
 
-// placeReason says why no agent takes a flow.
+// placeReason returns the refusal reason when no agent accepts a flow.
 func (c *call) placeReason(p pending) refusal.Reason {
 	switch {
 	case p.full:
@@ -296,7 +304,7 @@
 	return refusal.ReasonNoTarget
 }
 
-// accept takes the flow unless there is no room; it counts the flow.
+// accept makes this agent the owner of the flow and counts it, unless there is no room.
 func (c *call) accept() bool {
 	limit := c.a.limit(c.m)
 	load := c.a.load.Add(1)
@@ -310,23 +318,24 @@
 }
 
 func (c *call) accepted(why string) Decision {
-	c.tellRanked()
+	c.notifyLocalFirst()
 	d := c.decide(ActionDeliver, why)
 	d.Accepted = true
 	return d
 }
 
-// tellRanked tells the first agent by this agent's own table of a flow that came by the row of another table: the former arbitrates the flow once views are even.
-func (c *call) tellRanked() {
-	first := c.ranked()
+// notifyLocalFirst notifies the first agent of this agent's own table of a flow that arrived by the row of another
+// table: that agent arbitrates the flow once views agree.
+func (c *call) notifyLocalFirst() {
+	first := c.localFirst()
 	notified := c.in.Kind == wire.Kind_KIND_OFFER && first == c.in.Sender
 	if first.IsValid() && first != c.a.cfg.Self && !notified {
-		c.a.tells.add(c.placed(first))
+		c.a.outbox.add(c.placedMessage(first))
 	}
 }
 
-// ranked is the first agent by this agent's own table, or the zero value.
-func (c *call) ranked() netip.AddrPort {
+// localFirst returns the first agent of the flow in this agent's own table, or the zero value.
+func (c *call) localFirst() netip.AddrPort {
 	if c.m == nil {
 		return netip.AddrPort{}
 	}
--- a/pkg/arbiter/tells.go
+++ b/pkg/arbiter/outbox.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// tells are messages that wait for the next Tick.
-type tells struct {
+// outbox holds messages for the next Tick.
+type outbox struct {
 	mu   sync.Mutex
 	list []Message
 }
 
-func (t *tells) add(m Message) {
+func (t *outbox) add(m Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.list = append(t.list, m)
 }
 
-func (t *tells) take() []Message {
+func (t *outbox) take() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := t.list
--- a/pkg/arbiter/beyond_test.go
+++ b/pkg/arbiter/outside_row_test.go
@@ -11,9 +11,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// TestOneActiveTargetAmongManyDrainingIsFound: after 20 drains in a row, whose long flows kept the targets in the views,
-// 54 flows were refused with target-draining although targets were active.
-func TestOneActiveTargetAmongManyDrainingIsFound(t *testing.T) {
+// Guards against refusals with target-draining when only one of many targets, outside the row, is active.
+func TestOfferOutsideRowFindsOnlyActiveTarget(t *testing.T) {
 	const targets = 40
 	s := benchService(targets)
 	for i := range s.Targets {
--- a/pkg/arbiter/packet.go
+++ b/pkg/arbiter/packet.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// maxHops is the number of agents that a packet may pass; it covers a walk down a row and two redirects.
+	// maxHops is the number of agents that a packet may pass; it covers the way down a row and two redirects.
 	maxHops = 12
 	// maxOpeningHops is the same for an opening packet; it covers the questions and offers, each with its answer.
-	maxOpeningHops = 2 * (maxPast + 1 + maxRow + maxTries + maxRow + maxBeyond)
-	// maxProbeHops is the number of agents after which an opening packet is not sent along further redirects.
+	maxOpeningHops = 2 * (maxPast + 1 + maxRow + maxTries + maxRow + maxOutsideRow)
+	// maxProbeHops is the number of agents after which an opening packet is not forwarded along further redirects.
 	maxProbeHops = 8
-	// tellEvery is the least time between two messages about one own flow to a first agent that does not know it.
-	tellEvery = time.Second
-	// lateness is the time after the end of a flow within which its packets are taken for late ones without a question to the other agents.
-	lateness = 2 * time.Second
+	// notifyInterval is the minimum time between two messages about one own flow to a first agent that does not know
+	// it. It is also the time after which packets of a flow that is being located are dropped.
+	notifyInterval = time.Second
+	// latePacketWindow is the time after the end of a flow within which its packets are considered late ones, and the
+	// other agents are not asked for an owner.
+	latePacketWindow = 2 * time.Second
 )
 
-// call is one packet while it is decided; the flow's shard is locked.
+// call is the decision on one packet; the flow's shard is locked meanwhile.
 type call struct {
 	a   *Arbiter
 	now time.Time
@@ -32,7 +34,7 @@
 	e   entry
 }
 
-// Packet decides about one packet.
+// Packet decides on one packet.
 func (a *Arbiter) Packet(now time.Time, in Input) Decision {
 	s := a.shard(in.Flow)
 	c := call{a: a, now: now, at: a.stamp(now), in: in, m: a.members.Load(), s: s}
@@ -50,7 +52,7 @@
 	return c.drop("datagram kind carries no packet")
 }
 
-// forward decides about KIND_FORWARD.
+// forward decides on KIND_FORWARD.
 func (c *call) forward() Decision {
 	switch c.e.state {
 	case stateOwn:
@@ -59,13 +61,14 @@
 		return c.redirect()
 	case stateEnded:
 		return c.afterEnd()
-	case stateAsked, stateOffered, stateBeyond:
+	case stateAsked, stateOffered, stateOfferedOutside:
 		return c.whilePending()
 	}
 	return c.unknown()
 }
 
-// own delivers a packet of an own flow, and tells the first agent if the packet came past it.
+// own delivers a packet of an own flow, and notifies the first agent if that did not forward the packet as to the
+// owner.
 func (c *call) own() Decision {
 	d := c.decide(ActionDeliver, "own flow")
 	if c.in.Hops == 0 || c.a.isFirst(c.in.Row) {
@@ -75,37 +78,37 @@
 	if !ok || first == c.in.Sender && c.in.Final {
 		return d
 	}
-	if c.e.at.since(c.at) < tellEvery {
+	if c.e.at.since(c.at) < notifyInterval {
 		return d
 	}
 	c.e.at = c.at
 	c.s.flows[c.in.Flow] = c.e
-	d.Notify = c.placed(first)
+	d.Notify = c.placedMessage(first)
 	return d
 }
 
-// redirect sends a packet on to the flow's owner.
+// redirect forwards a packet to the flow's owner.
 func (c *call) redirect() Decision {
 	p := c.a.peers.get(c.e.peer)
-	if p.left(c.at) || c.in.Opening && p.refuses(c.at) {
+	if p.hasLeft(c.at) || c.in.Opening && p.recentlyRefused(c.at) {
 		return c.ownerGone()
 	}
 	if p.addr == c.in.Sender {
 		// The owner itself does not know the flow.
-		return c.forget()
+		return c.evict()
 	}
 	if c.in.Opening && c.in.Final && c.in.Hops > maxProbeHops {
-		// Redirects that form a circle are wrong; each loses one on such a packet.
+		// Redirects that form a loop are wrong; each loses one on such a packet.
 		c.s.drop(c.in.Flow)
-		return c.notHere()
+		return c.denyOwnership()
 	}
 	if c.in.Hops >= c.hopLimit() {
-		// Redirects that form a circle are wrong; the owner is asked for anew.
+		// Redirects that form a loop are wrong; the owner is located anew.
 		c.s.drop(c.in.Flow)
 		return c.drop("too many hops")
 	}
 	if c.e.has(flagEnded) {
-		c.doubtEnd()
+		c.recheckOwner()
 	} else {
 		c.touch()
 	}
@@ -116,21 +119,22 @@
 	return c.forwardTo(p.addr, true, "redirect to owner")
 }
 
-// forget drops the entry and decides as for an unknown flow.
-func (c *call) forget() Decision {
+// evict removes the entry and decides as for an unknown flow.
+func (c *call) evict() Decision {
 	c.s.drop(c.in.Flow)
 	c.e = entry{}
 	return c.unknown()
 }
 
-// doubtEnd asks for the owner when packets arrive long after the end of a flow: the key may be in use again, and the message about its new owner lost.
-func (c *call) doubtEnd() {
-	if !c.in.Opening && c.e.at.since(c.at) > lateness {
+// recheckOwner locates the owner when packets arrive long after the end of a flow: the key may be in use again, and the
+// message about its new owner lost.
+func (c *call) recheckOwner() {
+	if !c.in.Opening && c.e.at.since(c.at) > latePacketWindow {
 		c.a.locator.add(c.in.Flow, c.now, false)
 	}
 }
 
-// touch notes the time of the last packet, at a coarse grain to save writes.
+// touch records the time of the last packet, once a second at most to save writes.
 func (c *call) touch() {
 	if c.e.at.since(c.at) > time.Second {
 		c.e.at = c.at
@@ -138,19 +142,20 @@
 	}
 }
 
-// ownerGone decides about a packet of a flow whose owner has died. The redirect may be older than the flow, so the other agents are asked before the flow is refused.
+// ownerGone decides on a packet of a flow whose owner is gone. The redirect may be older than the flow, so the other
+// agents are asked before the flow is refused.
 func (c *call) ownerGone() Decision {
 	if c.in.Opening || c.e.has(flagYielded) {
-		return c.forget()
+		return c.evict()
 	}
 	if c.e.has(flagEnded) {
 		return c.drop("late packet of a flow whose owner is gone")
 	}
-	c.e = entry{flags: flagDied}
+	c.e = entry{flags: flagOwnerGone}
 	return c.unknown()
 }
 
-// afterEnd decides about a packet of an own flow that has ended.
+// afterEnd decides on a packet of an own flow that has ended.
 func (c *call) afterEnd() Decision {
 	if c.in.Opening {
 		return c.unknown()
@@ -163,27 +168,27 @@
 	if !c.a.isFirst(c.in.Row) {
 		return c.unknownLater()
 	}
-	c.doubtEnd()
+	c.recheckOwner()
 	return c.drop("late packet of an ended flow")
 }
 
-// whilePending decides about a packet of a flow that this agent is about to place.
+// whilePending decides on a packet of a flow that this agent is placing.
 func (c *call) whilePending() Decision {
 	switch {
 	case c.in.Opening && c.in.Final && c.in.Hops > maxProbeHops:
-		return c.notHere()
+		return c.denyOwnership()
 	case c.in.Opening:
-		return c.again()
+		return c.retransmission()
 	case c.in.Final:
-		return c.notHere()
+		return c.denyOwnership()
 	}
 	return c.forwardTo(c.a.peers.get(c.e.peer).addr, true, "agent that was asked or offered the flow")
 }
 
-// unknown decides about a packet of a flow without a live entry.
+// unknown decides on a packet of a flow that has no owner, redirect or pending entry here.
 func (c *call) unknown() Decision {
 	if c.in.Final {
-		return c.notHere()
+		return c.denyOwnership()
 	}
 	if !c.a.isFirst(c.in.Row) {
 		return c.unknownLater()
@@ -191,24 +196,24 @@
 	if !c.in.Opening {
 		return c.unknownFirst()
 	}
-	if c.e.state == stateLocating && !c.e.has(flagDied) {
-		// Packets of an established flow came before; this one is late.
+	if c.e.state == stateLocating && !c.e.has(flagOwnerGone) {
+		// Packets of an established flow were received before; this one is late.
 		return c.drop("owner is being located")
 	}
 	return c.open()
 }
 
-// notHere answers a packet that the sender holds to be for a flow of this agent.
-func (c *call) notHere() Decision {
+// denyOwnership answers a packet whose sender takes this agent for the flow's owner.
+func (c *call) denyOwnership() Decision {
 	if c.in.Opening {
-		return c.answer(ActionDecline, "flow is not here")
+		return c.answer(ActionDecline, "flow is not known here")
 	}
-	d := c.drop("flow is not here")
+	d := c.drop("flow is not known here")
 	d.Notify = Message{To: c.in.Sender, Kind: wire.Kind_KIND_LOCATED, Flow: c.in.Flow}
 	return d
 }
 
-// unknownLater decides at an agent that is not the first of the row.
+// unknownLater decides on a packet of an unknown flow at an agent that is not the first of the row.
 func (c *call) unknownLater() Decision {
 	if c.in.Hops == 0 {
 		first, ok := wire.RowAddr(c.in.Row, 0)
@@ -220,24 +225,24 @@
 	if c.in.Opening {
 		return c.yield()
 	}
-	return c.walk()
+	return c.forwardDownRow()
 }
 
-// walk passes a packet down the row.
-func (c *call) walk() Decision {
+// forwardDownRow forwards a packet to the next agent of the row.
+func (c *call) forwardDownRow() Decision {
 	for i := int(c.in.Position) + 1; i < wire.RowLen(c.in.Row); i++ {
 		addr, _ := wire.RowAddr(c.in.Row, i)
 		if addr == c.a.cfg.Self || addr == c.in.Sender {
 			continue
 		}
-		d := c.forwardTo(addr, false, "owner is sought down the row")
+		d := c.forwardTo(addr, false, "looking for the owner down the row")
 		d.Position = uint32(i)
 		return d
 	}
 	return c.drop("no agent of the row knows the flow")
 }
 
-// unknownFirst decides about a packet of an established flow at the first agent.
+// unknownFirst decides on a packet of an established flow, unknown here, at the first agent.
 func (c *call) unknownFirst() Decision {
 	if c.e.state == stateLost {
 		return c.lost()
@@ -245,27 +250,27 @@
 	if c.m == nil {
 		return c.refuse(refusal.ReasonNoConfiguration, "no view of the service")
 	}
-	if c.e.state == stateLocating && c.e.at.since(c.at) > tellEvery {
+	if c.e.state == stateLocating && c.e.at.since(c.at) > notifyInterval {
 		return c.drop("owner is being located")
 	}
 	if c.e.state != stateLocating {
-		if !c.a.locator.add(c.in.Flow, c.now, c.e.has(flagDied)) {
+		if !c.a.locator.add(c.in.Flow, c.now, c.e.has(flagOwnerGone)) {
 			return c.drop("too many flows are being located")
 		}
-		c.s.set(c.in.Flow, entry{at: c.at, state: stateLocating, flags: c.e.flags & flagDied})
+		c.s.set(c.in.Flow, entry{at: c.at, state: stateLocating, flags: c.e.flags & flagOwnerGone})
 	}
-	return c.walk()
+	return c.forwardDownRow()
 }
 
-// lost refuses a packet of a flow that every agent denies.
+// lost refuses a packet of a flow that every agent denied owning.
 func (c *call) lost() Decision {
-	if c.e.has(flagDied) {
+	if c.e.has(flagOwnerGone) {
 		return c.refuse(refusal.ReasonTargetDied, "owner is gone")
 	}
 	return c.refuse(refusal.ReasonOwnerLost, "no agent owns the flow")
 }
 
-// forwardTo sends the packet on. Expected is true when the receiver should own the flow.
+// forwardTo forwards the packet. Expected is true when the receiver should own the flow.
 func (c *call) forwardTo(to netip.AddrPort, expected bool, why string) Decision {
 	if c.in.Hops >= c.hopLimit() {
 		return c.drop("too many hops")
@@ -277,7 +282,7 @@
 	return d
 }
 
-// hopLimit is the number of agents that the packet may pass.
+// hopLimit returns the number of agents that the packet may pass.
 func (c *call) hopLimit() uint32 {
 	if c.in.Opening {
 		return maxOpeningHops
@@ -285,7 +290,7 @@
 	return maxHops
 }
 
-// answer sends the packet back to its sender.
+// answer returns the packet to its sender.
 func (c *call) answer(action Action, why string) Decision {
 	d := c.decide(action, why)
 	d.To = c.in.Sender
@@ -294,7 +299,7 @@
 	return d
 }
 
-// position is the index of an agent in the row, or the row's length.
+// position returns the index of an agent in the row, or the row's length.
 func (c *call) position(addr netip.AddrPort) uint32 {
 	n := wire.RowLen(c.in.Row)
 	for i := range n {
@@ -317,8 +322,8 @@
 	return d
 }
 
-// placed is the message by which this agent claims the flow.
-func (c *call) placed(to netip.AddrPort) Message {
+// placedMessage returns the message by which this agent claims the flow.
+func (c *call) placedMessage(to netip.AddrPort) Message {
 	return Message{
 		To: to, Kind: wire.Kind_KIND_PLACED, Flow: c.in.Flow, Owner: c.a.cfg.Self,
 		Load: uint32(c.a.load.Load()), Incarnation: c.a.cfg.Incarnation, Final: c.e.has(flagOpen),
--- a/pkg/arbiter/packet_test.go
+++ b/pkg/arbiter/packet_test.go
@@ -15,19 +15,19 @@
 
 const flowUnderTest = 77 << 32
 
-// bed is one arbiter with three peers, first of every row it is given.
-type bed struct {
+// testbed is an arbiter with three peers; it is the first of every row that it gets.
+type testbed struct {
 	t   *testing.T
 	a   *Arbiter
 	s   *view.Service
 	now time.Time
 	row []byte
-	// hops are those of the last answer; each answer has passed two agents more.
+	// hops is the hop count of the last answer; each answer has passed two more agents.
 	hops uint32
 }
 
-func newBed(t *testing.T, change func(s *view.Service)) *bed {
-	b := &bed{t: t, s: benchService(4), now: time.Unix(1000000, 0)}
+func newTestbed(t *testing.T, change func(s *view.Service)) *testbed {
+	b := &testbed{t: t, s: benchService(4), now: time.Unix(1000000, 0)}
 	if change != nil {
 		change(b.s)
 	}
@@ -40,14 +40,14 @@
 	return b
 }
 
-func (b *bed) peer(i int) netip.AddrPort { return b.s.Targets[i].Agent }
+func (b *testbed) peer(i int) netip.AddrPort { return b.s.Targets[i].Agent }
 
 // input is a packet of the flow under test from a balancer.
-func (b *bed) input(opening bool) Input {
+func (b *testbed) input(opening bool) Input {
 	return Input{Kind: wire.Kind_KIND_FORWARD, Flow: firstFor(b.s, 0), Opening: opening, Row: b.row, Sender: netip.MustParseAddrPort("127.0.0.1:1")}
 }
 
-// firstFor is a flow that target i arbitrates.
+// firstFor returns a flow that target i arbitrates.
 func firstFor(s *view.Service, i int) uint64 {
 	m := (&Arbiter{peers: newPeers()}).newMembers(time.Time{}, s, nil)
 	for flow := uint64(flowUnderTest); ; flow++ {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (b *bed) answer(i int, d Decision, load, reason uint32) Input {
+func (b *testbed) answer(i int, d Decision, load, reason uint32) Input {
 	in := b.input(true)
 	b.hops += 2
 	in.Kind, in.Sender, in.Load, in.Bound, in.Final, in.Hops = wire.Kind_KIND_DECLINED, b.peer(i), load, reason, d.Final, b.hops
@@ -91,17 +91,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, c.change)
+			b := newTestbed(t, c.change)
 			d := b.a.Packet(b.now, b.input(true))
 			require.Equal(t, ActionRefuse, d.Action)
 			require.Equal(t, c.want, d.Reason)
 		})
 	}
-	d := New(Config{Self: netip.MustParseAddrPort("127.0.0.1:9000")}).Packet(time.Unix(1, 0), newBed(t, nil).input(true))
+	d := New(Config{Self: netip.MustParseAddrPort("127.0.0.1:9000")}).Packet(time.Unix(1, 0), newTestbed(t, nil).input(true))
 	require.Equal(t, refusal.ReasonNoConfiguration, d.Reason)
 }
 
-// A balancer ranks first only what it believes to be active. Its view may be newer than the agent's, which once refused the flow.
+// Guards against refusing a flow because the agent's view is older than that of the balancer, which ranks only active
+// targets first.
 func TestFirstAgentTakesFlowsThatItsViewDoesNotGiveIt(t *testing.T) {
 	const joining, active, draining = view.StateJoining, view.StateActive, view.StateDraining
 	cases := []struct {
@@ -124,7 +125,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			b.a = New(b.a.cfg)
 			b.a.load.Store(c.load)
 			for _, states := range c.views {
@@ -151,7 +152,7 @@
 }
 
 func TestAllFull(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	b.a.load.Store(2)
 	d := b.a.Packet(b.now, b.input(true))
 	for offers := 0; d.Action == ActionOffer; offers++ {
@@ -162,15 +163,15 @@
 	require.Equal(t, refusal.ReasonAllFull, d.Reason)
 }
 
-func TestDrainingFirstArbitratesButTakesNothing(t *testing.T) {
-	b := newBed(t, nil)
+func TestDrainingFirstAgentArbitratesButAcceptsNoFlow(t *testing.T) {
+	b := newTestbed(t, nil)
 	b.a.Drain(b.now)
 	require.Equal(t, ActionOffer, b.a.Packet(b.now, b.input(true)).Action)
 	require.Zero(t, b.a.Load())
 }
 
-func TestOfferIsTakenOnlyWithinBound(t *testing.T) {
-	b := newBed(t, nil)
+func TestOfferIsAcceptedOnlyWithinBound(t *testing.T) {
+	b := newTestbed(t, nil)
 	b.a.load.Store(1)
 	in := b.input(true)
 	in.Kind, in.Sender, in.Bound = wire.Kind_KIND_OFFER, b.peer(1), 0
@@ -178,19 +179,19 @@
 	require.Equal(t, ActionDecline, d.Action)
 	require.Equal(t, uint32(1), d.Load)
 	in.Bound = 1
-	require.Equal(t, ActionDecline, b.a.Packet(b.now, in).Action, "a repeated offer is declined again")
+	require.Equal(t, ActionDecline, b.a.Packet(b.now, in).Action, "a retransmitted offer is declined again")
 	d = b.a.Packet(b.now, b.input(true))
-	require.Equal(t, b.peer(1), d.To, "the flow is left to the agent that offered it, whatever another balancer's row says")
+	require.Equal(t, b.peer(1), d.To, "the flow is yielded to the agent that offered it, whatever another balancer's row says")
 	in.Final = true
 	d = b.a.Packet(b.now, in)
 	require.True(t, d.Accepted)
 	require.Equal(t, wire.Kind_KIND_PLACED, d.Notify.Kind)
-	require.False(t, b.a.Packet(b.now, in).Accepted, "a repeated offer starts no second flow")
+	require.False(t, b.a.Packet(b.now, in).Accepted, "a retransmitted offer starts no second flow")
 }
 
-// A repeated answer to a question was once taken for the answer to an offer.
+// Guards against taking a duplicate answer to a question for the answer to an offer.
 func TestRepeatedAnswerDoesNotDeclineOffer(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	b.a.load.Store(1)
 	d := b.a.Packet(b.now, b.input(true))
 	require.Equal(t, ActionOffer, d.Action)
@@ -198,9 +199,10 @@
 	require.Equal(t, ActionDrop, b.a.Packet(b.now, repeated).Action)
 }
 
-// A key was used again while a repeated datagram of its last life was on the way; the answer to that was once taken for an answer to the new offer, and both lives were placed.
-func TestLateAnswerOfEarlierLife(t *testing.T) {
-	b := newBed(t, nil)
+// Guards against placing a flow twice: a late answer to an offer for an earlier flow with the same key is not an answer
+// to the new offer.
+func TestLateAnswerToEarlierFlowWithSameKey(t *testing.T) {
+	b := newTestbed(t, nil)
 	b.a.load.Store(1)
 	in := b.input(true)
 	for i, load := range []uint32{0, 1, 1} {
@@ -222,9 +224,9 @@
 	require.True(t, b.a.Packet(b.now, b.answer(1, d, 1, declinedLoaded)).Accepted, "all have the same load")
 }
 
-// Two agents once waited for each other: one asked, the other offered it the flow.
+// Guards against a deadlock of two agents, one of which asks while the other offers it the flow.
 func TestOfferByTheAgentThatIsAsked(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 2) // this agent's view has another first agent than the balancer's
 	d := b.a.Packet(b.now, in)
@@ -236,16 +238,16 @@
 	require.True(t, b.a.Packet(b.now, in).Accepted)
 }
 
-// An opening packet that follows packets of an established flow is late; it once started a second owner.
-func TestOpeningWhileOwnerIsSought(t *testing.T) {
-	b := newBed(t, nil)
+// Guards against a second owner: an opening packet that follows packets of the established flow is late.
+func TestOpeningPacketWhileOwnerIsLocated(t *testing.T) {
+	b := newTestbed(t, nil)
 	require.Equal(t, ActionForward, b.a.Packet(b.now, b.input(false)).Action)
 	require.Equal(t, ActionDrop, b.a.Packet(b.now, b.input(true)).Action)
 }
 
-// A redirect to a dead agent may be older than the flow; its packets were once refused at once.
+// Guards against refusing a flow at once for a redirect to a dead agent that is older than the flow.
 func TestDeadOwnerIsRefusedOnlyAfterQuestions(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	flow := b.input(false).Flow
 	b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: flow, Incarnation: 1, Final: true})
 	d := b.a.Packet(b.now, b.input(false))
@@ -258,7 +260,7 @@
 	require.ElementsMatch(t, []netip.AddrPort{b.peer(1), b.peer(2), b.peer(3)}, asked, "the views may be wrong about the owner")
 	b.a.Tick(b.now)
 	require.NotEqual(t, ActionRefuse, b.a.Packet(b.now, b.input(false)).Action, "the owner still has time to answer")
-	b.now = b.now.Add(lateAnswer)
+	b.now = b.now.Add(goneAnswerTimeout)
 	b.a.Tick(b.now)
 	d = b.a.Packet(b.now, b.input(false))
 	require.Equal(t, ActionRefuse, d.Action)
@@ -267,14 +269,14 @@
 }
 
 // dropPeer1 adopts a view without the first peer.
-func (b *bed) dropPeer1() {
+func (b *testbed) dropPeer1() {
 	less := *b.s
 	less.Targets = append(append([]view.Target(nil), b.s.Targets[0]), b.s.Targets[2:]...)
 	b.a.SetService(b.now, &less)
 }
 
-// denyAllButPeer1 answers the questions of a Tick for the other peers and returns who was asked.
-func (b *bed) denyAllButPeer1() []netip.AddrPort {
+// denyAllButPeer1 answers a Tick's questions for all peers but the first, and returns who was asked.
+func (b *testbed) denyAllButPeer1() []netip.AddrPort {
 	var asked []netip.AddrPort
 	for _, m := range b.a.Tick(b.now) {
 		if m.Kind != wire.Kind_KIND_LOCATE {
@@ -289,8 +291,8 @@
 }
 
 // A host that refuses datagrams ends the wait for an owner that left the views.
-func TestRefusedQuestionEndsTheWait(t *testing.T) {
-	b := newBed(t, nil)
+func TestRefusedDatagramEndsTheWait(t *testing.T) {
+	b := newTestbed(t, nil)
 	b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: b.input(false).Flow, Incarnation: 1, Final: true})
 	b.dropPeer1()
 	b.a.Packet(b.now, b.input(false))
@@ -300,11 +302,11 @@
 	require.Equal(t, ActionRefuse, b.a.Packet(b.now, b.input(false)).Action)
 }
 
-// Views once dropped an agent that lived, and its flows were refused.
+// Guards against refusing the flows of an agent that is alive but left the views.
 func TestOwnerThatLeftTheViewsKeepsItsFlows(t *testing.T) {
 	for name, known := range map[string]bool{"redirect known": true, "redirect not known": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			in := b.input(false)
 			if known {
 				b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: in.Flow, Incarnation: 1, Final: true})
@@ -324,10 +326,10 @@
 	}
 }
 
-// A late claim of an earlier life of the key once ended the new flow.
+// Guards against a late claim for an earlier flow with the same key that ends the new flow.
 func TestOnlyAnAnswerEndsAHalfOpenFlow(t *testing.T) {
 	for _, kind := range []wire.Kind{wire.Kind_KIND_PLACED, wire.Kind_KIND_MOVED} {
-		b := newBed(t, nil)
+		b := newTestbed(t, nil)
 		in := b.input(true)
 		require.True(t, b.a.Packet(b.now, in).Accepted)
 		claim := Message{Kind: kind, Flow: in.Flow, Owner: b.peer(1), Incarnation: 1, Final: true}
@@ -343,9 +345,9 @@
 	}
 }
 
-// A first agent with an old redirect once told the true owner to give the flow up.
+// Guards against abandoning a flow because a first agent has an old redirect for its key.
 func TestHalfOpenFlowIsKeptAgainstRedirect(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	require.True(t, b.a.Packet(b.now, in).Accepted)
 	b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_LOCATED, Flow: in.Flow, Owner: b.peer(2), Incarnation: 1})
@@ -357,7 +359,7 @@
 }
 
 func TestLatePacketsOfEndedFlow(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	require.True(t, b.a.Packet(b.now, b.input(true)).Accepted)
 	b.a.Ended(b.now, b.input(true).Flow)
 	require.Equal(t, ActionDrop, b.a.Packet(b.now, b.input(false)).Action)
@@ -381,12 +383,12 @@
 	require.InDelta(t, 1000, b, 150)
 }
 
-// FuzzPacket gives the arbiter hostile datagrams; it must neither crash nor send a packet on for ever.
+// FuzzPacket checks that hostile datagrams neither crash the arbiter nor circulate forever.
 func FuzzPacket(f *testing.F) {
 	f.Add(uint8(1), true, []byte{}, uint32(0), uint32(0), uint32(0), false, uint8(0))
 	f.Add(uint8(3), true, make([]byte, 18*40), uint32(9), uint32(70), uint32(1), true, uint8(2))
 	f.Fuzz(func(t *testing.T, kind uint8, opening bool, row []byte, position, hops, bound uint32, final bool, sender uint8) {
-		b := newBed(t, nil)
+		b := newTestbed(t, nil)
 		in := b.input(opening)
 		in.Kind, in.Position, in.Hops, in.Bound, in.Final = wire.Kind(kind), position, hops, bound, final
 		in.Sender = b.peer(int(sender) % 4)
--- a/pkg/arbiter/peer.go
+++ b/pkg/arbiter/peer.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// peerID names one incarnation of another agent within one arbiter.
+// peerID identifies one incarnation of another agent within one arbiter.
 type peerID uint16
 
 const (
-	// maxPeers bounds the incarnations that one arbiter can tell apart in its life.
+	// maxPeers bounds the incarnations of other agents over the lifetime of one arbiter.
 	maxPeers = 1<<16 - 1
-	// maxUnlisted bounds the peers that are known by message only and not by a view.
+	// maxUnlisted bounds the peers that are known from messages but named by no view.
 	maxUnlisted = 1024
 	// suspectAfter is the time without an answer to an offer after which an agent is offered flows only as a last resort.
 	suspectAfter = 300 * time.Millisecond
-	// silentAfter is the time without any message after which an offer that was not answered is made to another agent. It is longer than several load reports take.
+	// silentAfter is the time without any message after which an unanswered offer is made to another agent. It is
+	// longer than several load reports take.
 	silentAfter = 1500 * time.Millisecond
-	// refusedFor is the time for which an agent whose host refused a datagram is taken for dead, unless it is heard. It is longer than the views take to drop it.
+	// refusedFor is the time for which an agent whose host refused a datagram is considered dead, unless it is seen
+	// again. It is longer than the views take to drop it.
 	refusedFor = 5 * time.Second
-	// revivedFor is the time for which an agent that left the views counts as living after it claimed a flow.
+	// revivedFor is the time for which an agent that left the views counts as alive after it claimed a flow.
 	revivedFor = 10 * time.Second
-	// lateFor is the time after its leave for which an agent is still asked for its flows: views may drop an agent that lives.
-	lateFor = 30 * time.Second
+	// goneAskPeriod is the time for which an agent that left the views is still asked for its flows: views may drop an
+	// agent that is alive.
+	goneAskPeriod = 30 * time.Second
 )
 
 // peer is one incarnation of another agent.
@@ -32,109 +35,112 @@
 	id          peerID
 	addr        netip.AddrPort
 	incarnation uint64
-	// load is the last number of open flows that the agent itself reported.
+	// load is the number of open flows that the agent last reported.
 	load atomic.Uint32
 	// waiting is the number of offers without an answer.
 	waiting atomic.Int32
-	// since is when waiting rose from 0, or the last sign of life after that.
+	// since is when waiting rose from 0, or the agent was last seen after that.
 	since atomic.Uint32
-	// last is when the agent was last heard.
-	last atomic.Uint32
-	// refused is when the agent's host last refused a datagram, as there was no socket; 0 when it did not, or the agent was heard since.
-	refused atomic.Uint32
+	// lastSeen is when the last message from the agent was received.
+	lastSeen atomic.Uint32
+	// refusedAt is when the agent's host last refused a datagram because no process had the port open; 0 when it did
+	// not, or the agent was seen since.
+	refusedAt atomic.Uint32
 	// gone is set when a view drops the agent or shows a newer incarnation.
 	gone atomic.Bool
-	// goneAt is when gone was set, and revived when the agent last claimed a flow after that; 0 when it did not.
-	goneAt, revived atomic.Uint32
+	// goneAt is when gone was set, and revivedAt when the agent last claimed a flow after that; 0 when it did not.
+	goneAt, revivedAt atomic.Uint32
 	// listed is set once a view has named the agent.
 	listed atomic.Bool
 }
 
-// heard notes a message of the agent with its load.
-func (p *peer) heard(now stamp, load uint32) {
+// recordMessage records a message from the agent and its load.
+func (p *peer) recordMessage(now stamp, load uint32) {
 	p.load.Store(load)
 	p.since.Store(uint32(now))
-	p.last.Store(uint32(now))
-	if p.refused.Load() != 0 {
-		p.refused.Store(0)
+	p.lastSeen.Store(uint32(now))
+	if p.refusedAt.Load() != 0 {
+		p.refusedAt.Store(0)
 	}
 }
 
-// reported notes a periodic load report; offers that were not answered by then are lost or about to be answered.
-func (p *peer) reported(now stamp, load uint32) {
+// recordLoadReport records a periodic load report; offers that are unanswered for suspectAfter are considered lost or
+// about to be answered.
+func (p *peer) recordLoadReport(now stamp, load uint32) {
 	if stamp(p.since.Load()).since(now) > suspectAfter {
 		p.waiting.Store(0)
 	}
-	p.heard(now, load)
+	p.recordMessage(now, load)
 }
 
-// offered notes an offer to the agent.
+// offered records an offer to the agent.
 func (p *peer) offered(now stamp) {
 	if p.waiting.Add(1) == 1 {
 		p.since.Store(uint32(now))
 	}
 }
 
-// answered notes the answer to an offer.
+// answered records the answer to an offer.
 func (p *peer) answered() {
 	if p.waiting.Add(-1) < 0 {
 		p.waiting.Store(0)
 	}
 }
 
-// leave notes that the present view does not name the agent.
-func (p *peer) leave(now stamp) {
+// markGone records that the present view does not name the agent.
+func (p *peer) markGone(now stamp) {
 	if !p.gone.Load() {
 		p.goneAt.Store(uint32(now))
-		p.revived.Store(0)
+		p.revivedAt.Store(0)
 		p.gone.Store(true)
 	}
 }
 
-// claims notes that the agent claimed a flow, so that it lives whatever the views say.
-func (p *peer) claims(now stamp) {
+// recordClaim records that the agent claimed a flow and so is alive, whatever the views say.
+func (p *peer) recordClaim(now stamp) {
 	if p.gone.Load() {
-		p.revived.Store(uint32(now))
+		p.revivedAt.Store(uint32(now))
 	}
 }
 
-// refuses reports whether the agent's host refused a datagram of late.
-func (p *peer) refuses(now stamp) bool {
-	at := p.refused.Load()
+// recentlyRefused reports whether the agent's host refused a datagram within refusedFor.
+func (p *peer) recentlyRefused(now stamp) bool {
+	at := p.refusedAt.Load()
 	return at != 0 && stamp(at).since(now) < refusedFor
 }
 
-// left reports whether the agent left the views and did not show since that it lives.
-func (p *peer) left(now stamp) bool {
+// hasLeft reports whether the agent left the views and did not claim a flow within revivedFor, or its host refuses
+// datagrams.
+func (p *peer) hasLeft(now stamp) bool {
 	if !p.gone.Load() {
 		return false
 	}
-	at := p.revived.Load()
-	return at == 0 || stamp(at).since(now) >= revivedFor || p.refuses(now)
+	at := p.revivedAt.Load()
+	return at == 0 || stamp(at).since(now) >= revivedFor || p.recentlyRefused(now)
 }
 
-// late reports whether the agent left the views a short time ago and may live.
-func (p *peer) late(now stamp) bool {
-	return p.gone.Load() && stamp(p.goneAt.Load()).since(now) < lateFor && !p.refuses(now)
+// recentlyGone reports whether the agent left the views within goneAskPeriod and may be alive.
+func (p *peer) recentlyGone(now stamp) bool {
+	return p.gone.Load() && stamp(p.goneAt.Load()).since(now) < goneAskPeriod && !p.recentlyRefused(now)
 }
 
-// dead reports whether the agent left the views, or its host refused a datagram of late.
-func (p *peer) dead(now stamp) bool { return p.gone.Load() || p.refuses(now) }
+// isDead reports whether the agent left the views, or its host recently refused a datagram.
+func (p *peer) isDead(now stamp) bool { return p.gone.Load() || p.recentlyRefused(now) }
 
-// suspect reports whether the agent is dead or owes an answer for too long.
-func (p *peer) suspect(now stamp) bool {
-	if p.dead(now) {
+// isSuspect reports whether the agent is dead or has not answered an offer for suspectAfter.
+func (p *peer) isSuspect(now stamp) bool {
+	if p.isDead(now) {
 		return true
 	}
 	return p.waiting.Load() > 0 && stamp(p.since.Load()).since(now) > suspectAfter
 }
 
-// silent reports whether the agent is suspect and sent nothing at all for so long that it is likely dead.
-func (p *peer) silent(now stamp) bool {
-	return p.suspect(now) && stamp(p.last.Load()).since(now) > silentAfter
+// isSilent reports whether the agent is suspect and has sent nothing at all for silentAfter, so that it is likely dead.
+func (p *peer) isSilent(now stamp) bool {
+	return p.isSuspect(now) && stamp(p.lastSeen.Load()).since(now) > silentAfter
 }
 
-// estimate is the agent's number of open flows as far as it is known here.
+// estimate returns the last reported load plus the unanswered offers.
 func (p *peer) estimate() uint32 {
 	return p.load.Load() + uint32(max(p.waiting.Load(), 0))
 }
@@ -144,7 +150,7 @@
 	incarnation uint64
 }
 
-// peers finds peers by address and incarnation, and by number.
+// peers is an index of the peers by address and incarnation, and by number.
 type peers struct {
 	mu       sync.RWMutex
 	byKey    map[peerKey]*peer
@@ -159,7 +165,6 @@
 	return p
 }
 
-// get returns the peer with the number.
 func (p *peers) get(id peerID) *peer { return (*p.list.Load())[id] }
 
 // at returns the newest known incarnation of the agent at an address, or nil.
@@ -180,7 +185,8 @@
 	return q
 }
 
-// sender returns the peer that sent a message; incarnation 0 means the newest one. It returns nil when there is no room for an unknown one.
+// sender returns the peer that sent a message; incarnation 0 means the newest one. It returns nil when an unknown peer
+// would exceed maxUnlisted or maxPeers.
 func (p *peers) sender(addr netip.AddrPort, incarnation uint64) *peer {
 	p.mu.RLock()
 	q := p.newest[addr]
--- a/pkg/arbiter/service.go
+++ b/pkg/arbiter/service.go
@@ -11,13 +11,14 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// paceMessages is the number of announcements that SetService or one Tick returns.
-const paceMessages = 16
+// maxMovedMessages is the highest number of KIND_MOVED messages that SetService or one Tick returns.
+const maxMovedMessages = 16
 
-// repeatGrains is the highest number of repeated announcements within one window; each looks through all own flows.
-const repeatGrains = 10
+// repeatsPerWindow is the highest number of repeated notifications within one window; each scans all own flows.
+const repeatsPerWindow = 10
 
-// SetService adopts a snapshot of the agent's service and returns the first announcements to new first agents; Tick returns the rest. A nil snapshot is ignored: the last one stays in force.
+// SetService adopts a snapshot of the agent's service and returns the first notifications of moved flows to their new
+// first agents; Tick returns the rest. A nil snapshot is ignored: the last one stays in force.
 func (a *Arbiter) SetService(now time.Time, s *view.Service) []Message {
 	if s == nil {
 		return nil
@@ -31,18 +32,18 @@
 	}
 	m := a.newMembers(now, s, old)
 	a.members.Store(m)
-	a.dropGone(a.stamp(now), m)
+	a.markGonePeers(a.stamp(now), m)
 	if old == nil || old.table != m.table || old.next != m.next {
-		a.announce = append(a.announce, a.movedFlows(old, m)...)
-		a.repeatAt(now.Add(a.cfg.Window / 5))
-		a.repeatAt(now.Add(a.cfg.Window / 2))
-		a.repeatAt(now.Add(a.cfg.Window + time.Second))
+		a.movedQueue = append(a.movedQueue, a.movedFlows(old, m)...)
+		a.scheduleRepeat(now.Add(a.cfg.Window / 5))
+		a.scheduleRepeat(now.Add(a.cfg.Window / 2))
+		a.scheduleRepeat(now.Add(a.cfg.Window + time.Second))
 	}
-	return a.takeAnnouncements()
+	return a.takeMoved()
 }
 
-// dropGone marks the agents that the new snapshot no longer names.
-func (a *Arbiter) dropGone(at stamp, m *members) {
+// markGonePeers marks the agents that the new snapshot no longer names as gone.
+func (a *Arbiter) markGonePeers(at stamp, m *members) {
 	for i, p := range m.peers {
 		if p == nil || i == m.self {
 			continue
@@ -50,30 +51,30 @@
 		p.gone.Store(false)
 	}
 	for _, p := range *a.peers.list.Load() {
-		if p.listed.Load() && m.peerAt(p.addr) != p && !p.newer(m) {
-			p.leave(at)
+		if p.listed.Load() && m.peerAt(p.addr) != p && !p.isNewerThanView(m) {
+			p.markGone(at)
 		}
 	}
 }
 
-// late lists the agents that left the views a short time ago and may live.
-func (a *Arbiter) late(at stamp) []*peer {
-	var late []*peer
+// recentlyGone lists the agents that left the views recently and may be alive.
+func (a *Arbiter) recentlyGone(at stamp) []*peer {
+	var recentlyGone []*peer
 	for _, p := range *a.peers.list.Load() {
-		if p.late(at) {
-			late = append(late, p)
+		if p.recentlyGone(at) {
+			recentlyGone = append(recentlyGone, p)
 		}
 	}
-	return late
+	return recentlyGone
 }
 
-// newer reports whether p is a later incarnation of an agent than the view names.
-func (p *peer) newer(m *members) bool {
+// isNewerThanView reports whether p is a later incarnation of an agent than the view names.
+func (p *peer) isNewerThanView(m *members) bool {
 	q := m.peerAt(p.addr)
 	return q != nil && p.incarnation > q.incarnation
 }
 
-// destination is the agent that has to know of a flow, and what it has to know.
+// destination is an agent to notify of flows, with the owner and state of the flows.
 type destination struct {
 	to    peerID
 	owner peerID
@@ -96,7 +97,7 @@
 	return 1
 }
 
-// movedFlows lists the announcements of flows whose first agent changes from old to m.
+// movedFlows returns the notifications of flows whose first agent changes from old to m.
 func (a *Arbiter) movedFlows(old, m *members) []Message {
 	moved := make(map[destination][]uint64)
 	for i := range a.shards {
@@ -110,7 +111,7 @@
 	return a.movedMessages(moved)
 }
 
-// movedMessages makes the announcements, in an order that depends on nothing but the flows, so that a run can be replayed.
+// movedMessages returns the notifications in an order that depends only on the flows, so that a run can be replayed.
 func (a *Arbiter) movedMessages(moved map[destination][]uint64) []Message {
 	var out []Message
 	for _, d := range slices.SortedFunc(maps.Keys(moved), destination.compare) {
@@ -121,7 +122,7 @@
 	return out
 }
 
-// collectMoved adds a flow for each agent that becomes its first one, at once or once the joining targets are active.
+// collectMoved adds a flow for each agent that becomes its first one, now or once the joining targets are active.
 func (a *Arbiter) collectMoved(moved map[destination][]uint64, old, m *members, flow uint64, e entry) {
 	own := e.state == stateOwn
 	if !own && (e.state != stateRedirect || e.has(flagEnded|flagYielded)) {
@@ -137,7 +138,7 @@
 			moved[d] = append(moved[d], flow)
 		}
 	}
-	// A joining agent is told again once it is active: flows were placed since it joined.
+	// A joining agent is notified again once it is active: flows were placed since it joined.
 	if old == nil || firstPeer(old, old.table, flow) != now {
 		add(now)
 	}
@@ -147,9 +148,10 @@
 	}
 }
 
-// repeatAt plans a repeated announcement at t or a little later. Those planned before stay: a row of view changes must not put them off until the flows are too old for them. a.mu is held.
-func (a *Arbiter) repeatAt(t time.Time) {
-	grain := a.cfg.Window / repeatGrains
+// scheduleRepeat schedules a repeated notification at t or a little later. Those already scheduled stay: a series of
+// view changes must not delay them until the flows are too old for them. a.mu is held.
+func (a *Arbiter) scheduleRepeat(t time.Time) {
+	grain := a.cfg.Window / repeatsPerWindow
 	t = t.Add(grain - 1).Truncate(grain)
 	i, planned := slices.BinarySearchFunc(a.repeat, t, time.Time.Compare)
 	if !planned {
@@ -157,7 +159,8 @@
 	}
 }
 
-// repeatMoved announces moved flows again: datagrams may be lost, and earlier first agents place flows until every process has the new view. a.mu is held.
+// repeatMoved queues the notifications of moved flows again: datagrams may be lost, and earlier first agents place
+// flows until every process has the new view. a.mu is held.
 func (a *Arbiter) repeatMoved(now time.Time, m *members) {
 	if len(a.repeat) == 0 || now.Before(a.repeat[0]) {
 		return
@@ -172,14 +175,14 @@
 			d := destination{to: p.id, open: e.has(flagOpen), own: true}
 			moved[d] = append(moved[d], flow)
 		}
-		if first != nil && (young || m.movedLately(flow)) {
+		if first != nil && (young || m.movedRecently(flow)) {
 			add(first)
 		}
 		if next != nil && next != first {
 			add(next)
 		}
 	})
-	a.announce = append(a.announce, a.movedMessages(moved)...)
+	a.movedQueue = append(a.movedQueue, a.movedMessages(moved)...)
 }
 
 // eachOwn calls f for each own flow.
@@ -196,8 +199,8 @@
 	}
 }
 
-// movedLately reports whether an earlier table has another first agent for the flow.
-func (m *members) movedLately(flow uint64) bool {
+// movedRecently reports whether an earlier table has another first agent for the flow.
+func (m *members) movedRecently(flow uint64) bool {
 	for _, p := range m.past {
 		if m.table.MovedFrom(p.table, flow) {
 			return true
@@ -206,7 +209,7 @@
 	return false
 }
 
-// firstPeer returns the peer that is first for the flow, or nil when it is this agent or nobody.
+// firstPeer returns the first agent of the flow, or nil when it is this agent or there is none.
 func firstPeer(m *members, t *placement.Table, flow uint64) *peer {
 	i := t.First(flow)
 	if i < 0 {
@@ -226,13 +229,13 @@
 	return m
 }
 
-// takeAnnouncements returns the next waiting announcements; a.mu is held.
-func (a *Arbiter) takeAnnouncements() []Message {
-	n := min(len(a.announce), paceMessages)
-	out := a.announce[:n:n]
-	a.announce = a.announce[n:]
-	if len(a.announce) == 0 {
-		a.announce = nil
+// takeMoved returns the next queued notifications; a.mu is held.
+func (a *Arbiter) takeMoved() []Message {
+	n := min(len(a.movedQueue), maxMovedMessages)
+	out := a.movedQueue[:n:n]
+	a.movedQueue = a.movedQueue[n:]
+	if len(a.movedQueue) == 0 {
+		a.movedQueue = nil
 	}
 	return out
 }
--- a/pkg/arbiter/shard.go
+++ b/pkg/arbiter/shard.go
@@ -18,7 +18,7 @@
 	return &a.shards[flow>>56&(shardCount-1)]
 }
 
-// set stores an entry and forgets the progress of an opening.
+// set stores an entry and removes the progress of an opening flow.
 func (s *shard) set(flow uint64, e entry) {
 	s.flows[flow] = e
 	if len(s.pending) > 0 {
@@ -26,8 +26,8 @@
 	}
 }
 
-// progress stores an entry of an opening flow with its progress.
-func (s *shard) progress(flow uint64, e entry, p pending) {
+// savePending stores an entry of an opening flow with its progress.
+func (s *shard) savePending(flow uint64, e entry, p pending) {
 	s.flows[flow] = e
 	s.pending[flow] = p
 }
--- a/pkg/arbiter/tick.go
+++ b/pkg/arbiter/tick.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// loadEvery is the time between two load reports.
-	loadEvery = 500 * time.Millisecond
-	// loadPeers is the number of agents that get one report.
-	loadPeers = 8
-	// sweepShards is the number of shards that one Tick looks through for expired entries.
+	// loadReportInterval is the time between two load reports.
+	loadReportInterval = 500 * time.Millisecond
+	// loadReportFanout is the number of agents to which one report is sent.
+	loadReportFanout = 8
+	// sweepShards is the number of shards that one Tick scans for expired entries.
 	sweepShards = 8
-	// pendingFor is the time after which an opening without an answer is no longer pursued.
-	pendingFor = 10 * time.Second
+	// pendingTimeout is the time after which an opening flow without an answer is abandoned.
+	pendingTimeout = 10 * time.Second
 )
 
 // Tick does what is due at now; the agent calls it every 100 ms or so.
@@ -29,7 +29,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.repeatMoved(now, m)
-	out := append(a.takeAnnouncements(), a.tells.take()...)
+	out := append(a.takeMoved(), a.outbox.take()...)
 	out = append(out, a.tickLoad(now, m)...)
 	out = append(out, a.tickLocate(now, m)...)
 	out = append(out, a.tickEnded(m)...)
@@ -38,14 +38,14 @@
 
 // tickLoad reports the load to the next of the agents that may offer flows to this one.
 func (a *Arbiter) tickLoad(now time.Time, m *members) []Message {
-	if now.Sub(a.loadSent) < loadEvery || len(m.mates) == 0 {
+	if now.Sub(a.loadSent) < loadReportInterval || len(m.arbiters) == 0 {
 		return nil
 	}
 	a.loadSent = now
 	var out []Message
-	for range min(loadPeers, len(m.mates)) {
-		a.mateAt = (a.mateAt + 1) % len(m.mates)
-		p := m.peers[m.mates[a.mateAt]]
+	for range min(loadReportFanout, len(m.arbiters)) {
+		a.nextReport = (a.nextReport + 1) % len(m.arbiters)
+		p := m.peers[m.arbiters[a.nextReport]]
 		if p == nil {
 			continue
 		}
@@ -54,25 +54,26 @@
 	return out
 }
 
-// sweep forgets what has expired in the next shards, and asks the owners of redirects whether they still are; a.mu is held.
+// sweep removes expired entries from the next shards, and asks the owners of idle redirects whether they still have the
+// flows; a.mu is held.
 func (a *Arbiter) sweep(at stamp) []Message {
-	doubtful := make(map[netip.AddrPort][]uint64)
+	toVerify := make(map[netip.AddrPort][]uint64)
 	for range sweepShards {
 		a.sweepAt = (a.sweepAt + 1) % shardCount
 		s := &a.shards[a.sweepAt]
 		s.mu.Lock()
 		for flow, e := range s.flows {
-			if limit := a.keep(e); limit > 0 && e.at.since(at) > limit {
-				a.expire(at, s, flow, e, doubtful)
+			if limit := a.retention(e); limit > 0 && e.at.since(at) > limit {
+				a.expire(at, s, flow, e, toVerify)
 			}
 		}
 		s.mu.Unlock()
 	}
-	return a.questions(doubtful)
+	return a.locateMessages(toVerify)
 }
 
-// questions asks each agent for its flows.
-func (a *Arbiter) questions(ask map[netip.AddrPort][]uint64) []Message {
+// locateMessages returns the messages that ask each agent whether it owns the given flows.
+func (a *Arbiter) locateMessages(ask map[netip.AddrPort][]uint64) []Message {
 	var out []Message
 	for _, to := range slices.SortedFunc(maps.Keys(ask), netip.AddrPort.Compare) {
 		slices.Sort(ask[to])
@@ -81,14 +82,17 @@
 	return out
 }
 
-// expire forgets an entry. An opening without an answer is kept as a redirect to the agent that was asked last: it may have taken the flow and its answer been lost, and it says so if it has not. A redirect to an agent that lives is kept until that agent denies the flow, which may be idle for longer than any time chosen here: without the redirect the flow's next UDP packet would start a second life elsewhere.
-func (a *Arbiter) expire(at stamp, s *shard, flow uint64, e entry, doubtful map[netip.AddrPort][]uint64) {
+// expire removes an entry. An opening flow without an answer becomes a redirect to the agent that was asked last: it
+// may have accepted the flow and its answer been lost; it denies the flow if it has not. A redirect to an agent that is
+// alive is kept until that agent denies the flow, which may be idle for any length of time: without the redirect, the
+// flow's next UDP packet would be placed as a new flow elsewhere.
+func (a *Arbiter) expire(at stamp, s *shard, flow uint64, e entry, toVerify map[netip.AddrPort][]uint64) {
 	switch {
-	case e.state == stateOffered, e.state == stateBeyond, e.state == stateAsked:
+	case e.state == stateOffered, e.state == stateOfferedOutside, e.state == stateAsked:
 		s.set(flow, entry{at: at, peer: e.peer, state: stateRedirect})
 	case e.state == stateRedirect && a.mayOwn(e):
 		p := a.peers.get(e.peer)
-		doubtful[p.addr] = append(doubtful[p.addr], flow)
+		toVerify[p.addr] = append(toVerify[p.addr], flow)
 		e.at = at
 		s.flows[flow] = e
 	default:
@@ -102,8 +106,8 @@
 	return !e.has(flagEnded) && p.listed.Load() && !p.gone.Load()
 }
 
-// keep returns the time for which an entry is kept since its stamp; 0 means for ever.
-func (a *Arbiter) keep(e entry) time.Duration {
+// retention returns the time for which an entry is kept since its stamp; 0 means forever.
+func (a *Arbiter) retention(e entry) time.Duration {
 	switch e.state {
 	case stateOwn:
 		return 0
@@ -112,8 +116,8 @@
 			return a.cfg.Linger
 		}
 		return a.cfg.Idle
-	case stateAsked, stateOffered, stateBeyond, stateLocating:
-		return pendingFor
+	case stateAsked, stateOffered, stateOfferedOutside, stateLocating:
+		return pendingTimeout
 	}
 	return a.cfg.Linger
 }
--- a/pkg/arbiter/unreachable_test.go
+++ b/pkg/arbiter/unreachable_test.go
@@ -9,28 +9,28 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// New flows once waited for up to 7 s for an agent that was dead but still in the views.
-func TestDeadAgentIsPassedBy(t *testing.T) {
+// Guards against delaying new flows for an agent that is dead but still in the views.
+func TestDeadAgentIsSkipped(t *testing.T) {
 	cases := []struct {
 		name string
 		// prepare makes the first packet go to peer 1, which is dead.
-		prepare func(b *bed, in *Input)
+		prepare func(b *testbed, in *Input)
 		want    Action
 	}{
-		{"asked", func(b *bed, in *Input) { in.Flow = firstFor(b.s, 1) }, ActionForward},
-		{"offered", func(b *bed, in *Input) {
+		{"asked", func(b *testbed, in *Input) { in.Flow = firstFor(b.s, 1) }, ActionForward},
+		{"offered", func(b *testbed, in *Input) {
 			b.a.load.Store(1)
 			for i, load := range []uint32{0, 1, 1} {
 				b.a.Control(b.now, b.peer(i+1), Message{Kind: wire.Kind_KIND_LOAD, Load: load, Incarnation: 1})
 			}
 		}, ActionOffer},
-		{"owner of an earlier life", func(b *bed, in *Input) {
+		{"owner of an earlier flow", func(b *testbed, in *Input) {
 			b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_PLACED, Flow: in.Flow, Incarnation: 1})
 		}, ActionForward},
 	}
 	for _, c := range cases {
 		t.Run(c.name+", host refuses", func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			in := b.input(true)
 			c.prepare(b, &in)
 			d := b.a.Packet(b.now, in)
@@ -41,14 +41,14 @@
 			require.NotEqual(t, b.peer(1), b.a.Packet(b.now, in).To)
 		})
 		t.Run(c.name+", known before", func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			in := b.input(true)
 			c.prepare(b, &in)
 			b.a.Unreachable(b.now, b.peer(1))
 			require.NotEqual(t, b.peer(1), b.a.Packet(b.now, in).To)
 		})
-		t.Run(c.name+", heard again", func(t *testing.T) {
-			b := newBed(t, nil)
+		t.Run(c.name+", seen again", func(t *testing.T) {
+			b := newTestbed(t, nil)
 			in := b.input(true)
 			b.a.Unreachable(b.now, b.peer(1))
 			b.a.Control(b.now, b.peer(1), Message{Kind: wire.Kind_KIND_LOAD, Incarnation: 1})
@@ -58,9 +58,9 @@
 	}
 }
 
-// A flow of a dead first agent may be owned by another agent of the row, which is asked.
-func TestRowIsAskedForADeadFirst(t *testing.T) {
-	b := newBed(t, nil)
+// The owner of a dead first agent's flow may be another agent of the row, so the row is asked.
+func TestRowIsAskedWhenFirstAgentIsDead(t *testing.T) {
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 1)
 	b.a.Unreachable(b.now, b.peer(1))
@@ -76,9 +76,9 @@
 	require.Equal(t, map[string]bool{b.peer(2).String(): true, b.peer(3).String(): true}, asked)
 }
 
-// The repeats of a caller's TCP come after 1 and 3 s; a question to an agent that is silent must be over by the second.
-func TestSilentAgentIsPassedByAtTheSecondRepeat(t *testing.T) {
-	b := newBed(t, nil)
+// A caller's TCP retransmits after 1 and 3 s; a question to a silent agent must be over by the second retransmission.
+func TestSilentAgentIsSkippedAtSecondRetransmission(t *testing.T) {
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 1)
 	require.Equal(t, b.peer(1), b.a.Packet(b.now, in).To)
@@ -88,9 +88,9 @@
 	require.True(t, b.a.Packet(b.now, in).Accepted)
 }
 
-// An agent that lives is asked longer, since it may have placed the flow and its answers been lost.
-func TestLivingAgentIsAskedLonger(t *testing.T) {
-	b := newBed(t, nil)
+// An agent that sends messages is asked longer, since it may have placed the flow and its answers been lost.
+func TestResponsiveAgentIsAskedLonger(t *testing.T) {
+	b := newTestbed(t, nil)
 	in := b.input(true)
 	in.Flow = firstFor(b.s, 1)
 	b.a.Packet(b.now, in)
--- a/pkg/arbiter/world_test.go
+++ b/pkg/arbiter/world_test.go
@@ -18,7 +18,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// world joins several arbiters by a queue that loses, repeats and reorders datagrams. Callers behave as TCP does: they repeat what is not answered, and a packet that meets the wrong endpoint breaks the flow.
+// world connects several arbiters by a queue that loses, duplicates and reorders datagrams. Callers behave as TCP does:
+// they retransmit what is not answered, and a packet that reaches the wrong endpoint breaks the flow.
 type world struct {
 	faulty    uint64 // flow of the first fault
 	longest   uint64 // flow of the packet with the most hops
@@ -48,31 +49,31 @@
 	endpoints map[uint64]*endpoint
 }
 
-// endpoint is the TCP endpoint of one life of a flow.
+// endpoint is the TCP endpoint of one generation of a flow.
 type endpoint struct {
 	isn  uint64
 	open bool
 }
 
-// caller is one flow as its caller sees it.
+// caller is the caller's state of one flow; generation counts the uses of its key.
 type caller struct {
-	flow   uint64
-	isn    uint64 // of the endpoint that answered; 0 while opening
-	owner  *node
-	ended  bool
-	refuse bool
-	sent   int
-	acked  int
-	life   int
-	udp    bool // every packet may open the flow
+	flow       uint64
+	isn        uint64 // of the endpoint that answered; 0 while opening
+	owner      *node
+	ended      bool
+	refuse     bool
+	sent       int
+	acked      int
+	generation int
+	udp        bool // every packet may open the flow
 }
 
 // packet is a caller's packet.
 type packet struct {
-	life    int
-	opening bool
-	isn     uint64
-	seq     int
+	generation int
+	opening    bool
+	isn        uint64
+	seq        int
 }
 
 type event struct {
@@ -117,7 +118,7 @@
 		w.balancers[i] = placement.NewTable(w.service())
 	}
 	for _, t := range w.targets {
-		w.tell(w.nodes[t.Agent], w.service())
+		w.adoptView(w.nodes[t.Agent], w.service())
 	}
 	w.run(10 * time.Second) // the window after the start passes
 	return w
@@ -174,9 +175,9 @@
 	}
 }
 
-func (w *world) tell(n *node, s *view.Service) {
+func (w *world) adoptView(n *node, s *view.Service) {
 	if !n.dead {
-		w.note(0, "%v adopts %s", n.addr.Port(), describe(s))
+		w.note(0, "%v adopts view %s", n.addr.Port(), describe(s))
 		w.send(n, n.arbiter.SetService(w.now, s))
 	}
 }
@@ -190,8 +191,8 @@
 	return b.String()
 }
 
-// spread brings the present targets to every process, each after its own delay.
-func (w *world) spread(longest time.Duration) {
+// distributeView sends the present targets to every process, each after its own delay.
+func (w *world) distributeView(longest time.Duration) {
 	s := w.service()
 	s.Revision = uint64(w.events.seq)
 	delay := func() time.Duration { return time.Duration(w.random.Int64N(int64(longest) + 1)) }
@@ -207,7 +208,7 @@
 		w.after(delay(), func() {
 			m := n.arbiter.members.Load()
 			if m == nil || m.service.Revision < s.Revision {
-				w.tell(n, s)
+				w.adoptView(n, s)
 			}
 		})
 	}
@@ -256,13 +257,13 @@
 	w.note(flow, "FAULT "+format, args...)
 }
 
-// spray sends a caller's packet through any balancer.
-func (w *world) spray(flow uint64, p packet) {
+// sendViaBalancer sends a caller's packet through a random balancer.
+func (w *world) sendViaBalancer(flow uint64, p packet) {
 	w.deliver(func() {
 		t := w.balancers[w.random.IntN(len(w.balancers))]
 		row := t.AppendRow(nil, flow)
 		to, ok := wire.RowAddr(row, 0)
-		// A reset for a repeated opening packet does not fit the connection of a caller that has one.
+		// A reset for a retransmitted opening packet does not fit the connection of a caller that has one.
 		if !ok && p.opening && w.flows[flow].isn == 0 {
 			w.refuse(flow, p, Decision{Reason: refusal.ReasonNoTarget})
 		}
@@ -286,7 +287,7 @@
 	}
 	d := n.arbiter.Packet(w.now, in)
 	w.actions[d.Action]++
-	w.note(in.Flow, "%v gets %v opening=%v final=%v hops=%d life=%d: %d to %v (%s)", to.Port(), in.Kind, in.Opening, in.Final, in.Hops, p.life, d.Action, d.To.Port(), d.Why)
+	w.note(in.Flow, "%v gets %v opening=%v final=%v hops=%d generation=%d: %d to %v (%s)", to.Port(), in.Kind, in.Opening, in.Final, in.Hops, p.generation, d.Action, d.To.Port(), d.Why)
 	if d.Notify.To.IsValid() {
 		w.send(n, []Message{d.Notify})
 	}
@@ -309,14 +310,14 @@
 	w.datagram(d.To, out, p)
 }
 
-// ratio is the number of decisions with the action for each flow.
+// ratio returns the number of decisions with the action per flow.
 func (w *world) ratio(a Action) float64 { return float64(w.actions[a]) / float64(len(w.flows)) }
 
 // refuse resets the caller.
 func (w *world) refuse(flow uint64, p packet, d Decision) {
 	w.refused[string(d.Reason)]++
 	c := w.flows[flow]
-	if c.life != p.life || c.ended {
+	if c.generation != p.generation || c.ended {
 		return
 	}
 	if c.isn != 0 && !c.owner.dead && c.owner.endpoints[flow] != nil {
@@ -325,7 +326,7 @@
 	c.ended, c.refuse = true, true
 }
 
-// deliverLocal is the agent's TCP.
+// deliverLocal models the agent's TCP.
 func (w *world) deliverLocal(n *node, flow uint64, p packet, d Decision) {
 	c := w.flows[flow]
 	ep := n.endpoints[flow]
@@ -338,16 +339,16 @@
 			ep = &endpoint{isn: w.random.Uint64() | 1}
 			n.endpoints[flow] = ep
 		}
-		if !ep.open && p.life == c.life {
-			w.deliver(func() { w.synAck(c, n, ep, p.life) })
+		if !ep.open && p.generation == c.generation {
+			w.deliver(func() { w.synAck(c, n, ep, p.generation) })
 		}
 		return
 	}
-	stale := p.life != c.life || c.ended
+	stale := p.generation != c.generation || c.ended
 	switch {
 	case ep == nil || ep.isn != p.isn:
 		if !stale {
-			w.fault(flow, "packet meets the wrong endpoint at %v", n.addr)
+			w.fault(flow, "packet reached the wrong endpoint at %v", n.addr)
 		}
 	case !ep.open:
 		ep.open = true
@@ -359,9 +360,9 @@
 	}
 }
 
-// deliverDatagram is the agent's UDP.
+// deliverDatagram models the agent's UDP.
 func (w *world) deliverDatagram(n *node, c *caller, p packet) {
-	if p.life != c.life || c.ended {
+	if p.generation != c.generation || c.ended {
 		if n.endpoints[c.flow] == nil {
 			w.send(n, n.arbiter.Ended(w.now, c.flow))
 		}
@@ -381,7 +382,7 @@
 }
 
 func (c *caller) ack(p packet) {
-	if p.life == c.life {
+	if p.generation == c.generation {
 		c.acked = max(c.acked, p.seq)
 	}
 }
@@ -398,58 +399,58 @@
 	}
 }
 
-// synAck reaches the caller.
-func (w *world) synAck(c *caller, n *node, ep *endpoint, life int) {
-	if c.life != life || c.ended {
+// synAck delivers a SYN-ACK to the caller.
+func (w *world) synAck(c *caller, n *node, ep *endpoint, generation int) {
+	if c.generation != generation || c.ended {
 		return
 	}
 	if c.isn == 0 {
 		c.isn, c.owner = ep.isn, n
 		w.note(c.flow, "caller established with %v", n.addr.Port())
 		c.sent = 1
-		w.data(c, life, 1, 200*time.Millisecond)
+		w.data(c, generation, 1, 200*time.Millisecond)
 		return
 	}
-	w.spray(c.flow, packet{life: life, isn: c.isn, seq: c.acked})
+	w.sendViaBalancer(c.flow, packet{generation: generation, isn: c.isn, seq: c.acked})
 }
 
-// open starts a new life of the flow.
+// open starts a new generation of the flow.
 func (w *world) open(flow uint64) *caller {
 	c := w.flows[flow]
 	if c == nil {
 		c = &caller{flow: flow}
 		w.flows[flow] = c
 	}
-	*c = caller{flow: flow, life: c.life + 1}
-	w.syn(c, c.life, time.Second)
+	*c = caller{flow: flow, generation: c.generation + 1}
+	w.syn(c, c.generation, time.Second)
 	return c
 }
 
 // openUDP starts a UDP flow.
 func (w *world) openUDP(flow uint64) {
-	c := &caller{flow: flow, life: 1, udp: true, sent: 1}
+	c := &caller{flow: flow, generation: 1, udp: true, sent: 1}
 	w.flows[flow] = c
 	w.data(c, 1, 1, 200*time.Millisecond)
 }
 
-func (w *world) syn(c *caller, life int, rto time.Duration) {
-	if c.life != life || c.ended || c.isn != 0 {
+func (w *world) syn(c *caller, generation int, rto time.Duration) {
+	if c.generation != generation || c.ended || c.isn != 0 {
 		return
 	}
-	w.spray(c.flow, packet{life: life, opening: true})
-	w.after(rto, func() { w.syn(c, life, min(2*rto, 8*time.Second)) })
+	w.sendViaBalancer(c.flow, packet{generation: generation, opening: true})
+	w.after(rto, func() { w.syn(c, generation, min(2*rto, 8*time.Second)) })
 }
 
 // data sends packet seq until it is acknowledged.
-func (w *world) data(c *caller, life, seq int, rto time.Duration) {
-	if c.life != life || c.ended || c.acked >= seq || c.owner != nil && c.owner.dead {
+func (w *world) data(c *caller, generation, seq int, rto time.Duration) {
+	if c.generation != generation || c.ended || c.acked >= seq || c.owner != nil && c.owner.dead {
 		return
 	}
-	w.spray(c.flow, packet{life: life, opening: c.udp, isn: c.isn, seq: seq})
-	w.after(rto, func() { w.data(c, life, seq, min(2*rto, time.Second)) })
+	w.sendViaBalancer(c.flow, packet{generation: generation, opening: c.udp, isn: c.isn, seq: seq})
+	w.after(rto, func() { w.data(c, generation, seq, min(2*rto, time.Second)) })
 }
 
-// close ends the flow at both sides; its late packets may still be on the way.
+// close ends the flow at both sides; late packets may still be in flight.
 func (w *world) close(c *caller) {
 	c.ended = true
 	if c.owner == nil {
