--- a/pkg/limit/budget.go
+++ b/pkg/limit/budget.go
@@ -4,13 +4,13 @@
 
 // Defaults of a Budget.
 const (
-	// DefaultRetryRatio is the number of retries that one request pays for.
+	// DefaultRetryRatio is the number of retries that one first attempt adds to the budget.
 	DefaultRetryRatio = 0.1
-	// DefaultRetryBurst is the highest number of saved retries.
+	// DefaultRetryBurst is the highest number of retries that the budget holds.
 	DefaultRetryBurst = 10
 )
 
-// Budget bounds the retries of idempotent requests to a part of the requests.
+// Budget bounds the retries of idempotent requests to a fraction of the requests.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -23,14 +23,14 @@
 	return &Budget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// Deposit counts one first attempt.
+// Deposit adds the share of one first attempt.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Withdraw pays for one retry, or returns false.
+// Withdraw takes one retry from the budget, or returns false when less than one is left.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/limit/decision.go
+++ b/pkg/limit/decision.go
@@ -6,32 +6,30 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Verdict says what becomes of a request.
+// Verdict is the limiter's decision on a request.
 type Verdict uint8
 
-// Verdicts.
 const (
 	// VerdictStart means that the request has a slot now.
 	VerdictStart Verdict = iota + 1
 	// VerdictWait means that the request waits for a slot.
 	VerdictWait
-	// VerdictRefuse means that the request has no slot and never gets one.
+	// VerdictRefuse means that the request is refused and does not wait.
 	VerdictRefuse
 )
 
-// Decision is the answer of the limiter for one request.
+// Decision is the limiter's answer for one request.
 type Decision struct {
-	// Verdict says what becomes of the request.
 	Verdict Verdict
 	// Reason is why it is refused.
 	Reason refusal.Reason
-	// Detail says what was observed, for the record.
+	// Detail is the observed load, for the refusal record.
 	Detail string
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
-	// Started is other waiting work that got a slot by this call; the shell closes its Wake.
+	// Started is other waiting work that got a slot in this call; the agent closes its Wake.
 	Started []*Work
-	// Refused is other waiting work that can no longer meet its deadline by this call; it has left the queue. The
-	// shell closes its Wake.
+	// Refused is other waiting work that left the queue in this call because it can no longer meet its deadline or the
+	// queue is too long. The agent closes its Wake.
 	Refused []*Work
 }
--- a/pkg/limit/estimate.go
+++ b/pkg/limit/estimate.go
@@ -5,12 +5,12 @@
 // estimate is a running mean and mean deviation, with the weights of the TCP retransmission timer (RFC 6298).
 type estimate struct {
 	mean, deviation time.Duration
-	known           bool
+	hasSample       bool
 }
 
 func (e *estimate) add(d time.Duration) {
-	if !e.known {
-		e.mean, e.deviation, e.known = d, d/2, true
+	if !e.hasSample {
+		e.mean, e.deviation, e.hasSample = d, d/2, true
 		return
 	}
 	diff := (d - e.mean).Abs()
@@ -18,12 +18,12 @@
 	e.mean += (d - e.mean) / 8
 }
 
-// restart forgets the past when d contradicts it.
-func (e *estimate) restart(d time.Duration) {
+// resetIfBelow discards the samples when d is below their mean; the next sample then starts the estimate anew.
+func (e *estimate) resetIfBelow(d time.Duration) {
 	if d < e.mean {
-		e.known = false
+		e.hasSample = false
 	}
 }
 
-// high returns a time that most requests stay below.
-func (e *estimate) high() time.Duration { return e.mean + 2*e.deviation }
+// upperBound returns a time that most samples are below.
+func (e *estimate) upperBound() time.Duration { return e.mean + 2*e.deviation }
--- a/pkg/limit/fair_queue.go
+++ b/pkg/limit/fair_queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// fairQueue serves the callers that have waiting work in turn, and each caller's work in order.
+// fairQueue serves the callers that have waiting work round robin, and each caller's work in FIFO order.
 type fairQueue struct {
 	callers map[string][]*Work
 	turns   []string
@@ -21,7 +21,7 @@
 	q.size++
 }
 
-// pushFront puts work back that had been next.
+// pushFront puts work at the front of the queue.
 func (q *fairQueue) pushFront(w *Work) {
 	if len(q.callers[w.Caller]) == 0 {
 		q.turns = slices.Insert(q.turns, 0, w.Caller)
@@ -38,14 +38,14 @@
 	caller := q.turns[0]
 	w := q.callers[caller][0]
 	q.turns = q.turns[1:]
-	q.take(caller, 0)
+	q.removeAt(caller, 0)
 	if len(q.callers[caller]) > 0 {
 		q.turns = append(q.turns, caller)
 	}
 	return w
 }
 
-func (q *fairQueue) take(caller string, i int) {
+func (q *fairQueue) removeAt(caller string, i int) {
 	rest := slices.Delete(q.callers[caller], i, i+1)
 	q.size--
 	if len(rest) == 0 {
@@ -55,19 +55,19 @@
 	q.callers[caller] = rest
 }
 
-// remove takes waiting work out.
+// remove removes waiting work.
 func (q *fairQueue) remove(w *Work) {
 	i := slices.Index(q.callers[w.Caller], w)
 	if i < 0 {
 		return
 	}
-	q.take(w.Caller, i)
+	q.removeAt(w.Caller, i)
 	if len(q.callers[w.Caller]) == 0 {
 		q.turns = slices.Delete(q.turns, slices.Index(q.turns, w.Caller), slices.Index(q.turns, w.Caller)+1)
 	}
 }
 
-// ahead returns how much work starts before a caller's work of the given index in the caller's own line.
+// ahead returns how much work starts before a caller's work at the given index of the caller's own queue.
 func (q *fairQueue) ahead(caller string, index int) int {
 	n := index
 	for other, line := range q.callers {
@@ -83,8 +83,8 @@
 	return q.ahead(w.Caller, slices.Index(q.callers[w.Caller], w))
 }
 
-// longest returns the last work of the caller with most waiting work.
-func (q *fairQueue) longest() *Work {
+// tailOfLongest returns the last work of the caller with the most waiting work.
+func (q *fairQueue) tailOfLongest() *Work {
 	var last *Work
 	most := 0
 	for _, caller := range q.turns {
--- a/pkg/limit/limiter.go
+++ b/pkg/limit/limiter.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Limiter decides about the requests of one target. Its methods may be called concurrently; each is one atomic step.
+// Limiter decides on the requests of one target. Its methods are safe for concurrent use; each is atomic.
 type Limiter struct {
 	o  Options
 	mu sync.Mutex
@@ -21,12 +21,12 @@
 	// paused is set while the target's data centre is evacuated.
 	paused bool
 
-	lead     estimate
-	hold     estimate
-	pause    time.Time
-	backoff  time.Duration
-	lastShed time.Time
-	trial    time.Time
+	responseTime estimate
+	hold         estimate
+	pausedUntil  time.Time
+	backoff      time.Duration
+	lastShed     time.Time
+	trial        time.Time
 }
 
 // New returns the limiter of a target.
@@ -47,7 +47,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	return l.emptyQueue()
+	return l.clearQueue()
 }
 
 // Pause stops new work until Resume, for a target whose data centre is evacuated. It returns the waiting work, which has left the queue.
@@ -55,7 +55,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = true
-	return l.emptyQueue()
+	return l.clearQueue()
 }
 
 // Resume takes new work again after Pause.
@@ -65,8 +65,8 @@
 	l.paused = false
 }
 
-// emptyQueue takes all waiting work out of the queue.
-func (l *Limiter) emptyQueue() []*Work {
+// clearQueue removes all waiting work and returns it.
+func (l *Limiter) clearQueue() []*Work {
 	var waiting []*Work
 	for w := l.queue.pop(); w != nil; w = l.queue.pop() {
 		w.state = workLeft
@@ -75,8 +75,8 @@
 	return waiting
 }
 
-// shut reports whether no new work is taken, and why.
-func (l *Limiter) shut() (refusal.Reason, bool) {
+// stopped reports whether all new work is refused, and why.
+func (l *Limiter) stopped() (refusal.Reason, bool) {
 	switch {
 	case l.closed:
 		return refusal.ReasonDraining, true
@@ -86,8 +86,8 @@
 	return "", false
 }
 
-// SetSlots changes the number of slots. It returns the waiting work that starts by it. A target that was used to the
-// full is so at once with the new number; another goes on growing.
+// SetSlots changes the number of slots and returns the waiting work that starts because of it. A limit that had reached
+// the old number is set to the new one at once; a lower limit goes on growing.
 func (l *Limiter) SetSlots(now time.Time, slots int) []*Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	return l.startReady(now)
 }
 
-// SetQueue changes the highest number of waiting requests; 0 means DefaultQueue. Requests that wait already stay.
+// SetQueue changes the highest number of waiting requests; 0 means DefaultQueue. Requests that already wait stay.
 func (l *Limiter) SetQueue(queue int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,14 +109,15 @@
 	}
 }
 
-// Admit decides about a new request.
+// Admit decides on a new request.
 func (l *Limiter) Admit(now time.Time, w *Work) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admit(now, w, false)
 }
 
-// Return takes work back that had left for another target which then did not take it; it is next in line.
+// Return takes back work that had left for another target, which did not accept it; the work is put at the front of the
+// queue.
 func (l *Limiter) Return(now time.Time, w *Work) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,24 +128,24 @@
 func (l *Limiter) TryStart(now time.Time, w *Work) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.queue.size > 0 || !l.free(now) {
+	if l.queue.size > 0 || !l.hasFreeSlot(now) {
 		return l.refuse(now, w, refusal.ReasonAllFull)
 	}
 	return l.admit(now, w, false)
 }
 
 func (l *Limiter) admit(now time.Time, w *Work, front bool) Decision {
-	if reason, shut := l.shut(); shut {
+	if reason, stopped := l.stopped(); stopped {
 		return l.refuse(now, w, reason)
 	}
-	if l.queue.size == 0 && l.free(now) && l.startAtOnce(now, w) {
+	if l.queue.size == 0 && l.hasFreeSlot(now) && l.startAtOnce(now, w) {
 		return Decision{Verdict: VerdictStart}
 	}
 	ahead := 0
 	if !front {
 		ahead = l.queue.ahead(w.Caller, len(l.queue.callers[w.Caller]))
 	}
-	if reason, bad := l.hopeless(now, w, ahead); bad {
+	if reason, bad := l.refuseReason(now, w, ahead); bad {
 		return l.refuse(now, w, reason)
 	}
 	w.state = workWaiting
@@ -160,10 +161,10 @@
 	return d
 }
 
-// startAtOnce gives the work a free slot when it can be answered in time, or when a trial is due.
+// startAtOnce gives the work a free slot when it can meet its deadline, or when a trial is due.
 func (l *Limiter) startAtOnce(now time.Time, w *Work) bool {
-	if !l.inTime(now, w, 0) {
-		if !l.trialDue(now) {
+	if !l.meetsDeadline(now, w, 0) {
+		if !l.isTrialDue(now) {
 			return false
 		}
 		w.trial = true
@@ -173,13 +174,13 @@
 	return true
 }
 
-// trialDue reports whether an idle target that seems too slow should get one request, so that its recovery is seen.
-func (l *Limiter) trialDue(now time.Time) bool {
+// isTrialDue reports whether an idle target that seems too slow should get one request, to detect its recovery.
+func (l *Limiter) isTrialDue(now time.Time) bool {
 	return len(l.running) == 0 && now.Sub(l.trial) >= trialInterval
 }
 
-// Poll looks again at waiting work: it may be refused because its deadline can no longer be met, or started because a
-// pause is over.
+// Poll reevaluates waiting work: it may be refused because its deadline can no longer be met, or started because a
+// pause has ended.
 func (l *Limiter) Poll(now time.Time, w *Work) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,11 +189,11 @@
 		return Decision{Verdict: VerdictStart, Started: started}
 	}
 	if w.state != workWaiting {
-		d := l.refuse(now, w, l.leftReason())
+		d := l.refuse(now, w, l.dequeueReason())
 		d.Started = started
 		return d
 	}
-	reason, bad := l.hopeless(now, w, l.queue.position(w))
+	reason, bad := l.refuseReason(now, w, l.queue.position(w))
 	if !bad {
 		return Decision{Verdict: VerdictWait, Started: started}
 	}
@@ -202,15 +203,15 @@
 	return d
 }
 
-// leftReason is why work left the queue without its own doing.
-func (l *Limiter) leftReason() refusal.Reason {
-	if reason, shut := l.shut(); shut {
+// dequeueReason returns why work was removed from the queue by another call.
+func (l *Limiter) dequeueReason() refusal.Reason {
+	if reason, stopped := l.stopped(); stopped {
 		return reason
 	}
 	return refusal.ReasonDeadline
 }
 
-// Leave takes waiting work out of the queue. It returns false when the work has started.
+// Leave removes waiting work from the queue. It returns false when the work has started.
 func (l *Limiter) Leave(w *Work) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,7 +225,8 @@
 	return true
 }
 
-// Done gives the slot back, learns from the outcome, and returns the waiting work that starts now.
+// Done releases the slot, updates the estimates and the limit from the outcome, and returns the waiting work that
+// starts now.
 func (l *Limiter) Done(now time.Time, w *Work, o Outcome) []*Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,22 +235,23 @@
 	switch o.Result {
 	case ResultAnswered:
 		if w.trial {
-			l.hold.restart(now.Sub(w.since))
-			l.lead.restart(o.ResponseTime)
+			l.hold.resetIfBelow(now.Sub(w.since))
+			l.responseTime.resetIfBelow(o.ResponseTime)
 		}
-		l.answered(now.Sub(w.since), o.ResponseTime)
+		l.recordAnswer(now.Sub(w.since), o.ResponseTime)
 	case ResultShed:
-		l.shed(now, o.RetryAfter)
+		l.recordShed(now, o.RetryAfter)
 	case ResultFailed:
-		l.failed(now)
+		l.recordFailure(now)
 	}
 	return l.startReady(now)
 }
 
-// answered raises the limit: by one for each answer of a cold target, then by one for each round of answers.
-func (l *Limiter) answered(hold, lead time.Duration) {
+// recordAnswer raises the limit: by one for each answer of a cold target, otherwise by about one for each round of
+// answers.
+func (l *Limiter) recordAnswer(hold, responseTime time.Duration) {
 	l.hold.add(hold)
-	l.lead.add(lead)
+	l.responseTime.add(responseTime)
 	l.backoff = 0
 	step := 1 / l.limit
 	if l.doubling {
@@ -260,8 +263,8 @@
 	}
 }
 
-// shed honours the time that the target asks for. Several shed answers of one round lower the limit once.
-func (l *Limiter) shed(now time.Time, after time.Duration) {
+// recordShed pauses the target for the time that it asks for. Several shed requests of one round lower the limit once.
+func (l *Limiter) recordShed(now time.Time, after time.Duration) {
 	l.doubling = false
 	if now.Sub(l.lastShed) >= max(l.hold.mean, firstBackoff) {
 		l.limit = max(1, l.limit*decreaseFactor)
@@ -273,8 +276,8 @@
 	l.pauseFor(now, after)
 }
 
-func (l *Limiter) failed(now time.Time) {
-	if now.Before(l.pause) {
+func (l *Limiter) recordFailure(now time.Time) {
+	if now.Before(l.pausedUntil) {
 		return
 	}
 	l.backoff = min(max(2*l.backoff, firstBackoff), maxPause)
@@ -285,13 +288,13 @@
 
 func (l *Limiter) pauseFor(now time.Time, d time.Duration) {
 	until := now.Add(min(d, maxPause))
-	if until.After(l.pause) {
-		l.pause = until
+	if until.After(l.pausedUntil) {
+		l.pausedUntil = until
 	}
 }
 
-func (l *Limiter) free(now time.Time) bool {
-	return !l.closed && !now.Before(l.pause) && len(l.running) < int(l.limit)
+func (l *Limiter) hasFreeSlot(now time.Time) bool {
+	return !l.closed && !now.Before(l.pausedUntil) && len(l.running) < int(l.limit)
 }
 
 func (l *Limiter) start(now time.Time, w *Work) {
@@ -300,10 +303,10 @@
 	l.running[w] = struct{}{}
 }
 
-// startReady fills the free slots from the queue.
+// startReady starts waiting work while slots are free.
 func (l *Limiter) startReady(now time.Time) []*Work {
 	var started []*Work
-	for l.queue.size > 0 && l.free(now) {
+	for l.queue.size > 0 && l.hasFreeSlot(now) {
 		w := l.queue.pop()
 		l.start(now, w)
 		started = append(started, w)
@@ -311,15 +314,16 @@
 	return started
 }
 
-// displace refuses the work that the newcomer pushed beyond its deadline: the last of the longest line.
+// displace refuses the work at the end of the longest queue while the newcomer makes it miss its deadline or the queue
+// exceeds its limit.
 func (l *Limiter) displace(now time.Time, newcomer *Work) []*Work {
 	var refused []*Work
 	for {
-		w := l.queue.longest()
+		w := l.queue.tailOfLongest()
 		if w == nil || w == newcomer {
 			return refused
 		}
-		if _, bad := l.hopeless(now, w, l.queue.position(w)); !bad && l.queue.size <= l.o.Queue {
+		if _, bad := l.refuseReason(now, w, l.queue.position(w)); !bad && l.queue.size <= l.o.Queue {
 			return refused
 		}
 		l.queue.remove(w)
@@ -328,39 +332,41 @@
 	}
 }
 
-// hopeless reports that work with so much ahead of it should not wait, and why.
-func (l *Limiter) hopeless(now time.Time, w *Work, ahead int) (refusal.Reason, bool) {
-	if reason, shut := l.shut(); shut {
+// refuseReason returns whether work with the given amount of work ahead of it should be refused instead of waiting, and
+// why.
+func (l *Limiter) refuseReason(now time.Time, w *Work, ahead int) (refusal.Reason, bool) {
+	if reason, stopped := l.stopped(); stopped {
 		return reason, true
 	}
 	if ahead >= l.o.Queue {
 		return refusal.ReasonQueueFull, true
 	}
-	if l.inTime(now, w, l.wait(now, ahead)) {
+	if l.meetsDeadline(now, w, l.estimatedWait(now, ahead)) {
 		return "", false
 	}
 	return refusal.ReasonDeadline, true
 }
 
-// inTime reports whether work that starts after wait can be expected to be answered in time.
-func (l *Limiter) inTime(now time.Time, w *Work, wait time.Duration) bool {
+// meetsDeadline reports whether work that starts after wait can be expected to be answered before its deadline.
+func (l *Limiter) meetsDeadline(now time.Time, w *Work, wait time.Duration) bool {
 	if l.o.Unbounded {
 		return true
 	}
-	return !now.Add(wait + l.lead.high()).After(w.Deadline)
+	return !now.Add(wait + l.responseTime.upperBound()).After(w.Deadline)
 }
 
-// wait estimates the time until work with so much ahead of it starts.
-func (l *Limiter) wait(now time.Time, ahead int) time.Duration {
+// estimatedWait estimates the time until work with the given amount of work ahead of it starts.
+func (l *Limiter) estimatedWait(now time.Time, ahead int) time.Duration {
 	slots := max(int(l.limit), 1)
-	wait := l.holdTime(now) * time.Duration(ahead+1) / time.Duration(slots)
+	estimatedWait := l.holdTime(now) * time.Duration(ahead+1) / time.Duration(slots)
 	if len(l.running) < slots {
-		wait = l.holdTime(now) * time.Duration(ahead) / time.Duration(slots)
+		estimatedWait = l.holdTime(now) * time.Duration(ahead) / time.Duration(slots)
 	}
-	return wait + max(l.pause.Sub(now), 0)
+	return estimatedWait + max(l.pausedUntil.Sub(now), 0)
 }
 
-// holdTime is the observed time for which a request holds a slot. Requests that have run longer count as observed.
+// holdTime returns the mean time for which a request holds a slot. It is at least the mean age of the running requests,
+// so that a stalled target is noticed before it answers.
 func (l *Limiter) holdTime(now time.Time) time.Duration {
 	if len(l.running) == 0 {
 		return l.hold.mean
@@ -379,25 +385,26 @@
 		Reason:     reason,
 		RetryAfter: l.retryAfter(now, w),
 		Detail: fmt.Sprintf("%d of %d slots busy, %d waiting, %v to answer", len(l.running), int(l.limit), l.queue.size,
-			l.lead.mean.Round(time.Millisecond)),
+			l.responseTime.mean.Round(time.Millisecond)),
 	}
 }
 
-// retryAfter estimates when the queue is short enough for an equal request, and spreads the callers over half of it.
+// retryAfter estimates when an equal request could meet its deadline, and adds up to half of that at random to spread
+// the retries.
 func (l *Limiter) retryAfter(now time.Time, w *Work) time.Duration {
 	if l.closed {
 		return idleRetryAfter
 	}
-	excess := l.wait(now, l.queue.size) + l.lead.high() - w.Deadline.Sub(now)
-	after := max(excess, l.pause.Sub(now), l.hold.mean, minRetryAfter)
+	excess := l.estimatedWait(now, l.queue.size) + l.responseTime.upperBound() - w.Deadline.Sub(now)
+	after := max(excess, l.pausedUntil.Sub(now), l.hold.mean, minRetryAfter)
 	return after + time.Duration(l.o.Rand.Int64N(int64(after)/2+1))
 }
 
-// Load is what an agent tells its peers about its target. All of it is observed by the agent.
+// Load is what an agent reports to its peers about its target. All of it is observed by the agent.
 type Load struct {
 	// Busy is the number of requests at the target.
 	Busy int
-	// Limit is the number of requests that may be at the target; 0 when it takes none now.
+	// Limit is the number of concurrent requests that the target may have; 0 when it accepts none now.
 	Limit int
 	// Waiting is the number of waiting requests.
 	Waiting int
@@ -410,7 +417,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	load := Load{Busy: len(l.running), Waiting: l.queue.size, Hold: l.hold.mean}
-	if !l.closed && !now.Before(l.pause) {
+	if !l.closed && !now.Before(l.pausedUntil) {
 		load.Limit = int(l.limit)
 	}
 	return load
--- a/pkg/limit/limiter_test.go
+++ b/pkg/limit/limiter_test.go
@@ -21,8 +21,8 @@
 	return &Work{Caller: caller, Deadline: start.Add(after)}
 }
 
-// learn lets the limiter observe requests that took d.
-func learn(t *testing.T, l *Limiter, d time.Duration) {
+// recordResponses makes the limiter observe requests that took d.
+func recordResponses(t *testing.T, l *Limiter, d time.Duration) {
 	t.Helper()
 	for range 50 {
 		w := work("teacher", time.Hour)
@@ -31,9 +31,9 @@
 	}
 }
 
-func TestQueueHoldsOnlyWhatCanFinish(t *testing.T) {
+func TestQueueAcceptsOnlyWorkThatCanMeetItsDeadline(t *testing.T) {
 	l := newTestLimiter(1)
-	learn(t, l, 100*time.Millisecond)
+	recordResponses(t, l, 100*time.Millisecond)
 	counts := map[Verdict]int{}
 	for range 20 {
 		counts[l.Admit(start, work("a", time.Second)).Verdict]++
@@ -42,9 +42,9 @@
 	require.InDelta(t, 9, counts[VerdictWait], 1)
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	l := newTestLimiter(1)
-	learn(t, l, 100*time.Millisecond)
+	recordResponses(t, l, 100*time.Millisecond)
 	var d Decision
 	for range 20 {
 		d = l.Admit(start, work("a", time.Second))
@@ -69,9 +69,9 @@
 	require.Same(t, modest, second[0])
 }
 
-func TestModestCallerDisplacesTheLongestLine(t *testing.T) {
+func TestModestCallerDisplacesLongestQueue(t *testing.T) {
 	l := newTestLimiter(1)
-	learn(t, l, 100*time.Millisecond)
+	recordResponses(t, l, 100*time.Millisecond)
 	for range 20 {
 		l.Admit(start, work("greedy", time.Second))
 	}
@@ -83,7 +83,7 @@
 
 func TestWaitingWorkIsRefusedWhenItsDeadlineCannotBeMet(t *testing.T) {
 	l := newTestLimiter(1)
-	learn(t, l, 100*time.Millisecond)
+	recordResponses(t, l, 100*time.Millisecond)
 	l.Admit(start, work("a", time.Hour))
 	w := work("a", 300*time.Millisecond)
 	require.Equal(t, VerdictWait, l.Admit(start, w).Verdict)
@@ -93,7 +93,7 @@
 	require.Equal(t, 0, l.Load(start).Waiting)
 }
 
-func TestLeaveHasOneTruth(t *testing.T) {
+func TestLeaveFailsOnceWorkHasStarted(t *testing.T) {
 	l := newTestLimiter(1)
 	first, second := work("a", time.Hour), work("a", time.Hour)
 	l.Admit(start, first)
@@ -103,7 +103,7 @@
 	require.False(t, l.Leave(second))
 }
 
-func TestSheddingTargetIsLeftAloneForTheTimeItAsks(t *testing.T) {
+func TestSheddingTargetGetsNoRequestBeforeRetryAfter(t *testing.T) {
 	l := newTestLimiter(4)
 	w := work("a", time.Hour)
 	l.Admit(start, w)
@@ -129,7 +129,7 @@
 
 func TestStalledTargetIsObservedBeforeItAnswers(t *testing.T) {
 	l := newTestLimiter(1)
-	learn(t, l, 10*time.Millisecond)
+	recordResponses(t, l, 10*time.Millisecond)
 	l.Admit(start, work("a", time.Hour))
 	now := start.Add(5 * time.Second)
 	d := l.Admit(now, &Work{Caller: "b", Deadline: now.Add(time.Second)})
@@ -138,7 +138,7 @@
 
 func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	l := newTestLimiter(2)
-	learn(t, l, 10*time.Second)
+	recordResponses(t, l, 10*time.Second)
 	trial := work("a", time.Second)
 	require.Equal(t, VerdictStart, l.Admit(start, trial).Verdict)
 	require.Equal(t, VerdictRefuse, l.Admit(start, work("a", time.Second)).Verdict)
@@ -161,7 +161,7 @@
 	require.Equal(t, []*Work{third}, l.Done(start, second, Outcome{Result: ResultIgnored}))
 }
 
-func TestCloseReturnsTheWaiting(t *testing.T) {
+func TestCloseReturnsWaitingWork(t *testing.T) {
 	l := newTestLimiter(1)
 	running, waiting := work("a", time.Hour), work("b", time.Hour)
 	l.Admit(start, running)
@@ -172,7 +172,7 @@
 	require.Equal(t, refusal.ReasonDraining, l.Admit(start, work("a", time.Hour)).Reason)
 }
 
-func TestPauseReturnsTheWaitingAndEnds(t *testing.T) {
+func TestPauseReturnsWaitingWorkUntilResume(t *testing.T) {
 	l := newTestLimiter(1)
 	running, waiting := work("a", time.Hour), work("b", time.Hour)
 	l.Admit(start, running)
@@ -185,7 +185,7 @@
 	require.Equal(t, VerdictStart, l.Admit(start, work("a", time.Hour)).Verdict)
 	l.Close()
 	l.Resume()
-	require.Equal(t, refusal.ReasonDraining, l.Admit(start, work("a", time.Hour)).Reason, "a target that leaves stays closed")
+	require.Equal(t, refusal.ReasonDraining, l.Admit(start, work("a", time.Hour)).Reason, "a closed limiter stays closed after Resume")
 }
 
 func TestRunningNeverExceedsTheSlots(t *testing.T) {
--- a/pkg/limit/options.go
+++ b/pkg/limit/options.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Defaults and bounds.
 const (
-	// DefaultQueue bounds the waiting requests in memory; the deadlines usually bound them lower.
+	// DefaultQueue bounds the waiting requests to limit memory; the deadlines usually bound them lower.
 	DefaultQueue = 256
-	// maxPause is the longest time for which a shedding or failing target is left alone.
+	// maxPause is the longest time for which a shedding or failing target gets no requests.
 	maxPause = 5 * time.Second
-	// firstBackoff is the first pause after a failed connection; it doubles with each failure.
+	// firstBackoff is the first pause after a failed connection, which doubles with each failure; also the pause of a
+	// shedding target that asks for none.
 	firstBackoff = 100 * time.Millisecond
-	// minRetryAfter is the shortest time after which a refused caller is asked back.
+	// minRetryAfter is the shortest time after which a refused caller is asked to retry.
 	minRetryAfter = 50 * time.Millisecond
-	// idleRetryAfter is what a caller is told when the target is unusable for no known time.
+	// idleRetryAfter is the time after which a caller is asked to retry when the limiter is closed.
 	idleRetryAfter = time.Second
-	// trialInterval is how often a target that seems too slow for the deadlines gets one request to learn from.
+	// trialInterval is the minimum time between single requests to a target that seems too slow for the deadlines.
 	trialInterval = time.Second
 	// decreaseFactor is applied to the limit when the target sheds.
 	decreaseFactor = 0.7
@@ -29,10 +29,10 @@
 	Slots int
 	// Queue is the highest number of waiting requests; 0 means DefaultQueue.
 	Queue int
-	// Cold is true for a target that has just started: its limit begins at 1 and doubles while it answers well.
+	// Cold is true for a target that has just started: its limit begins at 1 and doubles each round while it answers.
 	Cold bool
-	// Unbounded switches the estimate of deadlines off; it is for measured comparisons only.
+	// Unbounded disables the deadline estimate; it is for measured comparisons only.
 	Unbounded bool
-	// Rand spreads the times at which callers are asked back.
+	// Rand adds jitter to RetryAfter.
 	Rand *rand.Rand
 }
--- a/pkg/limit/work.go
+++ b/pkg/limit/work.go
@@ -13,11 +13,11 @@
 
 // Work is one request at the limiter.
 type Work struct {
-	// Caller identifies who is served fairly: the caller's IP address.
+	// Caller is the key of fair queueing: the caller's IP address.
 	Caller string
-	// Deadline is when the answer must have begun.
+	// Deadline is the time by which the answer must have begun.
 	Deadline time.Time
-	// Wake is closed by the shell when the limiter names the work in a list; Poll then tells its verdict.
+	// Wake is closed by the agent when the limiter returns the work in a list; Poll then returns its verdict.
 	Wake chan struct{}
 
 	state workState
--- a/pkg/placement/next_table_test.go
+++ b/pkg/placement/next_table_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// A table that takes the rows of an earlier one must be the table that is made anew, whatever changed in between.
+// NextTable must return the same table as NewTable, whatever changed since the previous one.
 func TestNextTableIsTheNewTable(t *testing.T) {
 	kept := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,7 +48,7 @@
 		joined := NewJoinedTable(s)
 		require.Equal(t, NewTable(s), NextTable(joined, s))
 	})
-	require.Positive(t, kept, "rows are kept over changes that move none")
+	require.Positive(t, kept, "rows are reused when no row changes")
 }
 
 // changed returns another service, often one that differs in a single target.
--- a/pkg/placement/table.go
+++ b/pkg/placement/table.go
@@ -30,7 +30,7 @@
 	return int(r.Index[0])
 }
 
-// Table holds the rows of one service for one snapshot. It never changes and may be read by several goroutines.
+// Table holds the rows of one service for one snapshot. It is immutable and safe for concurrent use.
 type Table struct {
 	service *view.Service
 	addrs   []byte
@@ -46,8 +46,8 @@
 	return t
 }
 
-// NextTable returns the same table as NewTable(s). It takes the rows of previous, the table of an earlier snapshot, when
-// the ranked targets are the same, which saves nearly all of the work; previous may be nil.
+// NextTable returns the same table as NewTable(s). It reuses the rows of previous, the table of an earlier snapshot,
+// when the ranked targets are the same, which avoids nearly all of the work; previous may be nil.
 func NextTable(previous *Table, s *view.Service) *Table {
 	t := newTable(s, false)
 	if previous != nil && t.sameRows(previous) {
@@ -58,14 +58,14 @@
 	return t
 }
 
-// NewJoinedTable ranks all targets of s, also the joining ones: the table that is in force once they are active.
+// NewJoinedTable ranks all targets of s, including the joining ones: the table that is in force once they are active.
 func NewJoinedTable(s *view.Service) *Table {
 	t := newTable(s, true)
 	t.rank()
 	return t
 }
 
-// newTable returns a table without rows; joined ranks the joining targets too.
+// newTable returns a table without rows; joined includes the joining targets in the ranking.
 func newTable(s *view.Service, joined bool) *Table {
 	t := &Table{service: s, addrs: make([]byte, 0, len(s.Targets)*wire.AddrSize), joined: joined}
 	for i := range s.Targets {
@@ -74,7 +74,7 @@
 	return t
 }
 
-// rank fills the rows.
+// rank computes the rows.
 func (t *Table) rank() {
 	var members []ranked
 	for i, target := range t.service.Targets {
@@ -94,7 +94,7 @@
 	return t.joined || target.State != view.StateJoining
 }
 
-// sameRows reports whether the ranking has the same input as that of other.
+// sameRows reports whether both tables have the same input to their ranking.
 func (t *Table) sameRows(other *Table) bool {
 	a, b := t.service.Targets, other.service.Targets
 	if t.joined != other.joined || len(a) != len(b) {
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Service returns the snapshot that the table was made of.
+// Service returns the snapshot from which the table was built.
 func (t *Table) Service() *view.Service { return t.service }
 
 // Size returns the number of targets in each row.
@@ -129,7 +129,8 @@
 	return int(t.slot(flow)[0])
 }
 
-// FirstAgent returns the packet address of the agent that arbitrates the flow, or the zero value.
+// FirstAgent returns the packet address of the agent that arbitrates the flow, or the zero value when the service has
+// no target.
 func (t *Table) FirstAgent(flow uint64) netip.AddrPort {
 	i := t.First(flow)
 	if i < 0 {
@@ -152,7 +153,8 @@
 	return old == nil || t.FirstAgent(flow) != old.FirstAgent(flow)
 }
 
-// ArbitersFor returns, sorted, the indexes of the targets that are first in a row in which target self stands later.
+// ArbitersFor returns, sorted, the indexes of the targets that are first in a row in which target self is at a later
+// position.
 func (t *Table) ArbitersFor(self int) []int {
 	seen := make(map[int]bool)
 	for at := 0; at < len(t.rows); at += t.size {
@@ -169,7 +171,7 @@
 	return mates
 }
 
-// Bytes returns the memory that the table holds, in bytes.
+// Bytes returns the memory size of the table in bytes.
 func (t *Table) Bytes() int {
 	return 2*cap(t.rows) + cap(t.addrs)
 }
--- a/pkg/placement/table_test.go
+++ b/pkg/placement/table_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A change of one target moves no row in which the target does not stand.
+// A change of one target moves no row that does not contain the target.
 func TestRemovalMovesOnlyItsRows(t *testing.T) {
 	s := service(11)
 	before := NewTable(s)
@@ -55,7 +55,7 @@
 	for flow := range uint64(slots) {
 		if before.FirstAgent(flow) == s.Targets[3].Agent {
 			moved++
-			require.Equal(t, s.Targets[before.Row(flow).Index[1]].Agent, after.FirstAgent(flow), "the second becomes first")
+			require.Equal(t, s.Targets[before.Row(flow).Index[1]].Agent, after.FirstAgent(flow), "the second agent of the row becomes the first")
 			continue
 		}
 		require.False(t, after.MovedFrom(before, flow))
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestMates(t *testing.T) {
+func TestArbitersFor(t *testing.T) {
 	table := NewTable(service(5))
 	require.Equal(t, []int{0, 1, 3, 4}, table.ArbitersFor(2))
 	require.Empty(t, NewTable(service(1)).ArbitersFor(0))
@@ -124,7 +124,7 @@
 	}
 }
 
-// BenchmarkMemory holds the tables of 680 services with 5 targets and one with 500.
+// BenchmarkMemory measures the tables of 680 services with 5 targets and one with 500.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
