--- a/pkg/ticket/book.go
+++ b/pkg/ticket/book.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Book is the memory of one incarnation of an agent about the tickets that it issued. Its methods may be called
-// concurrently; each is one atomic step.
+// Book holds the tickets that one incarnation of an agent issued. Its methods are safe for concurrent use; each is
+// atomic.
 type Book struct {
 	o    Options
 	mu   sync.Mutex
 	ring ring
-	// pending holds the entries that left the ring while a submission still held them.
-	pending map[uint64]*entry
+	// held holds the entries that left the ring while a submission still holds their ticket.
+	held map[uint64]*entry
 }
 
 // NewBook returns an empty book.
 func NewBook(o Options) *Book {
-	return &Book{o: o.withDefaults(), ring: newRing(), pending: make(map[uint64]*entry)}
+	return &Book{o: o.withDefaults(), ring: newRing(), held: make(map[uint64]*entry)}
 }
 
-// Issue makes n tickets, or returns ErrFull and makes none.
+// Issue issues n tickets, or returns ErrFull and issues none.
 func (b *Book) Issue(now time.Time, n int) ([]Ticket, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget(now)
-	if b.ring.size+len(b.pending)+n > b.o.Max {
+	b.evictExpired(now)
+	if b.ring.size+len(b.held)+n > b.o.Max {
 		return nil, ErrFull
 	}
 	tickets := make([]Ticket, n)
@@ -48,30 +48,30 @@
 	}
 }
 
-// forget drops the entries whose retention is over. One that a submission still holds is kept until it ends.
-func (b *Book) forget(now time.Time) {
+// evictExpired removes the entries whose retention has ended. One that a submission still holds is kept until it ends.
+func (b *Book) evictExpired(now time.Time) {
 	limit := now.Add(-b.o.Retention).UnixMilli()
 	for b.ring.size > 0 {
 		e := b.ring.at(b.ring.first)
 		if e.expiry >= limit {
 			return
 		}
-		if e.pending() {
+		if e.held() {
 			kept := *e
-			b.pending[b.ring.first] = &kept
+			b.held[b.ring.first] = &kept
 		}
 		b.ring.pop()
 	}
 }
 
-// find returns the entry of a ticket, or nil and the state that follows from its absence.
+// find returns the entry of a ticket and its state, or nil and the state that follows from its absence.
 func (b *Book) find(t Ticket) (*entry, State) {
 	if t.Issuer != b.o.Issuer || t.Incarnation != b.o.Incarnation || t.Sequence == 0 || t.Sequence >= b.ring.next() {
 		return nil, StateForeign
 	}
 	e := b.ring.at(t.Sequence)
 	if e == nil {
-		e = b.pending[t.Sequence]
+		e = b.held[t.Sequence]
 	}
 	if e == nil {
 		return nil, StateForgotten
@@ -82,7 +82,7 @@
 	return e, e.state
 }
 
-// expire ends a ticket that nobody submitted in time.
+// expire marks a ticket that was not submitted in time as expired.
 func (e *entry) expire(now time.Time) {
 	if e.state == StateIssued && now.UnixMilli() >= e.expiry {
 		e.state = StateExpired
@@ -101,7 +101,7 @@
 	return e.result()
 }
 
-// result tells the state and what belongs to it.
+// result returns the state and the values that belong to it.
 func (e *entry) result() Result {
 	r := Result{State: e.state, Status: int(e.status)}
 	if e.state == StateCancelled {
@@ -110,7 +110,7 @@
 	return r
 }
 
-// Spend submits a ticket for the request with the given fingerprint. Only one submission of a ticket ever wins.
+// Spend submits a ticket for the request with the given fingerprint. At most one submission of a ticket wins.
 func (b *Book) Spend(now time.Time, t Ticket, fingerprint uint64) Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,24 +128,26 @@
 	return Result{State: e.state, Status: int(e.status), DifferentRequest: other}
 }
 
-// Start makes a waiting ticket running. It returns false when a cancel came first; the work must then not be sent.
-func (b *Book) Start(t Ticket) bool { return b.move(t, StateRunning, 0, StateWaiting) }
+// Start changes a waiting ticket to running. It returns false when a cancel came first; the work must then not be sent.
+func (b *Book) Start(t Ticket) bool { return b.transition(t, StateRunning, 0, StateWaiting) }
 
-// Return makes a running ticket waiting again, for work that was proved not to have begun.
-func (b *Book) Return(t Ticket) bool { return b.move(t, StateWaiting, 0, StateRunning) }
+// Return changes a running ticket back to waiting, for work that is proved not to have begun.
+func (b *Book) Return(t Ticket) bool { return b.transition(t, StateWaiting, 0, StateRunning) }
 
 // Finish records that a target answered with the given HTTP status.
-func (b *Book) Finish(t Ticket, status int) bool { return b.move(t, StateRan, status, StateRunning) }
+func (b *Book) Finish(t Ticket, status int) bool {
+	return b.transition(t, StateRan, status, StateRunning)
+}
 
-// Lose records that the outcome of started work can't be known.
-func (b *Book) Lose(t Ticket) bool { return b.move(t, StateLost, 0, StateRunning) }
+// Lose records that the outcome of started work cannot be known.
+func (b *Book) Lose(t Ticket) bool { return b.transition(t, StateLost, 0, StateRunning) }
 
-// Withdraw records that the work of a waiting or running ticket was proved not to have run.
+// Withdraw records that the work of a waiting or running ticket is proved not to have run.
 func (b *Book) Withdraw(now time.Time, t Ticket) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, _ := b.find(t)
-	if e == nil || !e.pending() {
+	if e == nil || !e.held() {
 		return false
 	}
 	b.cancel(t.Sequence, e, now)
@@ -157,8 +159,8 @@
 	b.set(seq, e, StateCancelled, 0)
 }
 
-// Cancel ends a ticket that is not running, and returns the state after the call: StateCancelled when the work never
-// runs, StateRunning when the start came first.
+// Cancel cancels a ticket that is not running, and returns the state after the call: StateCancelled when the work never
+// runs, StateRunning when it was started first.
 func (b *Book) Cancel(now time.Time, t Ticket) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,8 +175,8 @@
 	return e.state
 }
 
-// move changes the state when it is one of from.
-func (b *Book) move(t Ticket, to State, status int, from ...State) bool {
+// transition changes the state when the present one is among from.
+func (b *Book) transition(t Ticket, to State, status int, from ...State) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, state := b.find(t)
@@ -193,14 +195,14 @@
 func (b *Book) set(seq uint64, e *entry, to State, status int) {
 	e.state = to
 	e.status = uint16(status)
-	if !e.pending() {
-		delete(b.pending, seq)
+	if !e.held() {
+		delete(b.held, seq)
 	}
 }
 
-// Size returns the number of tickets that are remembered.
+// Size returns the number of tickets in memory.
 func (b *Book) Size() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ring.size + len(b.pending)
+	return b.ring.size + len(b.held)
 }
--- a/pkg/ticket/doc.go
+++ b/pkg/ticket/doc.go
@@ -1,5 +1,5 @@
-// Package ticket keeps the truth about work that may run at most once.
+// Package ticket records the state of work that may run at most once.
 //
-// An agent issues tickets and keeps them in a Book in its memory. A ticket is good only there: the book of another
-// incarnation never runs it. The package does no input or output and reads no clock.
+// An agent issues tickets and keeps them in a Book in memory. A ticket is valid only there: the book of another
+// incarnation never runs it. The package does no I/O and reads no clock.
 package ticket
--- a/pkg/ticket/entry.go
+++ b/pkg/ticket/entry.go
@@ -1,6 +1,6 @@
 package ticket
 
-// entry is what the book keeps of one ticket: 40 bytes.
+// entry is the book's state of one ticket: 40 bytes.
 type entry struct {
 	secret      uint64
 	fingerprint uint64
@@ -10,7 +10,7 @@
 	state       State
 }
 
-// pending reports whether a submission still holds the ticket.
-func (e *entry) pending() bool {
+// held reports whether a submission still holds the ticket.
+func (e *entry) held() bool {
 	return e.state == StateWaiting || e.state == StateRunning
 }
--- a/pkg/ticket/history_test.go
+++ b/pkg/ticket/history_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bookAPI is what the history exercises.
+// bookAPI is the set of methods that the histories call.
 type bookAPI interface {
 	Spend(now time.Time, t Ticket, fingerprint uint64) Result
 	Start(t Ticket) bool
@@ -21,23 +21,23 @@
 	Look(now time.Time, t Ticket) Result
 }
 
-// step is one call on one ticket; ended is the state that Cancel and Look tell.
-type step struct {
+// operation is one call on one ticket.
+type operation struct {
 	ticket uint64
 	call   string
 }
 
-type seen struct {
+type observed struct {
 	ok    bool
 	state State
 }
 
-// model is the life of one ticket, one step at a time.
+// model is the sequential specification of one ticket.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[uint64][]porcupine.Operation)
 		for _, op := range history {
-			k := op.Input.(step).ticket
+			k := op.Input.(operation).ticket
 			parts[k] = append(parts[k], op)
 		}
 		var list [][]porcupine.Operation
@@ -48,19 +48,19 @@
 	},
 	Init: func() any { return StateIssued },
 	Step: func(state, input, output any) (bool, any) {
-		s, o := state.(State), output.(seen)
+		s, o := state.(State), output.(observed)
 		next, ok := s, false
-		switch input.(step).call {
+		switch input.(operation).call {
 		case "spend":
-			next, ok = moved(s, StateWaiting, StateIssued)
+			next, ok = transition(s, StateWaiting, StateIssued)
 		case "start":
-			next, ok = moved(s, StateRunning, StateWaiting)
+			next, ok = transition(s, StateRunning, StateWaiting)
 		case "finish":
-			next, ok = moved(s, StateRan, StateRunning)
+			next, ok = transition(s, StateRan, StateRunning)
 		case "withdraw":
-			next, ok = moved(s, StateCancelled, StateWaiting, StateRunning)
+			next, ok = transition(s, StateCancelled, StateWaiting, StateRunning)
 		case "cancel":
-			next, _ = moved(s, StateCancelled, StateIssued, StateWaiting)
+			next, _ = transition(s, StateCancelled, StateIssued, StateWaiting)
 			return o.state == next, next
 		case "look":
 			return o.state == s, s
@@ -70,7 +70,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-func moved(s, to State, from ...State) (State, bool) {
+func transition(s, to State, from ...State) (State, bool) {
 	for _, f := range from {
 		if s == f {
 			return to, true
@@ -79,23 +79,23 @@
 	return s, false
 }
 
-func apply(b bookAPI, t Ticket, call string) seen {
+func apply(b bookAPI, t Ticket, call string) observed {
 	switch call {
 	case "spend":
-		return seen{ok: b.Spend(start, t, 1).Won}
+		return observed{ok: b.Spend(start, t, 1).Won}
 	case "start":
-		return seen{ok: b.Start(t)}
+		return observed{ok: b.Start(t)}
 	case "finish":
-		return seen{ok: b.Finish(t, 200)}
+		return observed{ok: b.Finish(t, 200)}
 	case "withdraw":
-		return seen{ok: b.Withdraw(start, t)}
+		return observed{ok: b.Withdraw(start, t)}
 	case "cancel":
-		return seen{state: b.Cancel(start, t)}
+		return observed{state: b.Cancel(start, t)}
 	}
-	return seen{state: b.Look(start, t).State}
+	return observed{state: b.Look(start, t).State}
 }
 
-// record lets several goroutines make random calls on the same tickets.
+// record makes random calls on the same tickets from several goroutines.
 func record(b bookAPI, tickets []Ticket, seed uint64) []porcupine.Operation {
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -112,7 +112,7 @@
 				out := apply(b, t, call)
 				to := time.Since(begin).Nanoseconds()
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: client, Input: step{t.Sequence, call}, Call: from,
+				history = append(history, porcupine.Operation{ClientId: client, Input: operation{t.Sequence, call}, Call: from,
 					Output: out, Return: to})
 				mu.Unlock()
 			}
@@ -122,19 +122,19 @@
 	return history
 }
 
-// twiceBook lets a second submission win.
-type twiceBook struct{ *Book }
+// doubleSubmitBook lets a second submission win.
+type doubleSubmitBook struct{ *Book }
 
-func (b twiceBook) Spend(now time.Time, t Ticket, f uint64) Result {
+func (b doubleSubmitBook) Spend(now time.Time, t Ticket, f uint64) Result {
 	res := b.Book.Spend(now, t, f)
 	res.Won = res.Won || res.State == StateWaiting
 	return res
 }
 
-// earlyBook says that a ticket is cancelled without making it so.
-type earlyBook struct{ *Book }
+// falseCancelBook reports a waiting ticket as cancelled without cancelling it.
+type falseCancelBook struct{ *Book }
 
-func (b earlyBook) Cancel(now time.Time, t Ticket) State {
+func (b falseCancelBook) Cancel(now time.Time, t Ticket) State {
 	if b.Look(now, t).State == StateWaiting {
 		return StateCancelled
 	}
@@ -148,8 +148,8 @@
 		want bool
 	}{
 		{"book", func(b *Book) bookAPI { return b }, true},
-		{"runs twice", func(b *Book) bookAPI { return twiceBook{b} }, false},
-		{"says no before it is final", func(b *Book) bookAPI { return earlyBook{b} }, false},
+		{"runs twice", func(b *Book) bookAPI { return doubleSubmitBook{b} }, false},
+		{"reports a cancel that did not happen", func(b *Book) bookAPI { return falseCancelBook{b} }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/pkg/ticket/options.go
+++ b/pkg/ticket/options.go
@@ -18,13 +18,13 @@
 	Issuer string
 	// Incarnation differs with every start of the agent.
 	Incarnation uint64
-	// TTL is the time in which a ticket must be submitted; 0 means DefaultTTL.
+	// TTL is the time within which a ticket must be submitted; 0 means DefaultTTL.
 	TTL time.Duration
-	// Retention is how long after its expiry the fate of a ticket is remembered; 0 means DefaultRetention.
+	// Retention is how long after its expiry the state of a ticket is kept; 0 means DefaultRetention.
 	Retention time.Duration
-	// Max is the highest number of tickets that are remembered; 0 means DefaultMax. A full book issues none.
+	// Max is the highest number of tickets in memory; 0 means DefaultMax. A full book issues none.
 	Max int
-	// Rand makes the secrets; production uses a ChaCha8 source with a random seed.
+	// Rand generates the secrets; production uses a ChaCha8 source with a random seed.
 	Rand *rand.Rand
 }
 
--- a/pkg/ticket/result.go
+++ b/pkg/ticket/result.go
@@ -4,7 +4,7 @@
 
 // Result is the answer to a submission of a ticket.
 type Result struct {
-	// Won is true for the one submission that holds the ticket; it must start, cancel or lose it.
+	// Won is true for the one submission that holds the ticket, which must start, cancel or lose it.
 	Won bool
 	// State is the state after the call.
 	State State
@@ -12,6 +12,6 @@
 	Status int
 	// Ended is when a ticket in StateCancelled was cancelled.
 	Ended time.Time
-	// DifferentRequest is true when the ticket was first submitted with another request.
+	// DifferentRequest is true when the ticket was first submitted with a different request.
 	DifferentRequest bool
 }
--- a/pkg/ticket/ring.go
+++ b/pkg/ticket/ring.go
@@ -2,7 +2,7 @@
 
 const minRing = 64
 
-// ring keeps the entries of consecutive sequence numbers and grows to its highest size.
+// ring holds the entries of consecutive sequence numbers; its buffer grows and never shrinks.
 type ring struct {
 	entries []entry
 	first   uint64
--- a/pkg/ticket/state.go
+++ b/pkg/ticket/state.go
@@ -1,14 +1,14 @@
 package ticket
 
-// State is what a book knows about a ticket.
+// State is the state of a ticket.
 type State uint8
 
-// States of a ticket. The arrows of a ticket's life are: issued to waiting, cancelled or expired; waiting to running or
-// cancelled; running to ran, lost, cancelled (proved not to have run), or back to waiting (proved not to have begun).
+// States of a ticket. The transitions are: issued to waiting, cancelled or expired; waiting to running or cancelled;
+// running to ran, lost, cancelled (proved not to have run), or back to waiting (proved not to have begun).
 const (
 	// StateForeign means that this incarnation never issued the ticket; it can never run.
 	StateForeign State = iota
-	// StateIssued means that nobody has submitted the ticket.
+	// StateIssued means that the ticket has not been submitted.
 	StateIssued
 	// StateWaiting means that one submission has the ticket and waits for a slot.
 	StateWaiting
@@ -16,13 +16,13 @@
 	StateRunning
 	// StateRan means that a target answered the work.
 	StateRan
-	// StateLost means that the work was started and its outcome can't be known.
+	// StateLost means that the work was started and its outcome cannot be known.
 	StateLost
 	// StateCancelled means that the work was not run and never will be.
 	StateCancelled
-	// StateExpired means that nobody submitted the ticket in time; it was not run and never will be.
+	// StateExpired means that the ticket was not submitted in time; the work was not run and never will be.
 	StateExpired
-	// StateForgotten means that the ticket is too old for the book; it may have run, and never will again.
+	// StateForgotten means that the ticket was evicted from the book; its work may have run, and will not run again.
 	StateForgotten
 )
 
--- a/pkg/ticket/ticket.go
+++ b/pkg/ticket/ticket.go
@@ -23,17 +23,17 @@
 type Ticket struct {
 	// Issuer is the name of the agent.
 	Issuer string
-	// Incarnation is the issuing run of the agent.
+	// Incarnation is the incarnation of the agent that issued the ticket.
 	Incarnation uint64
 	// Sequence counts the tickets of the incarnation from 1.
 	Sequence uint64
 	// Secret is random, so that no other caller can guess the ticket.
 	Secret uint64
-	// Expiry is when the ticket can no longer be started; whole milliseconds.
+	// Expiry is the time by which the ticket must be submitted; whole milliseconds.
 	Expiry time.Time
 }
 
-// String returns the ticket in the form of HTTP headers and URLs: base64url without padding.
+// String encodes the ticket for HTTP headers and URLs: base64url without padding.
 func (t Ticket) String() string {
 	b := make([]byte, 0, maxBinaryLength)
 	b = append(b, formatVersion)
@@ -45,12 +45,12 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// ID names the ticket without its secret, for logs and records.
+// ID identifies the ticket without its secret, for logs and records.
 func (t Ticket) ID() string {
 	return t.Issuer + "/" + strconv.FormatUint(t.Incarnation, 10) + "/" + strconv.FormatUint(t.Sequence, 10)
 }
 
-// Parse reads a ticket. It returns ErrMalformed for anything that String does not write.
+// Parse decodes a ticket. It returns ErrMalformed for any text that String does not produce.
 func Parse(text string) (Ticket, error) {
 	if len(text) > MaxTextLength {
 		return Ticket{}, ErrMalformed
--- a/pkg/ticket/ticket_test.go
+++ b/pkg/ticket/ticket_test.go
@@ -115,7 +115,7 @@
 	require.Equal(t, StateForeign, b.Spend(start, later, 1).State)
 }
 
-func TestSpendSeesAnotherRequest(t *testing.T) {
+func TestSubmitDetectsDifferentRequest(t *testing.T) {
 	b := newTestBook(1, 0)
 	ticket := issueOne(t, b)
 	require.True(t, b.Spend(start, ticket, 1).Won)
@@ -123,7 +123,7 @@
 	require.True(t, b.Spend(start, ticket, 2).DifferentRequest)
 }
 
-func TestMemoryIsBoundedWithoutForgettingEarly(t *testing.T) {
+func TestMemoryIsBoundedWithoutEarlyEviction(t *testing.T) {
 	b := newTestBook(1, 100)
 	tickets, err := b.Issue(start, 100)
 	require.NoError(t, err)
@@ -173,8 +173,8 @@
 	}
 }
 
-// BenchmarkSpentTicket measures the memory of a ticket that was used.
-func BenchmarkSpentTicket(b *testing.B) {
+// BenchmarkSubmittedTicketMemory measures the memory per submitted ticket.
+func BenchmarkSubmittedTicketMemory(b *testing.B) {
 	const spent = 1 << 16
 	for b.Loop() {
 		var before, after runtime.MemStats
