--- a/pkg/rollout/compare.go
+++ b/pkg/rollout/compare.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// compareTick is the time between two judgements.
+	// compareTick is the simulated time between two evaluations.
 	compareTick = 30 * time.Second
-	// compareLimit ends a run that is still undecided.
+	// compareLimit is the time after which a run counts as undecided.
 	compareLimit = 48 * time.Hour
 )
 
-// Outcome is what one gate made of one scenario, over many seeds.
+// Outcome is the result of one gate in one scenario, over many seeds.
 type Outcome struct {
 	Gate     string
 	Scenario Scenario
 	Runs     int
 	// FalsePromotions are runs in which a harmful version took every new flow.
 	FalsePromotions int
-	// FalseRollbacks are runs in which a harmless version was given up.
+	// FalseRollbacks are runs in which a harmless version was rolled back.
 	FalseRollbacks int
 	// Undecided are runs that did not end.
 	Undecided int
-	// PromoteTime is the median time from the beginning to the promotion; 0 when there was none.
+	// PromoteTime is the median time from the start to the promotion; 0 when there was none.
 	PromoteTime time.Duration
-	// RollbackTime is the median time from the beginning to the rollback; 0 when there was none.
+	// RollbackTime is the median time from the start to the rollback; 0 when there was none.
 	RollbackTime time.Duration
 	// Harmed is the mean number of failures of the new version in a run.
 	Harmed float64
 }
 
-// Comparison is a set of runs on which gates are compared; every gate meets the same seeds.
+// Comparison is a set of runs that compares gates; all gates get the same seeds.
 type Comparison struct {
 	Gates     []Gate
 	Scenarios []Scenario
@@ -64,7 +64,7 @@
 	}
 }
 
-// Run carries out the comparison.
+// Run runs every gate in every scenario.
 func (c Comparison) Run() []Outcome {
 	var out []Outcome
 	for i, s := range c.Scenarios {
@@ -79,7 +79,7 @@
 	o := Outcome{Gate: g.Name(), Scenario: s, Runs: c.Runs}
 	var promoted, back []time.Duration
 	for i := range c.Runs {
-		r := c.once(s, g, seed+uint64(i))
+		r := c.runOnce(s, g, seed+uint64(i))
 		o.Harmed += float64(r.harmed) / float64(c.Runs)
 		switch r.state {
 		case resource.RolloutCompleted:
@@ -107,7 +107,7 @@
 	harmed uint64
 }
 
-func (c Comparison) once(s Scenario, g Gate, seed uint64) run {
+func (c Comparison) runOnce(s Scenario, g Gate, seed uint64) run {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var begin time.Time
 	state := Step(c.Rollout, resource.RolloutStatus{}, Evidence{}, g, begin)
@@ -118,7 +118,7 @@
 		if at%time.Minute == 0 {
 			noise = math.Exp(s.Noise*rng.NormFloat64() - s.Noise*s.Noise/2)
 		}
-		old, fresh := s.draw(rng, at, noise, float64(state.Weight)/full)
+		old, fresh := s.draw(rng, at, noise, float64(state.Weight)/fullWeight)
 		out.harmed += fresh.Failures
 		out.took = at + compareTick
 		e = e.Add(StepCounts{Old: old, New: fresh}, begin.Add(out.took).Sub(state.Since))
--- a/pkg/rollout/compare_test.go
+++ b/pkg/rollout/compare_test.go
@@ -14,7 +14,7 @@
 	comparisonSeed = flag.Uint64("seed", 2, "first seed of the runs")
 )
 
-// TestGateComparison prints the table by which the default gate was chosen, and fails when it no longer wins.
+// TestGateComparison logs the results of all gates, and fails when the default gate is no longer the best.
 func TestGateComparison(t *testing.T) {
 	list := DefaultComparison(*comparisonRuns, *comparisonSeed).Run()
 	var b strings.Builder
--- a/pkg/rollout/confident_test.go
+++ b/pkg/rollout/confident_test.go
@@ -7,8 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A version that no request reaches, since it has no target, must never get a larger share: at 100 percent nothing
-// would be left that serves.
+// Guards against promoting a version without targets: at 100 percent no target would be left to serve.
 func TestVersionWithoutRequestsIsNeverPromoted(t *testing.T) {
 	q := GateInput{Limits: Limits{Objective: 0.999, MaxBurnRatio: 1.5}, Window: time.Minute, Next: 25}
 	q.Evidence.Old = Counts{Requests: 100_000, Failures: 100}
@@ -21,11 +20,11 @@
 	}
 	q.Evidence.Old = Counts{}
 	got, _ := ConfidentBurn{}.Evaluate(q)
-	require.Equal(t, VerdictObserve, got, "a service without requests tells nothing of its new version")
+	require.Equal(t, VerdictObserve, got, "without requests there is no evidence about the new version")
 }
 
-// The first request of a version without a living target fails, and then its agent is gone: no other request comes. The
-// old version hardly ever fails, which must not make that one failure bad luck.
+// Guards against promoting a version whose only request failed and whose agent is gone, because an old version that
+// hardly ever fails makes that failure look like chance.
 func TestOneFailureOfOneRequestIsNeverPromoted(t *testing.T) {
 	for _, objective := range []float64{0.9, 0.999} {
 		q := GateInput{Limits: Limits{Objective: objective, MaxBurnRatio: 2}, Window: time.Minute, Next: 100}
--- a/pkg/rollout/controller.go
+++ b/pkg/rollout/controller.go
@@ -17,15 +17,15 @@
 // LeaseName is the name of the lease of the rollout duty.
 const LeaseName = "rollout"
 
-// DefaultTick is the time between two judgements.
+// DefaultTick is the time between two evaluations.
 const DefaultTick = 5 * time.Second
 
-// Controller is the duty that takes the steps of all rollouts.
+// Controller is the duty that advances all rollouts.
 type Controller struct {
 	// Store keeps the rollout objects.
 	Store objectapi.Store
-	// Configs returns the accepted configurations. They must be at least as new as the head when the term began: with older
-	// ones a holder would begin an earlier rollout anew, or clear the state of a later one.
+	// Configs returns the accepted configurations. They must be at least as new as the head when the term began: with
+	// older ones a holder would restart an earlier rollout, or clear the state of a later one.
 	Configs func() []resource.ServiceConfig
 	// Source reads the counters.
 	Source Source
@@ -33,11 +33,11 @@
 	Gate Gate
 	// Clock is the local clock; nil means lease.SystemClock.
 	Clock lease.Clock
-	// Tick is the time between two judgements; 0 means DefaultTick.
+	// Tick is the time between two evaluations; 0 means DefaultTick.
 	Tick time.Duration
-	// Metrics takes the counters; nil means none.
+	// Metrics receives the counters; nil means none.
 	Metrics tally.Scope
-	// Log takes a line for each step.
+	// Log receives a line for each step.
 	Log zerolog.Logger
 }
 
@@ -76,7 +76,7 @@
 	grant   lease.Grant
 	tracks  map[string]*track
 	metrics metrics
-	// cleared is set when no state is left of a rollout that is no longer asked for.
+	// cleared is set when no state is left of a rollout that is no longer configured.
 	cleared bool
 }
 
@@ -84,17 +84,17 @@
 	return &session{cfg: cfg, grant: g, tracks: make(map[string]*track), metrics: newMetrics(cfg.Metrics)}
 }
 
-// tick judges each rollout once. A failure of one service does not hold back the others.
+// tick evaluates each rollout once. An error in one service does not delay the others.
 func (s *session) tick(ctx context.Context) error {
 	configs := s.cfg.Configs()
-	if err := s.clearLeft(ctx, configs); err != nil {
+	if err := s.clearRemoved(ctx, configs); err != nil {
 		if errors.Is(err, lease.ErrFenced) {
 			return err
 		}
 		s.cfg.Log.Warn().Err(err).Str("op", "rollout").Uint64("term", s.grant.Term).Send()
 	}
 	for _, c := range configs {
-		err := s.service(ctx, c)
+		err := s.stepService(ctx, c)
 		if errors.Is(err, lease.ErrFenced) {
 			return err
 		}
@@ -120,7 +120,7 @@
 	return n
 }
 
-func (s *session) service(ctx context.Context, c resource.ServiceConfig) error {
+func (s *session) stepService(ctx context.Context, c resource.ServiceConfig) error {
 	if c.Spec.Rollout == nil {
 		return nil
 	}
@@ -139,9 +139,9 @@
 	return t.step(ctx, c)
 }
 
-// clearLeft clears the states of rollouts that are no longer asked for, once in a term and whenever a rollout that is
-// followed goes. The objects stay, since their terms fence them.
-func (s *session) clearLeft(ctx context.Context, configs []resource.ServiceConfig) error {
+// clearRemoved clears the states of rollouts that are no longer configured, once in a term and whenever a tracked
+// rollout is removed. The objects stay, since their terms fence them.
+func (s *session) clearRemoved(ctx context.Context, configs []resource.ServiceConfig) error {
 	asked := make(map[string]bool)
 	for _, c := range configs {
 		asked[c.Name] = c.Spec.Rollout != nil
@@ -159,7 +159,7 @@
 	if err != nil {
 		return trace.Wrap(err, "list rollouts")
 	}
-	// What can't be read is claimed and written when its service asks for a rollout.
+	// An unreadable object is claimed and written when its service configures a rollout.
 	states, _ := ReadStates(list, 0)
 	for name, state := range states {
 		if state.State == "" || asked[name] {
--- a/pkg/rollout/controller_test.go
+++ b/pkg/rollout/controller_test.go
@@ -14,7 +14,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// risingSource counts 50 requests of each version a second, of which a part of the new version's fail.
+// risingSource counts 50 requests a second for each version; 0.1% of the old version's and the fraction failing of the
+// new version's fail.
 type risingSource struct {
 	begin   time.Time
 	failing float64
--- a/pkg/rollout/counts.go
+++ b/pkg/rollout/counts.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Counts are the requests of one version within a time, as the agents saw them.
+// Counts are the requests of one version within a period, as observed by the agents.
 type Counts struct {
 	// Requests is the number of requests that ended, refused ones included.
 	Requests uint64 `json:"requests"`
@@ -8,7 +8,7 @@
 	Failures uint64 `json:"failures"`
 }
 
-// Rate returns the part of requests that failed, 0 to 1; 0 without requests.
+// Rate returns the fraction of requests that failed, 0 to 1; 0 without requests.
 func (c Counts) Rate() float64 {
 	if c.Requests == 0 {
 		return 0
@@ -21,12 +21,12 @@
 	return Counts{Requests: c.Requests + d.Requests, Failures: c.Failures + d.Failures}
 }
 
-// highest returns the higher value of each counter.
+// highest returns the maximum of each counter.
 func (c Counts) highest(d Counts) Counts {
 	return Counts{Requests: max(c.Requests, d.Requests), Failures: max(c.Failures, d.Failures)}
 }
 
-// Since returns what was counted after an earlier reading, and false when a counter began anew in between.
+// Since returns what was counted after an earlier reading, and false when a counter was reset in between.
 func (c Counts) Since(earlier Counts) (Counts, bool) {
 	if c.Requests < earlier.Requests || c.Failures < earlier.Failures {
 		return Counts{}, false
--- a/pkg/rollout/default.go
+++ b/pkg/rollout/default.go
@@ -1,4 +1,4 @@
 package rollout
 
-// Default returns the gate that made the fewest wrong decisions in the comparison.
+// Default returns the gate that makes the fewest wrong decisions; see TestGateComparison.
 func Default() Gate { return ConfidentBurn{} }
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Evidence is what was observed of both versions during one step, over the same time.
+// Evidence is what was observed of both versions during one step, over the same period.
 type Evidence struct {
 	Old Counts `json:"old"`
 	New Counts `json:"new"`
@@ -26,7 +26,7 @@
 	return Evidence{Past: append(slices.Clone(e.Past), e.counts())}
 }
 
-// Add returns the evidence with the counts of a further time.
+// Add returns the evidence with the counts of a further period.
 func (e Evidence) Add(d StepCounts, elapsed time.Duration) Evidence {
 	e.Old = e.Old.Plus(d.Old)
 	e.New = e.New.Plus(d.New)
--- a/pkg/rollout/fixed.go
+++ b/pkg/rollout/fixed.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// FixedThreshold compares the rate of failures of the new version with a fixed rate, MaxBurnRatio times the part that
-// the objective allows, at the end of the window. It takes no notice of the old version.
+// FixedThreshold compares the failure rate of the new version at the end of the window with a fixed rate, MaxBurnRatio
+// times the rate that the objective allows. It ignores the old version.
 type FixedThreshold struct{}
 
 // Name implements Gate.
@@ -15,11 +15,11 @@
 		return VerdictObserve, "the window has not passed"
 	}
 	limit := q.Limits.MaxBurnRatio * q.Limits.budget()
-	return against(q.Evidence.New.Rate(), limit)
+	return compareRate(q.Evidence.New.Rate(), limit)
 }
 
-// against compares a rate of failures with its limit.
-func against(rate, limit float64) (Verdict, string) {
+// compareRate compares a failure rate with its limit.
+func compareRate(rate, limit float64) (Verdict, string) {
 	if rate > limit {
 		return VerdictRollBack, fmt.Sprintf("%.3f%% of requests failed, more than %.3f%%", rate*100, limit*100)
 	}
--- a/pkg/rollout/limits.go
+++ b/pkg/rollout/limits.go
@@ -2,20 +2,20 @@
 
 import "github.com/auburnwood/auburnwood/pkg/resource"
 
-// Limits say what a new version may do. A new version is harmful when its rate of failures is above both the part
-// that the objective allows and MaxBurnRatio times the rate of the old version; the ratio of the rates of failures is
-// the ratio of the burn rates, since both versions share the objective.
+// Limits define when a new version is harmful: its failure rate is above both the rate that the objective allows and
+// MaxBurnRatio times the rate of the old version. The ratio of the failure rates is the ratio of the burn rates, since
+// both versions share the objective.
 type Limits struct {
-	// Objective is the part of requests that must succeed.
+	// Objective is the fraction of requests that must succeed.
 	Objective float64
-	// MaxBurnRatio is the highest burn rate of the new version in relation to the old one.
+	// MaxBurnRatio is the highest burn rate of the new version relative to the old one.
 	MaxBurnRatio float64
 }
 
-// LimitsOf returns the limits that the specification of a rollout sets.
+// LimitsOf returns the limits in the specification of a rollout.
 func LimitsOf(r resource.Rollout) Limits {
 	return Limits{Objective: r.Objective, MaxBurnRatio: r.MaxBurnRatio}
 }
 
-// budget is the part of requests that may fail.
+// budget returns the fraction of requests that may fail.
 func (l Limits) budget() float64 { return 1 - l.Objective }
--- a/pkg/rollout/metrics.go
+++ b/pkg/rollout/metrics.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// entered counts a state that was stored.
+// entered counts the transition to a state that was stored.
 func (m *metrics) entered(s resource.RolloutState) {
 	switch s {
 	case resource.RolloutCompleted:
--- a/pkg/rollout/posterior.go
+++ b/pkg/rollout/posterior.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// priorSigma is the standard deviation of the logarithm of the ratio of both rates before any evidence: most new
-	// versions fail about as often as the old one, few fail three times as often.
+	// priorSigma is the standard deviation of the logarithm of the ratio of both rates in the prior: most new versions
+	// fail about as often as the old one, few fail three times as often.
 	priorSigma = 1.0
-	// priorShape and priorExposure are shape and rate of the prior of the old version's rate; the shape is that of
-	// Jeffreys, and one request makes the prior proper.
+	// priorShape and priorExposure are shape and rate of the gamma prior of the old version's failure rate: the shape
+	// of the Jeffreys prior, and one request to make it proper.
 	priorShape    = 0.5
 	priorExposure = 1.0
-	// brokenPrior is the probability, before any evidence, that a new version fails at a rate of its own.
+	// brokenPrior is the prior probability that a new version fails at a rate independent of the old one's.
 	brokenPrior = 0.01
-	// gridSteps and gridRange lay out the logarithms of the ratios that are summed over.
+	// gridSteps and gridRange define the grid over the logarithm of the ratio.
 	gridSteps = 121
 	gridRange = 6.0
 )
 
-// harm returns the probability that the new version is harmful, given the counts. Either its rate of failures is a
-// multiple of the old one's, or it is broken and fails at a rate of its own; see ratioModel and brokenModel.
-func harm(e Evidence, l Limits) float64 {
+// harmProbability returns the probability that the new version is harmful, given the counts. It mixes two models: the
+// failure rate is a multiple of the old version's (ratioModel), or independent of it (brokenModel).
+func harmProbability(e Evidence, l Limits) float64 {
 	ratio, badRatio := ratioModel(e, l)
 	own, badOwn := brokenModel(e, l)
 	top := max(ratio, own)
@@ -34,13 +34,13 @@
 	return (likely*badRatio + broken*badOwn) / (likely + broken)
 }
 
-// ratioModel returns the logarithm of the likelihood of the counts, and the probability of harm, when the new version
-// fails at a multiple of the old version's rate. Factors that both models share are left out of the likelihood.
+// ratioModel returns the log likelihood of the counts, and the probability of harm, when the new version fails at a
+// multiple of the old version's rate. Factors that both models share are omitted from the likelihood.
 //
-// Failures are taken as Poisson counts with rates λ and ρλ for each request. The rate λ has a Jeffreys prior and is
-// integrated in closed form; what is left is a sum over the ratio ρ. A change of λ that both versions share, such as a
-// spike of load, cancels out of the likelihood of ρ as long as the weights stay the same; so each step has a λ of its
-// own, and the steps of a rollout share ρ.
+// Failures are modelled as Poisson counts with rates λ and ρλ per request. The rate λ has a Jeffreys prior and is
+// integrated in closed form, which leaves a sum over the ratio ρ. A change of λ that both versions share, such as a
+// load spike, cancels out of the likelihood of ρ as long as the weights stay the same; so each step has its own λ, and
+// the steps of a rollout share ρ.
 func ratioModel(e Evidence, l Limits) (likelihood, harmful float64) {
 	prior := distuv.Normal{Mu: 0, Sigma: priorSigma}
 	logs := make([]float64, gridSteps)
@@ -57,15 +57,15 @@
 	for i, v := range logs {
 		w := math.Exp(v - top)
 		all += w
-		bad += w * above(e, l, math.Exp(gridAt(i)))
+		bad += w * harmAtRatio(e, l, math.Exp(gridAt(i)))
 	}
 	step := gridAt(1) - gridAt(0)
 	return top + math.Log(all*step), bad / all
 }
 
-// brokenModel is ratioModel for a version that fails at a rate of its own, which may be any with equal probability. Without
-// it a few requests that all fail would rather be taken for bad luck, when an old version that hardly ever fails makes a
-// high multiple improbable.
+// brokenModel is ratioModel for a version whose failure rate is independent of the old version's, with a uniform prior.
+// Without it a few requests that all fail would be attributed to chance, because an old version that hardly ever fails
+// makes a high ratio improbable.
 func brokenModel(e Evidence, l Limits) (likelihood, harmful float64) {
 	var all Counts
 	for _, c := range append(slices.Clone(e.Past), e.counts()) {
@@ -90,14 +90,15 @@
 
 func gridAt(i int) float64 { return -gridRange + 2*gridRange*float64(i)/(gridSteps-1) }
 
-// logLikelihood of the ratio, with λ integrated out.
+// logLikelihood returns the log likelihood of the ratio, with λ integrated out.
 func logLikelihood(e StepCounts, ratio float64) float64 {
 	shape := float64(e.Old.Failures+e.New.Failures) + priorShape
 	return logGamma(shape) + float64(e.New.Failures)*math.Log(ratio) - shape*math.Log(exposure(e, ratio))
 }
 
-// above returns the probability, for a given ratio, that the new version is harmful at the rates of the current step.
-func above(e Evidence, l Limits, ratio float64) float64 {
+// harmAtRatio returns the probability, for a given ratio, that the new version is harmful at the rates of the current
+// step.
+func harmAtRatio(e Evidence, l Limits, ratio float64) float64 {
 	if ratio <= l.MaxBurnRatio {
 		return 0
 	}
--- a/pkg/rollout/reads_test.go
+++ b/pkg/rollout/reads_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// countedSource counts the readings; each one that fails says so.
+// countedSource counts the reads, and returns an error for those for which fails returns true.
 type countedSource struct {
 	Source
 	reads int
@@ -29,14 +29,14 @@
 	return s.Source.Read(ctx, c)
 }
 
-// dutyTime runs the duty of a term for a time.
+// dutyTime runs the duty of a term for d.
 func dutyTime(t *testing.T, c *Controller, term uint64, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	require.NoError(t, c.Duty(ctx, lease.Grant{Holder: "h", Term: term}))
 }
 
-func TestNothingIsReadOnceARolloutIsOver(t *testing.T) {
+func TestEndedRolloutReadsNoCounters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		c := newController(s, 0.01)
@@ -48,12 +48,12 @@
 		before, record := source.reads, readRecord(t, s)
 		dutyTime(t, c, 2, time.Hour)
 		require.Equal(t, before, source.reads)
-		require.Equal(t, record, readRecord(t, s), "the next holder leaves the end as it is")
+		require.Equal(t, record, readRecord(t, s), "the next holder does not change a final state")
 	})
 }
 
-// Readings that fail are made up for by the next one: nine of ten may be lost without a step being judged on less.
-func TestReadingsThatFailLoseNoEvidence(t *testing.T) {
+// A later reading makes up for failed ones, so that losing nine of ten loses no evidence.
+func TestFailedReadingsLoseNoEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		c := newController(s, 0.001)
@@ -71,13 +71,12 @@
 		dutyTime(t, c, 1, 12*time.Hour)
 		r := readRecord(t, s)
 		require.Equal(t, resource.RolloutProgressing, r.State)
-		require.Zero(t, r.Step, "the first step is begun and never judged")
+		require.Zero(t, r.Step, "the first step is entered and never evaluated")
 	})
 }
 
-// A rollout that was taken out of the specification leaves nothing behind, also when the holder has changed meanwhile:
-// the same pair of versions, asked for again, begins anew.
-func TestARemovedRolloutLeavesNothing(t *testing.T) {
+// A rollout that is removed from the specification and configured again starts anew, even if the lease holder changed.
+func TestRemovedRolloutStateIsCleared(t *testing.T) {
 	for name, term := range map[string]uint64{"same holder": 1, "next holder": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -35,8 +35,8 @@
 	r.Term = g.Term
 }
 
-// ReadStates returns the states of stored rollout objects by service, without those that were written before an era. It returns the readable ones and
-// an error that names the others.
+// ReadStates returns the states of stored rollout objects by service, without those written before an era. It returns
+// the readable ones and an error that names the others.
 func ReadStates(list []objectapi.Object, era uint64) (map[string]resource.RolloutStatus, error) {
 	out := make(map[string]resource.RolloutStatus, len(list))
 	var bad []error
--- a/pkg/rollout/relative.go
+++ b/pkg/rollout/relative.go
@@ -1,6 +1,6 @@
 package rollout
 
-// RelativeBurn compares the burn rates of both versions as they were counted, at the end of the window.
+// RelativeBurn compares the observed burn rates of both versions at the end of the window, without regard to chance.
 type RelativeBurn struct{}
 
 // Name implements Gate.
@@ -12,5 +12,5 @@
 		return VerdictObserve, "the window has not passed"
 	}
 	limit := max(q.Limits.MaxBurnRatio*q.Evidence.Old.Rate(), q.Limits.budget())
-	return against(q.Evidence.New.Rate(), limit)
+	return compareRate(q.Evidence.New.Rate(), limit)
 }
--- a/pkg/rollout/resume.go
+++ b/pkg/rollout/resume.go
@@ -11,8 +11,8 @@
 	lostRollback = "the object API lost the rollback; the share in force tells of it"
 )
 
-// Resume returns the state from which a rollout goes on when the object API may have lost its last steps: shares are those in force. A version that was
-// given up gets no flows again, and no step is taken twice.
+// Resume returns the state from which a rollout continues when the object API may have lost its last steps; shares are
+// those in force. A version that was rolled back gets no flows again, and no step is repeated.
 func Resume(r resource.Rollout, s resource.RolloutStatus, shares []resource.Share, now time.Time) resource.RolloutStatus {
 	if s.From != r.From || s.To != r.To {
 		s = Initial(r)
@@ -22,11 +22,11 @@
 	case !known || weight == s.Weight:
 		return s
 	case weight == 0:
-		return back(s, now, lostRollback)
+		return rollBack(s, now, lostRollback)
 	}
 	for i, step := range r.Steps {
 		if step.Weight == weight {
-			return enter(r, Initial(r), i, now, lostStep)
+			return enterStep(r, Initial(r), i, now, lostStep)
 		}
 	}
 	return s
--- a/pkg/rollout/resume_test.go
+++ b/pkg/rollout/resume_test.go
@@ -13,11 +13,11 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-func TestARolloutGoesOnFromTheSharesInForce(t *testing.T) {
+func TestResumeUsesSharesInForce(t *testing.T) {
 	r := testRollout()
 	first, second := r.Steps[0].Weight, r.Steps[1].Weight
 	shares := func(weight uint32) []resource.Share {
-		return []resource.Share{{Version: r.From, Weight: full - weight}, {Version: r.To, Weight: weight}}
+		return []resource.Share{{Version: r.From, Weight: fullWeight - weight}, {Version: r.To, Weight: weight}}
 	}
 	at := func(step int, weight uint32) resource.RolloutStatus {
 		return resource.RolloutStatus{From: r.From, To: r.To, Step: step, Weight: weight, State: resource.RolloutProgressing}
@@ -33,7 +33,7 @@
 		{"nothing is lost", at(0, first), shares(first), resource.RolloutProgressing, 0, first},
 		{"a step is lost", at(0, first), shares(second), resource.RolloutProgressing, 1, second},
 		{"all steps are lost", resource.RolloutStatus{}, shares(second), resource.RolloutProgressing, 1, second},
-		{"the completion is lost", at(0, first), shares(full), resource.RolloutCompleted, len(r.Steps) - 1, full},
+		{"the completion is lost", at(0, first), shares(fullWeight), resource.RolloutCompleted, len(r.Steps) - 1, fullWeight},
 		{"the rollback is lost", at(1, second), shares(0), resource.RolloutRolledBack, 1, 0},
 		{"it has not begun", resource.RolloutStatus{}, shares(0), resource.RolloutProgressing, 0, 0},
 		{"the shares are not of the rollout", at(0, first), nil, resource.RolloutProgressing, 0, first},
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestAVersionThatWasGivenUpGetsNoFlowsWhenTheRollbackIsLost(t *testing.T) {
+func TestRolledBackVersionGetsNoFlowsWhenRollbackIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{Era: 1})
 		term := func(era uint64) lease.Grant { return lease.Grant{Holder: "h", Term: store.Version(era, 1)} }
@@ -68,9 +68,9 @@
 		require.NoError(t, err)
 		states, err := ReadStates(list, 2)
 		require.NoError(t, err)
-		require.Empty(t, states, "what was written in an earlier era is not trusted")
+		require.Empty(t, states, "states written in an earlier era are ignored")
 		c.Configs = func() []resource.ServiceConfig {
-			inForce := []resource.Share{{Version: r.From, Weight: full}, {Version: r.To}}
+			inForce := []resource.Share{{Version: r.From, Weight: fullWeight}, {Version: r.To}}
 			return []resource.ServiceConfig{{Name: "svc", Spec: resource.ServiceSpec{Rollout: &r, Shares: inForce}}}
 		}
 		ctx, cancel = context.WithTimeout(t.Context(), time.Minute)
--- a/pkg/rollout/scenario.go
+++ b/pkg/rollout/scenario.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Scenario is a course of requests and failures on which gates are compared.
+// Scenario describes the request and failure rates of a simulated rollout.
 type Scenario struct {
 	// Name names the scenario in tables.
 	Name string
 	// PerMinute is the number of requests a minute of both versions together.
 	PerMinute float64
-	// Failing is the part of the old version's requests that fails, 0 to 1.
+	// Failing is the fraction of the old version's requests that fails, 0 to 1.
 	Failing float64
-	// Factor multiplies the rate of failures for the new version.
+	// Factor is the ratio of the new version's failure rate to the old version's.
 	Factor float64
-	// SpikeFailing is the part that fails in both versions during the spike, at least.
+	// SpikeFailing is the minimum failure rate of the old version during the spike; that of the new version is Factor
+	// times as high.
 	SpikeFailing float64
-	// SpikeAfter and SpikeFor place the spike; no spike when SpikeFor is 0.
+	// SpikeAfter and SpikeFor are the start and duration of the spike; there is none when SpikeFor is 0.
 	SpikeAfter time.Duration
 	SpikeFor   time.Duration
-	// Noise is the standard deviation of the logarithm of a factor on both rates that changes each minute.
+	// Noise is the standard deviation of the logarithm of a factor that is drawn each minute and applied to both rates.
 	Noise float64
 	// Harmful is whether the new version should be rolled back.
 	Harmful bool
 }
 
-// Scenarios are the courses that the default gate was chosen on, at the request volumes of the brief: a few thousand
-// requests a minute down to tens.
+// Scenarios returns the scenarios of DefaultComparison, with request volumes from a few thousand a minute down to tens.
 func Scenarios() []Scenario {
 	spike := Scenario{Failing: 0.001, Factor: 1, SpikeFailing: 0.05, SpikeAfter: 4 * time.Minute, SpikeFor: 6 * time.Minute}
 	list := []Scenario{
@@ -32,8 +32,8 @@
 		{Name: "healthy, noisy", PerMinute: 3000, Failing: 0.001, Factor: 1, Noise: 0.7},
 		{Name: "healthy", PerMinute: 300, Failing: 0.001, Factor: 1},
 		{Name: "healthy", PerMinute: 30, Failing: 0.001, Factor: 1},
-		spike.at("common spike", 3000),
-		spike.at("common spike", 30),
+		spike.withVolume("common spike", 3000),
+		spike.withVolume("common spike", 30),
 		{Name: "small, x5, in budget", PerMinute: 3000, Failing: 0.00005, Factor: 5},
 		{Name: "worse x2", PerMinute: 3000, Failing: 0.001, Factor: 2, Harmful: true},
 		{Name: "worse x2", PerMinute: 300, Failing: 0.001, Factor: 2, Harmful: true},
@@ -47,13 +47,13 @@
 	return list
 }
 
-func (s Scenario) at(name string, perMinute float64) Scenario {
+func (s Scenario) withVolume(name string, perMinute float64) Scenario {
 	s.Name = name
 	s.PerMinute = perMinute
 	return s
 }
 
-// rates returns the parts of requests that fail at a time, for the old and the new version.
+// rates returns the failure rates of the old and the new version at a time.
 func (s Scenario) rates(at time.Duration, factor float64) (float64, float64) {
 	old := s.Failing * factor
 	fresh := old * s.Factor
--- a/pkg/rollout/totals.go
+++ b/pkg/rollout/totals.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Totals sum the counters of a service's agents by version. The sums never fall: an agent that is gone keeps its part,
-// a restarted one counts as another, and the same agent heard from several sides counts once. They hold only what was
-// counted after the first reading of each agent, so that an agent that is heard late adds no jump; a new agent whose
-// counters were at zero after the reading before adds all that it counted.
+// Totals sums the counters of a service's agents by version. The sums never decrease: the counts of an agent that is
+// gone are kept, a restarted agent counts as another, and duplicate readings of one agent count once. They include only
+// what was counted after the first reading of each agent, so that an agent first seen late adds no jump; an agent whose
+// counters were at zero after the previous reading adds all that it counted.
 type Totals struct {
 	agents map[agentKey]*agentTotals
-	// last is the time of the reading before; zero when there was none.
+	// last is the time of the previous call of Add; zero when there was none.
 	last time.Time
 }
 
@@ -22,12 +22,12 @@
 	base, last Counts
 }
 
-// NewTotals returns totals of nothing.
+// NewTotals returns empty totals.
 func NewTotals() *Totals {
 	return &Totals{agents: make(map[agentKey]*agentTotals)}
 }
 
-// Add takes in the readings of one time, in any order and with any number of readings of one agent.
+// Add adds the readings of one time, in any order and with any number of readings of one agent.
 func (t *Totals) Add(list []Reading, now time.Time) {
 	fresh := make(map[agentKey]bool)
 	for _, r := range list {
@@ -45,15 +45,15 @@
 		t.agents[key].base = t.agents[key].last
 	}
 	for _, r := range list {
-		if key := (agentKey{r.Agent, r.Incarnation}); fresh[key] && t.began(r, now) {
+		if key := (agentKey{r.Agent, r.Incarnation}); fresh[key] && t.isCountedFromZero(r, now) {
 			t.agents[key].base = Counts{}
 		}
 	}
 	t.last = now
 }
 
-// began reports whether all that an agent has counted was counted after the reading before.
-func (t *Totals) began(r Reading, now time.Time) bool {
+// isCountedFromZero reports whether all that an agent has counted was counted after the previous call of Add.
+func (t *Totals) isCountedFromZero(r Reading, now time.Time) bool {
 	return r.ZeroAge > 0 && !t.last.IsZero() && !now.Add(-r.ZeroAge).Before(t.last)
 }
 
--- a/pkg/rollout/totals_test.go
+++ b/pkg/rollout/totals_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Readings are lost, late and repeated in any way: the sums must never fall, nor rise by more than was counted.
-func TestTotalsNeverFallNorExceedTheTruth(t *testing.T) {
+// Readings may be lost, late and duplicated: the sums must never decrease, nor increase by more than was counted.
+func TestTotalsAreMonotonicAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		totals, now := NewTotals(), time.Unix(100, 0)
 		truth, incarnation := make([]Counts, 3), make([]uint64, 3)
@@ -69,11 +69,11 @@
 				r.ZeroAge = now.Sub(zero[i]) + 1
 				sent = append(sent, r)
 			}
-			heard := rapid.SliceOfN(rapid.SampledFrom(sent), 0, 9).Draw(t, "heard")
-			for i := range heard {
-				heard[i].ZeroAge = max(heard[i].ZeroAge, now.Sub(zero[heard[i].Agent[0]-'a']))
+			received := rapid.SliceOfN(rapid.SampledFrom(sent), 0, 9).Draw(t, "heard")
+			for i := range received {
+				received[i].ZeroAge = max(received[i].ZeroAge, now.Sub(zero[received[i].Agent[0]-'a']))
 			}
-			totals.Add(heard, now)
+			totals.Add(received, now)
 			sum := totals.Of("new")
 			_, ok := sum.Since(before)
 			require.True(t, ok, "sums fell")
--- a/pkg/rollout/track.go
+++ b/pkg/rollout/track.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// track follows one rollout within one term.
+// track advances one rollout within one term.
 type track struct {
 	cfg      Controller
 	metrics  metrics
@@ -20,8 +20,8 @@
 	evidence Evidence
 	// began is when this term began to observe the step, on the local clock.
 	began time.Time
-	// last are the counters read last; nil asks for a first reading.
-	last *StepCounts
+	// lastCounts are the counters of the previous reading; nil before the first.
+	lastCounts *StepCounts
 }
 
 func newTrack(ctx context.Context, s *session, service string) (*track, error) {
@@ -34,7 +34,7 @@
 	return t, nil
 }
 
-// resume makes up for steps that the object API has lost, by the shares in force, once in each era.
+// resume restores steps that the object API has lost from the shares in force, once in each era.
 func (t *track) resume(ctx context.Context, c resource.ServiceConfig) error {
 	record := t.record.Value()
 	if record.Era >= t.era {
@@ -51,15 +51,15 @@
 	return trace.Wrap(t.record.Write(ctx, record), "store rollout of %s", t.service)
 }
 
-// step reads the counters, judges and stores what changed.
+// step reads the counters, evaluates the current step and stores a change.
 func (t *track) step(ctx context.Context, c resource.ServiceConfig) error {
 	r := *c.Spec.Rollout
 	state := t.record.Value().RolloutStatus
-	if over(r, state) {
+	if hasEnded(r, state) {
 		return nil
 	}
 	if err := t.observe(ctx, c); err != nil {
-		// Counters only rise, so that the next reading makes up for this one.
+		// Counters never decrease, so the next reading makes up for this one.
 		t.warn(err)
 	}
 	now := t.cfg.Clock.Now()
@@ -70,26 +70,26 @@
 	return t.enter(ctx, state, next, now)
 }
 
-// over reports whether the rollout has ended, so that nothing is left to count.
-func over(r resource.Rollout, s resource.RolloutStatus) bool {
+// hasEnded reports whether the rollout has ended, so that no more counters need to be read.
+func hasEnded(r resource.Rollout, s resource.RolloutStatus) bool {
 	return s.From == r.From && s.To == r.To && s.State != resource.RolloutProgressing
 }
 
-// observe adds what was counted since the reading before. A reading after a counter began anew only sets the mark.
+// observe adds what was counted since the previous reading. After a counter reset, the reading is only the new base.
 func (t *track) observe(ctx context.Context, c resource.ServiceConfig) error {
 	reading, err := t.cfg.Source.Read(ctx, c)
 	if err != nil {
 		return trace.Wrap(err, "read counters of %s", t.service)
 	}
 	now := t.cfg.Clock.Now()
-	if t.last != nil {
-		old, okOld := reading.Old.Since(t.last.Old)
-		fresh, okNew := reading.New.Since(t.last.New)
+	if t.lastCounts != nil {
+		old, okOld := reading.Old.Since(t.lastCounts.Old)
+		fresh, okNew := reading.New.Since(t.lastCounts.New)
 		if okOld && okNew {
 			t.evidence = t.evidence.Add(StepCounts{Old: old, New: fresh}, now.Sub(t.began))
 		}
 	}
-	t.last = &reading
+	t.lastCounts = &reading
 	return nil
 }
 
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -3,13 +3,12 @@
 // Verdict is the decision of a gate.
 type Verdict uint8
 
-// Verdicts.
 const (
-	// VerdictObserve asks for more evidence.
+	// VerdictObserve waits for more evidence.
 	VerdictObserve Verdict = iota + 1
-	// VerdictPromote lets the rollout go on to its next step.
+	// VerdictPromote advances the rollout to its next step.
 	VerdictPromote
-	// VerdictRollBack gives the new version up.
+	// VerdictRollBack rolls the new version back.
 	VerdictRollBack
 )
 
