--- a/pkg/flow/doc.go
+++ b/pkg/flow/doc.go
@@ -1,2 +1,2 @@
-// Package flow identifies flows by their five-tuple and hashes them the same way in every process.
+// Package flow identifies flows by their five-tuple and hashes them identically in every process.
 package flow
--- a/pkg/flow/key.go
+++ b/pkg/flow/key.go
@@ -7,13 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Protocol numbers of the Internet Protocol that auburnwood balances (IANA protocol numbers).
+// IANA protocol numbers of the balanced protocols.
 const (
 	ProtocolTCP uint8 = 6
 	ProtocolUDP uint8 = 17
 )
 
-// Key is the five-tuple of a flow, seen from the caller.
+// Key is the five-tuple of a flow, from the caller's side.
 type Key struct {
 	// Source is the caller's address and port.
 	Source netip.AddrPort
--- a/pkg/view/build.go
+++ b/pkg/view/build.go
@@ -9,12 +9,12 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// weightScale is the sum of the weights of a service's active targets, up to rounding. It leaves each of some thousand
-// targets a resolution of more than 0.1%.
+// weightScale is the sum of the weights of a service's active targets, up to rounding. It gives each of several
+// thousand targets a resolution of more than 0.1%.
 const weightScale = 1 << 24
 
-// Build returns the view of a revision and the members known to a process. It depends on nothing else, so that equal
-// input in any order gives equal views. Dead and left members are left out; unreachable ones are kept.
+// Build returns the view of a revision and the members known to a process. It depends on nothing else: equal input in
+// any order gives equal views. Dead and left members are omitted; unreachable ones are kept.
 func Build(rev resource.Revision, members []membership.Member) *View {
 	targets := targetsByService(members)
 	v := &View{Revision: rev.Number, Services: make([]*Service, 0, len(rev.Services))}
@@ -51,8 +51,8 @@
 	return s
 }
 
-// evacuated returns the members with those of evacuated data centres draining: they keep their flows and their places in the rows, and
-// take none until the data centre is used again.
+// evacuated returns the members with those of evacuated data centres draining: they keep their flows and their places
+// in the rows, and accept no new flows until the data centre is restored.
 func evacuated(members []membership.Member, dataCentres []string) []membership.Member {
 	if len(dataCentres) == 0 {
 		return members
@@ -92,8 +92,8 @@
 	return StateJoining
 }
 
-// weights divides new flows among targets: each version gets its share, and within a version each target gets a part in
-// proportion to its announced capacity. Without shares the version doesn't matter.
+// weights divides new flows among targets: each version gets its share, and within a version each target gets a
+// fraction in proportion to its announced capacity. Without shares the version doesn't matter.
 type weights struct {
 	shares   map[string]float64
 	capacity map[string]float64
@@ -137,7 +137,7 @@
 	return m.Version
 }
 
-// of returns the weight of a member. A draining one takes no new flow.
+// of returns the weight of a member; 0 for a draining one.
 func (w *weights) of(m membership.Member) uint32 {
 	if m.State == membership.StateDraining {
 		return 0
@@ -150,7 +150,7 @@
 	return uint32(max(1, math.Round(min(part, 1)*weightScale)))
 }
 
-// share returns the part of the member's version in all new flows.
+// share returns the fraction of all new flows that the member's version takes.
 func (w *weights) share(m membership.Member) float64 {
 	if w.shares == nil {
 		return 1
--- a/pkg/view/build_test.go
+++ b/pkg/view/build_test.go
@@ -124,7 +124,7 @@
 	require.Equal(t, StateDraining, s.Targets[0].State)
 	require.Zero(t, s.Targets[0].Weight)
 	require.Equal(t, s.Targets[1].Weight, s.Targets[2].Weight)
-	require.InDelta(t, weightScale, float64(s.Targets[1].Weight+s.Targets[2].Weight), 1, "the others take its part")
+	require.InDelta(t, weightScale, float64(s.Targets[1].Weight+s.Targets[2].Weight), 1, "the other targets take over its weight")
 	require.Equal(t, membership.StateActive, members[0].State, "the members themselves are not changed")
 	require.Equal(t, StateActive, with().Targets[0].State)
 	for _, x := range with("marka", "zarqa").Targets {
--- a/pkg/view/doc.go
+++ b/pkg/view/doc.go
@@ -1,2 +1,3 @@
-// Package view holds immutable snapshots of configuration and membership that the packet path decides on.
+// Package view defines immutable snapshots of configuration and membership, on which the packet path bases its
+// decisions.
 package view
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -33,23 +33,21 @@
 	return "unknown"
 }
 
-// Target is one target of a service and the agent beside it.
+// Target is one target of a service with its agent.
 type Target struct {
-	// ID names the target; it stays the same when its VM is replaced by one of the same name.
+	// ID identifies the target; it stays the same when its VM is replaced by one of the same name.
 	ID string
 	// Incarnation rises each time the target's agent starts.
 	Incarnation uint64
 	// Agent is the address of the agent's packet socket (UDP).
 	Agent netip.AddrPort
-	// Control is the host:port at which the agent takes requests of other agents; empty when it takes none.
+	// Control is the host:port at which the agent accepts requests of other agents; empty when it accepts none.
 	Control string
-	// Weight is the target's part of new flows in relation to the other targets; 0 takes none.
+	// Weight is the target's share of new flows relative to the other targets; a target of weight 0 gets none.
 	Weight uint32
-	// State is the target's state.
-	State TargetState
+	State  TargetState
 	// Version is the version that the target announces.
-	Version string
-	// DataCentre is the data centre of the target's VM.
+	Version    string
 	DataCentre string
 	// Slots is the number of requests that the target runs at once.
 	Slots uint32
