--- a/pkg/ticket/options.go
+++ b/pkg/ticket/options.go
@@ -7,7 +7,7 @@
 
 // Defaults of Options.
 const (
-	DefaultLife      = time.Minute
+	DefaultTTL       = time.Minute
 	DefaultRetention = 5 * time.Minute
 	DefaultMax       = 1 << 18
 )
@@ -18,19 +18,19 @@
 	Issuer string
 	// Incarnation differs with every start of the agent.
 	Incarnation uint64
-	// Life is the time in which a ticket must be submitted; 0 means DefaultLife.
-	Life time.Duration
-	// Retention is how long after its expiry the fate of a ticket is remembered; 0 means DefaultRetention.
+	// TTL is the time within which a ticket must be submitted; 0 means DefaultTTL.
+	TTL time.Duration
+	// Retention is how long after its expiry the state of a ticket is kept; 0 means DefaultRetention.
 	Retention time.Duration
-	// Max is the highest number of tickets that are remembered; 0 means DefaultMax. A full book issues none.
+	// Max is the highest number of tickets in memory; 0 means DefaultMax. A full book issues none.
 	Max int
-	// Rand makes the secrets; production uses a ChaCha8 source with a random seed.
+	// Rand generates the secrets; production uses a ChaCha8 source with a random seed.
 	Rand *rand.Rand
 }
 
 func (o Options) withDefaults() Options {
-	if o.Life == 0 {
-		o.Life = DefaultLife
+	if o.TTL == 0 {
+		o.TTL = DefaultTTL
 	}
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
--- a/pkg/ticket/ticket_test.go
+++ b/pkg/ticket/ticket_test.go
@@ -37,7 +37,7 @@
 var start = time.UnixMilli(1_700_000_000_000)
 
 func newTestBook(incarnation uint64, limit int) *Book {
-	return NewBook(Options{Issuer: "a", Incarnation: incarnation, Life: time.Second, Retention: 10 * time.Second,
+	return NewBook(Options{Issuer: "a", Incarnation: incarnation, TTL: time.Second, Retention: 10 * time.Second,
 		Max: limit, Rand: rand.New(rand.NewPCG(incarnation, 1))})
 }
 
@@ -115,15 +115,15 @@
 	require.Equal(t, StateForeign, b.Spend(start, later, 1).State)
 }
 
-func TestSpendSeesAnotherRequest(t *testing.T) {
+func TestSubmitDetectsDifferentRequest(t *testing.T) {
 	b := newTestBook(1, 0)
 	ticket := issueOne(t, b)
 	require.True(t, b.Spend(start, ticket, 1).Won)
-	require.False(t, b.Spend(start, ticket, 1).Other)
-	require.True(t, b.Spend(start, ticket, 2).Other)
+	require.False(t, b.Spend(start, ticket, 1).DifferentRequest)
+	require.True(t, b.Spend(start, ticket, 2).DifferentRequest)
 }
 
-func TestMemoryIsBoundedWithoutForgettingEarly(t *testing.T) {
+func TestMemoryIsBoundedWithoutEarlyEviction(t *testing.T) {
 	b := newTestBook(1, 100)
 	tickets, err := b.Issue(start, 100)
 	require.NoError(t, err)
@@ -173,8 +173,8 @@
 	}
 }
 
-// BenchmarkSpentTicket measures the memory of a ticket that was used.
-func BenchmarkSpentTicket(b *testing.B) {
+// BenchmarkSubmittedTicketMemory measures the memory per submitted ticket.
+func BenchmarkSubmittedTicketMemory(b *testing.B) {
 	const spent = 1 << 16
 	for b.Loop() {
 		var before, after runtime.MemStats
