--- a/internal/lab/requests/breakdown.go
+++ b/internal/lab/requests/breakdown.go
@@ -32,9 +32,9 @@
 	switch {
 	case w.idem:
 		return "idempotent"
-	case w.promise == caller.PromiseTicket:
+	case w.promise == caller.ProtectionTicket:
 		return "ticket"
-	case w.promise == caller.PromiseKey:
+	case w.promise == caller.ProtectionKey:
 		return "key"
 	}
 	return "plain"
--- a/internal/lab/requests/checker.go
+++ b/internal/lab/requests/checker.go
@@ -67,7 +67,7 @@
 	if runs == 0 {
 		c.lie(t, runs)
 	}
-	if !t.result.Whole {
+	if !t.result.Complete {
 		return
 	}
 	if t.result.Status == 200 {
--- a/internal/lab/requests/client.go
+++ b/internal/lab/requests/client.go
@@ -39,10 +39,10 @@
 			IdleConnTimeout:     callerIdle,
 		}
 		c.byService[s.name] = caller.New(caller.Options{
-			Base:      "http://" + s.name,
-			Transport: &impatient{next: t},
-			Ahead:     takeAhead,
-			Rand:      rand.New(rand.NewPCG(seed, uint64(index))),
+			Base:        "http://" + s.name,
+			Transport:   &impatient{next: t},
+			TicketBatch: takeAhead,
+			Rand:        rand.New(rand.NewPCG(seed, uint64(index))),
 		})
 	}
 	return c
@@ -59,12 +59,12 @@
 		ctx = withCut(ctx, w.cutAfter)
 	}
 	r := caller.Request{
-		Method:  http.MethodPost,
-		Path:    "/orders",
-		Header:  http.Header{headerWork: {strconv.Itoa(w.id)}, headerSize: {strconv.Itoa(w.size)}},
-		Body:    fmt.Appendf(nil, "order %d", w.id),
-		Promise: w.promise,
-		Key:     fmt.Sprintf("order-key-%024d", w.id),
+		Method:     http.MethodPost,
+		Path:       "/orders",
+		Header:     http.Header{headerWork: {strconv.Itoa(w.id)}, headerSize: {strconv.Itoa(w.size)}},
+		Body:       fmt.Appendf(nil, "order %d", w.id),
+		Protection: w.promise,
+		Key:        fmt.Sprintf("order-key-%024d", w.id),
 	}
 	if w.idem {
 		r.Method = http.MethodGet
--- a/internal/lab/requests/requests_test.go
+++ b/internal/lab/requests/requests_test.go
@@ -27,7 +27,7 @@
 
 func TestCheckerSeesBrokenPromises(t *testing.T) {
 	whole := func(body string) caller.Result {
-		return caller.Result{Outcome: caller.OutcomeRan, Whole: true, Status: 200, Body: []byte(body)}
+		return caller.Result{Outcome: caller.OutcomeRan, Complete: true, Status: 200, Body: []byte(body)}
 	}
 	right := workBody("route-svc", 0, 100)
 	tests := []struct {
--- a/internal/lab/requests/work.go
+++ b/internal/lab/requests/work.go
@@ -25,7 +25,7 @@
 	service string
 	caller  int
 	at      time.Duration
-	promise caller.Promise
+	promise caller.Protection
 	idem    bool
 	size    int
 	// deadline is the time that the caller gives.
@@ -60,19 +60,19 @@
 	w := work{id: id, at: at, caller: p.rand.IntN(callers), service: p.service(), deadline: p.pace.deadline}
 	switch x := p.rand.Float64(); {
 	case x < partTicket:
-		w.promise = caller.PromiseTicket
+		w.promise = caller.ProtectionTicket
 	case x < partTicket+partKey:
-		w.promise = caller.PromiseKey
+		w.promise = caller.ProtectionKey
 	case x < partTicket+partKey+partPlain:
-		w.promise = caller.PromisePlain
+		w.promise = caller.ProtectionNone
 	default:
-		w.promise = caller.PromisePlain
+		w.promise = caller.ProtectionNone
 		w.idem = true
 	}
 	if w.idem && p.rand.Float64() < 2*partLarge {
 		w.size = largeAnswer
 	}
-	protected := w.idem || w.promise != caller.PromisePlain
+	protected := w.idem || w.promise != caller.ProtectionNone
 	if x := p.rand.Float64(); protected && p.faults.has(faultCallerRetry) && x < partRetry {
 		w.cutAfter = time.Duration(1 + p.rand.Int64N(int64(2*p.pace.service)))
 	}
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -32,7 +32,7 @@
 // cancellation cancels the work where the service still can. Do returns no error: every end is an outcome.
 func (c *Client) Do(ctx context.Context, r Request) Result {
 	f := &fold{c: c, r: r, backoff: firstBackoff}
-	for f.result.Submissions < c.o.Submissions {
+	for f.result.Submissions < c.o.MaxSubmissions {
 		if !f.ready(ctx) {
 			break
 		}
@@ -104,14 +104,14 @@
 	if left != noTimeout {
 		req.Header.Set(request.HeaderTimeout, strconv.FormatInt(left.Milliseconds(), 10))
 	}
-	switch r.Promise {
-	case PromiseTicket:
+	switch r.Protection {
+	case ProtectionTicket:
 		req.Header.Set(request.HeaderTicket, ticket)
-	case PromiseKey:
+	case ProtectionKey:
 		req.Header.Set(request.HeaderKey, r.Key)
 		req.Header.Set(request.HeaderAttempt, strconv.Itoa(attempt))
 	}
-	request.NoReplay(req)
+	request.DisableTransportRetry(req)
 }
 
 func readSubmission(res *http.Response, body []byte) submission {
@@ -158,7 +158,7 @@
 
 func (c *Client) takeTickets(ctx context.Context) (request.TicketList, error) {
 	var list request.TicketList
-	url := c.o.Base + "/.well-known/auburnwood/tickets?n=" + strconv.Itoa(c.o.Ahead)
+	url := c.o.Base + "/.well-known/auburnwood/tickets?n=" + strconv.Itoa(c.o.TicketBatch)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return list, trace.Wrap(err, "take tickets")
--- a/pkg/caller/client_test.go
+++ b/pkg/caller/client_test.go
@@ -85,36 +85,36 @@
 	broken, refused := transportStep{broken: true}, transportStep{refused: true}
 	tests := []struct {
 		name    string
-		promise Promise
+		promise Protection
 		method  string
 		steps   []transportStep
 		want    Outcome
 		sent    string
 	}{
-		{"answer", PromiseTicket, "POST", []transportStep{{}}, OutcomeRan, "A"},
-		{"repeat told that it ran", PromiseTicket, "POST", []transportStep{broken, {run: request.RunYes}}, OutcomeRan, "A A"},
-		{"refused gets a new ticket", PromiseTicket, "POST", []transportStep{no, {}}, OutcomeRan, "A B"},
-		{"broken keeps its ticket", PromiseTicket, "POST", []transportStep{broken, broken, {}}, OutcomeRan, "A A A"},
-		{"broken, then refused for good", PromiseTicket, "POST", []transportStep{broken, no, {}}, OutcomeRan, "A A B"},
-		{"issuer gone before the first submission", PromiseTicket, "POST", []transportStep{gone, {}}, OutcomeRan, "A B"},
-		{"issuer gone after one that may have run", PromiseTicket, "POST", []transportStep{broken, gone}, OutcomeUnknown, "A A"},
-		{"lost", PromiseTicket, "POST", []transportStep{lost}, OutcomeUnknown, "A"},
-		{"never connected", PromiseTicket, "POST", []transportStep{refused}, OutcomeNotRun, "A A A"},
-		{"always refused", PromiseTicket, "POST", []transportStep{no}, OutcomeNotRun, "A B C"},
-		{"key broken, then refused", PromiseKey, "POST", []transportStep{broken, no, no}, OutcomeNotRun, "  "},
-		{"key broken, then store down", PromiseKey, "POST", []transportStep{broken, {run: "unknown", submission: "no", reason: refusal.ReasonClaimStore}}, OutcomeUnknown, "  "},
-		{"key refused, then store down", PromiseKey, "POST", []transportStep{no, {run: "unknown", submission: "no", reason: refusal.ReasonClaimStore}}, OutcomeNotRun, "  "},
-		{"plain broken is not repeated", PromisePlain, "POST", []transportStep{broken, {}}, OutcomeUnknown, ""},
-		{"plain refused is repeated", PromisePlain, "POST", []transportStep{no, refused, {}}, OutcomeRan, "  "},
-		{"get broken is repeated", PromisePlain, "GET", []transportStep{broken, {}}, OutcomeRan, " "},
-		{"get broken, then refused", PromisePlain, "GET", []transportStep{broken, no, no}, OutcomeUnknown, "  "},
+		{"answer", ProtectionTicket, "POST", []transportStep{{}}, OutcomeRan, "A"},
+		{"repeat told that it ran", ProtectionTicket, "POST", []transportStep{broken, {run: request.RunYes}}, OutcomeRan, "A A"},
+		{"refused gets a new ticket", ProtectionTicket, "POST", []transportStep{no, {}}, OutcomeRan, "A B"},
+		{"broken keeps its ticket", ProtectionTicket, "POST", []transportStep{broken, broken, {}}, OutcomeRan, "A A A"},
+		{"broken, then refused for good", ProtectionTicket, "POST", []transportStep{broken, no, {}}, OutcomeRan, "A A B"},
+		{"issuer gone before the first submission", ProtectionTicket, "POST", []transportStep{gone, {}}, OutcomeRan, "A B"},
+		{"issuer gone after one that may have run", ProtectionTicket, "POST", []transportStep{broken, gone}, OutcomeUnknown, "A A"},
+		{"lost", ProtectionTicket, "POST", []transportStep{lost}, OutcomeUnknown, "A"},
+		{"never connected", ProtectionTicket, "POST", []transportStep{refused}, OutcomeNotRun, "A A A"},
+		{"always refused", ProtectionTicket, "POST", []transportStep{no}, OutcomeNotRun, "A B C"},
+		{"key broken, then refused", ProtectionKey, "POST", []transportStep{broken, no, no}, OutcomeNotRun, "  "},
+		{"key broken, then store down", ProtectionKey, "POST", []transportStep{broken, {run: "unknown", submission: "no", reason: refusal.ReasonClaimStore}}, OutcomeUnknown, "  "},
+		{"key refused, then store down", ProtectionKey, "POST", []transportStep{no, {run: "unknown", submission: "no", reason: refusal.ReasonClaimStore}}, OutcomeNotRun, "  "},
+		{"plain broken is not repeated", ProtectionNone, "POST", []transportStep{broken, {}}, OutcomeUnknown, ""},
+		{"plain refused is repeated", ProtectionNone, "POST", []transportStep{no, refused, {}}, OutcomeRan, "  "},
+		{"get broken is repeated", ProtectionNone, "GET", []transportStep{broken, {}}, OutcomeRan, " "},
+		{"get broken, then refused", ProtectionNone, "GET", []transportStep{broken, no, no}, OutcomeUnknown, "  "},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &scriptedTransport{steps: tt.steps}
-			c := New(Options{Base: "http://service", Transport: s, Ahead: 1, Submissions: 3,
+			c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 3,
 				Sleep: func(context.Context, time.Duration) error { return nil }})
-			r := c.Do(context.Background(), Request{Method: tt.method, Path: "/", Promise: tt.promise, Key: "0123456789abcdef"})
+			r := c.Do(context.Background(), Request{Method: tt.method, Path: "/", Protection: tt.promise, Key: "0123456789abcdef"})
 			require.Equal(t, tt.want.String(), r.Outcome.String())
 			require.Equal(t, tt.sent, strings.Join(s.sent, " "))
 		})
@@ -124,9 +124,9 @@
 func TestGivenUpTicketIsCancelled(t *testing.T) {
 	for _, stopped := range []bool{true, false} {
 		s := &scriptedTransport{steps: []transportStep{{broken: true}}, stopped: stopped}
-		c := New(Options{Base: "http://service", Transport: s, Ahead: 1, Submissions: 1,
+		c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 1,
 			Sleep: func(context.Context, time.Duration) error { return nil }})
-		r := c.Do(context.Background(), Request{Method: "POST", Path: "/", Promise: PromiseTicket})
+		r := c.Do(context.Background(), Request{Method: "POST", Path: "/", Protection: ProtectionTicket})
 		want := OutcomeUnknown
 		if stopped {
 			want = OutcomeNotRun
@@ -142,13 +142,13 @@
 	now := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(time.Hour))
 	defer cancel()
-	c := New(Options{Base: "http://service", Transport: s, Ahead: 1, Submissions: 100, Now: func() time.Time { return now },
+	c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 100, Now: func() time.Time { return now },
 		Sleep: func(_ context.Context, d time.Duration) error {
 			slept += d
 			now = now.Add(50 * time.Minute)
 			return nil
 		}})
-	r := c.Do(ctx, Request{Method: "POST", Path: "/", Promise: PromisePlain})
+	r := c.Do(ctx, Request{Method: "POST", Path: "/", Protection: ProtectionNone})
 	require.Equal(t, OutcomeNotRun, r.Outcome)
 	require.Less(t, r.Submissions, 100)
 }
--- a/pkg/caller/fold.go
+++ b/pkg/caller/fold.go
@@ -22,7 +22,7 @@
 // ready gets a ticket when one is needed; false means that the request can't be submitted now.
 func (f *fold) ready(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		if f.r.Promise != PromiseTicket || f.ticket != "" {
+		if f.r.Protection != ProtectionTicket || f.ticket != "" {
 			return true
 		}
 		t, err := f.c.ticket(ctx)
@@ -42,7 +42,7 @@
 	f.note(s)
 	if s.answered() {
 		f.result.Outcome = OutcomeRan
-		f.result.Whole = true
+		f.result.Complete = true
 		return true
 	}
 	if s.run == request.RunYes {
@@ -50,10 +50,10 @@
 		return true
 	}
 	f.open = f.open || s.mayHaveRun()
-	switch f.r.Promise {
-	case PromiseTicket:
+	switch f.r.Protection {
+	case ProtectionTicket:
 		return f.addTicket(s)
-	case PromiseKey:
+	case ProtectionKey:
 		return f.addKey(s)
 	}
 	return f.open && !f.r.idempotent() && f.unknown()
@@ -134,7 +134,7 @@
 	if !f.open {
 		return f.result
 	}
-	if f.r.Promise == PromiseTicket && f.c.cancel(f.ticket) {
+	if f.r.Protection == ProtectionTicket && f.c.cancel(f.ticket) {
 		return f.result
 	}
 	f.result.Outcome = OutcomeUnknown
--- a/pkg/caller/options.go
+++ b/pkg/caller/options.go
@@ -11,8 +11,8 @@
 
 // Defaults of Options.
 const (
-	DefaultAhead       = 8
-	DefaultSubmissions = 6
+	DefaultTicketBatch    = 8
+	DefaultMaxSubmissions = 6
 	// DefaultGrace is longer than the agents' grace, so that their last word arrives.
 	DefaultGrace = 750 * time.Millisecond
 	// firstBackoff is the first pause after a failure that names no time; it doubles up to maxBackoff.
@@ -26,10 +26,10 @@
 	Base string
 	// Transport sends requests; requests are written so that http.Transport doesn't repeat them by itself.
 	Transport http.RoundTripper
-	// Ahead is the number of tickets that are taken at once; 0 means DefaultAhead.
-	Ahead int
-	// Submissions is the highest number of submissions of one request; 0 means DefaultSubmissions.
-	Submissions int
+	// TicketBatch is the number of tickets that are taken at once; 0 means DefaultAhead.
+	TicketBatch int
+	// MaxSubmissions is the highest number of submissions of one request; 0 means DefaultSubmissions.
+	MaxSubmissions int
 	// Grace is how long after the deadline a submission that was sent is still listened to; 0 means DefaultGrace.
 	Grace time.Duration
 	// Now is the clock; nil means time.Now.
@@ -41,11 +41,11 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.Ahead == 0 {
-		o.Ahead = DefaultAhead
+	if o.TicketBatch == 0 {
+		o.TicketBatch = DefaultTicketBatch
 	}
-	if o.Submissions == 0 {
-		o.Submissions = DefaultSubmissions
+	if o.MaxSubmissions == 0 {
+		o.MaxSubmissions = DefaultMaxSubmissions
 	}
 	if o.Grace == 0 {
 		o.Grace = DefaultGrace
--- a/pkg/caller/request.go
+++ b/pkg/caller/request.go
@@ -11,8 +11,8 @@
 	Header http.Header
 	// Body is sent with each submission.
 	Body []byte
-	// Promise is how the work is protected; idempotent methods need none.
-	Promise Promise
+	// Protection is how the work is protected; idempotent methods need none.
+	Protection Protection
 	// Key is the Idempotency-Key for PromiseKey, at least 16 characters, unique for each piece of work.
 	Key string
 }
@@ -21,7 +21,7 @@
 func (r Request) idempotent() bool {
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
-		return r.Promise == PromisePlain
+		return r.Protection == ProtectionNone
 	}
 	return false
 }
--- a/pkg/caller/result.go
+++ b/pkg/caller/result.go
@@ -13,9 +13,9 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Whole is true when Body is the whole answer of the target. OutcomeRan without it means that the answer is no
+	// Complete is true when Body is the whole answer of the target. OutcomeRan without it means that the answer is no
 	// longer kept.
-	Whole bool
+	Complete bool
 	// Reason and Record are those of the last refusal.
 	Reason string
 	Record string
--- a/pkg/ctl/app.go
+++ b/pkg/ctl/app.go
@@ -21,7 +21,7 @@
 
 // RefusalReader finds refusal records; refusal.Reader is one.
 type RefusalReader interface {
-	Find(ctx context.Context, q refusal.Query) (refusal.Answer, error)
+	Find(ctx context.Context, q refusal.Query) (refusal.QueryResult, error)
 }
 
 // App runs the commands of auburnwoodctl.
--- a/pkg/ctl/app_test.go
+++ b/pkg/ctl/app_test.go
@@ -23,7 +23,7 @@
 type desk struct {
 	t       *testing.T
 	store   *store.Store
-	answer  refusal.Answer
+	answer  refusal.QueryResult
 	query   refusal.Query
 	stdin   string
 	out     bytes.Buffer
@@ -36,7 +36,7 @@
 }
 
 // Find implements RefusalReader.
-func (d *desk) Find(_ context.Context, q refusal.Query) (refusal.Answer, error) {
+func (d *desk) Find(_ context.Context, q refusal.Query) (refusal.QueryResult, error) {
 	d.query = q
 	return d.answer, nil
 }
@@ -220,7 +220,7 @@
 	require.Equal(t, netip.MustParsePrefix("192.0.2.7/32"), d.query.Caller)
 	require.Equal(t, d.clockAt, d.query.To)
 	require.Equal(t, d.clockAt.Add(-time.Hour), d.query.From)
-	d.answer = refusal.Answer{Refusals: 3, Records: []refusal.Record{
+	d.answer = refusal.QueryResult{Refusals: 3, Records: []refusal.Record{
 		{Time: d.clockAt, Count: 1, Caller: netip.MustParseAddrPort("192.0.2.7:999"), Reason: refusal.ReasonNoTarget, Run: refusal.RunNo, Detail: "none is active"},
 		{Time: d.clockAt, Last: d.clockAt.Add(time.Second), Count: 2, Callers: netip.MustParsePrefix("192.0.2.0/24"), Service: "a", Reason: refusal.ReasonAllFull},
 	}}
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -99,7 +99,7 @@
 }
 
 // writeAnswer writes the records. Objects that could not be read make an error, since records may be missing.
-func (s *session) writeAnswer(a refusal.Answer) error {
+func (s *session) writeAnswer(a refusal.QueryResult) error {
 	out := answerJSON{Refusals: a.Refusals, Records: a.Records}
 	for _, err := range a.Unreadable {
 		out.Unreadable = append(out.Unreadable, trace.UserMessage(err))
@@ -117,7 +117,7 @@
 }
 
 // writeRecords writes the records as a table.
-func (s *session) writeRecords(a refusal.Answer) error {
+func (s *session) writeRecords(a refusal.QueryResult) error {
 	if len(a.Records) == 0 {
 		_, err := fmt.Fprintln(s.app.Stdout, "no refusals found")
 		return trace.Wrap(err, "writing the output")
--- a/pkg/refusal/log_test.go
+++ b/pkg/refusal/log_test.go
@@ -66,7 +66,7 @@
 }
 
 // find reads all records of the last day.
-func find(t *testing.T, s objectapi.Store, q Query) Answer {
+func find(t *testing.T, s objectapi.Store, q Query) QueryResult {
 	t.Helper()
 	q.From, q.To = time.Now().Add(-24*time.Hour), time.Now()
 	a, err := NewReader(s).Find(t.Context(), q)
--- a/pkg/refusal/reader.go
+++ b/pkg/refusal/reader.go
@@ -32,8 +32,8 @@
 	Flow uint64
 }
 
-// Answer is what a query found.
-type Answer struct {
+// QueryResult is what a query found.
+type QueryResult struct {
 	// Records are sorted by time; copies are left out.
 	Records []Record
 	// Refusals is the number of refusals that the records stand for.
@@ -55,16 +55,16 @@
 }
 
 // Find returns the records that a query selects.
-func (r *Reader) Find(ctx context.Context, q Query) (Answer, error) {
+func (r *Reader) Find(ctx context.Context, q Query) (QueryResult, error) {
 	if q.To.Before(q.From) || q.To.Sub(q.From) > MaxQuerySpan {
-		return Answer{}, trace.BadParameter("op=find-refusals: the time must be from 0 to %s long", MaxQuerySpan)
+		return QueryResult{}, trace.BadParameter("op=find-refusals: the time must be from 0 to %s long", MaxQuerySpan)
 	}
-	var a Answer
+	var a QueryResult
 	var found []entry
 	for t := bucketOf(q.From); !t.After(q.To); t = t.Add(bucket) {
 		entries, err := r.bucket(ctx, t, &a)
 		if err != nil {
-			return Answer{}, trace.Wrap(err, "op=find-refusals hour=%s", t.Format(time.RFC3339))
+			return QueryResult{}, trace.Wrap(err, "op=find-refusals hour=%s", t.Format(time.RFC3339))
 		}
 		found = append(found, entries...)
 	}
@@ -85,7 +85,7 @@
 }
 
 // bucket reads all batches of an hour.
-func (r *Reader) bucket(ctx context.Context, t time.Time, a *Answer) ([]entry, error) {
+func (r *Reader) bucket(ctx context.Context, t time.Time, a *QueryResult) ([]entry, error) {
 	objects, _, err := r.store.List(ctx, KindAt(t))
 	if err != nil {
 		return nil, err
--- a/pkg/refusal/retention.go
+++ b/pkg/refusal/retention.go
@@ -43,12 +43,12 @@
 	}
 	deleted := 0
 	for r.next.Before(limit) {
-		n, whole, err := r.empty(ctx, KindAt(r.next), r.MaxDeletes-deleted)
+		n, empty, err := r.empty(ctx, KindAt(r.next), r.MaxDeletes-deleted)
 		deleted += n
 		if err != nil {
 			return deleted, trace.Wrap(err, "op=expire-refusals hour=%s", r.next.Format(time.RFC3339))
 		}
-		if !whole {
+		if !empty {
 			return deleted, nil
 		}
 		r.next = r.next.Add(bucket)
--- a/pkg/request/attempt.go
+++ b/pkg/request/attempt.go
@@ -9,10 +9,10 @@
 
 // attempt is one try to send a request; it knows whether a byte of it may have left.
 type attempt struct {
-	mu     sync.Mutex
-	conn   *countingConn
-	before int64
-	wrote  bool
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	wrote         bool
 }
 
 // withTrace returns a context that observes which connection the request gets.
@@ -27,7 +27,7 @@
 	a.wrote = a.sentLocked() || !ok
 	if ok {
 		a.conn = c
-		a.before = c.written.Load()
+		a.writtenBefore = c.written.Load()
 	}
 }
 
@@ -35,7 +35,7 @@
 	if a.wrote {
 		return true
 	}
-	return a.conn != nil && a.conn.written.Load() != a.before
+	return a.conn != nil && a.conn.written.Load() != a.writtenBefore
 }
 
 // maybeSent is false only when no byte of the request left this process.
--- a/pkg/request/benchmark_test.go
+++ b/pkg/request/benchmark_test.go
@@ -43,7 +43,7 @@
 	return ts.URL, s, "http://" + l.Addr().String()
 }
 
-func exchange(b *testing.B, method, url string, headers ...string) {
+func doRequest(b *testing.B, method, url string, headers ...string) {
 	req, err := http.NewRequest(method, url, strings.NewReader("order"))
 	if err != nil {
 		b.Fatal(err)
@@ -59,18 +59,18 @@
 	_ = res.Body.Close()
 }
 
-var quick = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") })
+var okHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") })
 
 func BenchmarkRequest(b *testing.B) {
-	direct, s, through := benchServer(b, quick, func(o *Options) { o.Store, o.ClaimRate = newMemoryStore(), 1e9 })
+	direct, s, through := benchServer(b, okHandler, func(o *Options) { o.Store, o.ClaimRate = newMemoryStore(), 1e9 })
 	b.Run("direct", func(b *testing.B) {
 		for b.Loop() {
-			exchange(b, "POST", direct)
+			doRequest(b, "POST", direct)
 		}
 	})
 	b.Run("plain", func(b *testing.B) {
 		for b.Loop() {
-			exchange(b, "POST", through)
+			doRequest(b, "POST", through)
 		}
 	})
 	b.Run("ticket", func(b *testing.B) {
@@ -79,12 +79,12 @@
 			if len(tickets) == 0 {
 				b.Fatal("book is full")
 			}
-			exchange(b, "POST", through, HeaderTicket, tickets[0].String())
+			doRequest(b, "POST", through, HeaderTicket, tickets[0].String())
 		}
 	})
 	b.Run("claim", func(b *testing.B) {
 		for b.Loop() {
-			exchange(b, "POST", through, HeaderKey, time.Now().String())
+			doRequest(b, "POST", through, HeaderKey, time.Now().String())
 		}
 	})
 }
--- a/pkg/request/claim.go
+++ b/pkg/request/claim.go
@@ -29,11 +29,11 @@
 	text, count, _ := strings.Cut(string(o.Value), " ")
 	t, err := ticket.Parse(text)
 	if err != nil {
-		return claim{}, trace.Wrap(errClaimBroken, "claim %s", o.Name)
+		return claim{}, trace.Wrap(errClaimMalformed, "claim %s", o.Name)
 	}
 	attempt, err := strconv.ParseUint(count, 10, 31)
 	if err != nil {
-		return claim{}, trace.Wrap(errClaimBroken, "claim %s", o.Name)
+		return claim{}, trace.Wrap(errClaimMalformed, "claim %s", o.Name)
 	}
 	return claim{object: o, ticket: t, attempt: attempt}, nil
 }
--- a/pkg/request/claim_test.go
+++ b/pkg/request/claim_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			target := newScriptedTarget(t, answerOK)
+			target := newScriptedTarget(t, responseOK)
 			_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = newMemoryStore(tt.faults...) })
 			res, body := call(t, "POST", url, "order", HeaderKey, testKey)
 			require.Equal(t, tt.status, res.StatusCode, body)
@@ -47,8 +47,8 @@
 }
 
 // After a refusal the claim may be stored; its ticket never runs, and the next submission takes its place.
-func TestRefusedClaimMakesWay(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+func TestRefusedClaimIsReplaced(t *testing.T) {
+	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore(faultLostAfter, faultDown, faultDown, faultDown)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = store })
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "1")
@@ -62,7 +62,7 @@
 
 // A submission that was made before the refused one must not start after its caller was told that nothing ran.
 func TestOlderSubmissionNeverStartsAfterARefusal(t *testing.T) {
-	target := newScriptedTarget(t, answerFit, answerOK)
+	target := newScriptedTarget(t, responseShed, responseOK)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = newMemoryStore() })
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "2")
 	require.Equal(t, string(refusal.ReasonTargetShed), res.Header.Get(HeaderReason))
@@ -73,7 +73,7 @@
 }
 
 func TestRepeatedKeyWithoutStoreIsUnknown(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = newMemoryStore(faultDown) })
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "2")
 	require.Equal(t, "unknown", res.Header.Get(HeaderRun))
@@ -81,7 +81,7 @@
 }
 
 func TestClaimsStayWithinTheWriteBudget(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore()
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store, o.ClaimRate = store, 0.001 })
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey)
@@ -92,7 +92,7 @@
 }
 
 func TestSweepDeletesOnlyOldClaims(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore()
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = store })
 	for _, end := range []string{"a", "b", "c"} {
@@ -110,7 +110,7 @@
 
 // Claims that are saved up stay when the rate changes, and new ones come at the new rate.
 func TestClaimRateFollowsTheFleet(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore()
 	var now atomic.Int64
 	now.Store(time.Now().UnixNano())
--- a/pkg/request/claims.go
+++ b/pkg/request/claims.go
@@ -25,24 +25,24 @@
 
 // Errors of a claim.
 var (
-	errNoStore     = errors.New("no object API is configured")
-	errClaimRate   = errors.New("the agent's share of the object API's writes is used up")
-	errClaimBroken = errors.New("the stored claim is malformed")
+	errNoStore        = errors.New("no object API is configured")
+	errClaimRate      = errors.New("the agent's share of the object API's writes is used up")
+	errClaimMalformed = errors.New("the stored claim is malformed")
 )
 
 // claims binds callers' keys to tickets by create-if-absent, so that every agent finds the one ticket of a key.
 type claims struct {
-	store   objectapi.Store
-	absence *absence
-	writes  *rate.Limiter
-	service string
-	now     func() time.Time
+	store        objectapi.Store
+	guard        *restoreGuard
+	writeLimiter *rate.Limiter
+	service      string
+	now          func() time.Time
 }
 
 func newClaims(o Options) *claims {
-	writes := rate.NewLimiter(rate.Limit(o.ClaimRate), o.ClaimBurst)
-	absence := &absence{store: o.Store, eras: o.Eras, now: o.Now}
-	return &claims{store: o.Store, absence: absence, writes: writes, service: o.Service, now: o.Now}
+	writeLimiter := rate.NewLimiter(rate.Limit(o.ClaimRate), o.ClaimBurst)
+	guard := &restoreGuard{store: o.Store, eras: o.Eras, now: o.Now}
+	return &claims{store: o.Store, guard: guard, writeLimiter: writeLimiter, service: o.Service, now: o.Now}
 }
 
 // name returns the object name of a key: keys are the callers' own text, and of one service.
@@ -54,13 +54,13 @@
 // claim binds the key to the offered ticket unless it is bound already, and returns the stored claim. After an error
 // the offered ticket may be stored; it must be cancelled.
 func (c *claims) claim(ctx context.Context, name string, offered claim) (claim, error) {
-	ctx, cancel, err := c.begin(ctx)
+	ctx, cancel, err := c.beginWrite(ctx)
 	if err != nil {
 		return claim{}, err
 	}
 	defer cancel()
 	for range eraChecks {
-		era, err := c.absence.proves(ctx, offered.attempt)
+		era, err := c.guard.check(ctx, offered.attempt)
 		if err != nil {
 			return c.find(ctx, name, err)
 		}
@@ -104,7 +104,7 @@
 // replace binds the key to another ticket, if the stored claim is still the given one. The caller has made sure that the
 // stored ticket never runs.
 func (c *claims) replace(ctx context.Context, old, offered claim) (claim, error) {
-	ctx, cancel, err := c.begin(ctx)
+	ctx, cancel, err := c.beginWrite(ctx)
 	if err != nil {
 		return claim{}, err
 	}
@@ -122,11 +122,11 @@
 	return claim{}, trace.Wrap(err, "replace claim")
 }
 
-func (c *claims) begin(ctx context.Context) (context.Context, context.CancelFunc, error) {
+func (c *claims) beginWrite(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	if c.store == nil {
 		return nil, nil, errNoStore
 	}
-	if !c.writes.AllowN(c.now(), 1) {
+	if !c.writeLimiter.AllowN(c.now(), 1) {
 		return nil, nil, errClaimRate
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
--- a/pkg/request/ran.go
+++ b/pkg/request/completed_work.go
@@ -12,8 +12,8 @@
 // RunYes is the run state of a repeat whose work has run and whose answer is no longer kept.
 const RunYes refusal.Run = "yes"
 
-// Ran is the document for a repeat whose work has run and whose answer is no longer kept. It is no refusal.
-type Ran struct {
+// CompletedWork is the document for a repeat whose work has run and whose answer is no longer kept. It is no refusal.
+type CompletedWork struct {
 	// Title is a sentence for people.
 	Title string `json:"title"`
 	// Ticket is the ticket.
@@ -24,9 +24,9 @@
 	Outcome int `json:"outcome"`
 }
 
-// sendRan tells a repeat that the work has run.
-func (s *Server) sendRan(u *submission, status int) {
-	body, err := json.Marshal(Ran{Title: fmt.Sprintf("the work has run and was answered with %d", status),
+// sendCompleted tells a repeat that the work has run.
+func (s *Server) sendCompleted(u *submission, status int) {
+	body, err := json.Marshal(CompletedWork{Title: fmt.Sprintf("the work has run and was answered with %d", status),
 		Ticket: u.ticket.String(), Run: RunYes, Outcome: status})
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/pkg/request/counts.go
+++ b/pkg/request/counts.go
@@ -10,23 +10,23 @@
 
 // counts count the requests that ended at the own target, or that this agent refused for want of one.
 type counts struct {
-	ended, failed atomic.Uint64
+	total, failed atomic.Uint64
 }
 
-// notTheTargets are the reasons that say nothing about the target: the caller's own cancel, the drain of the agent, and the evacuation
+// reasonsNotCounted are the reasons that say nothing about the target: the caller's own cancel, the drain of the agent, and the evacuation
 // of its data centre.
-var notTheTargets = []refusal.Reason{refusal.ReasonCancelled, refusal.ReasonDraining, refusal.ReasonEvacuated}
+var reasonsNotCounted = []refusal.Reason{refusal.ReasonCancelled, refusal.ReasonDraining, refusal.ReasonEvacuated}
 
 // add counts an outcome, unless it says nothing about the target.
 func (c *counts) add(o *outcome) {
-	if o.refusal != nil && slices.Contains(notTheTargets, o.refusal.Reason) {
+	if o.refusal != nil && slices.Contains(reasonsNotCounted, o.refusal.Reason) {
 		return
 	}
 	failed := o.failedAtTarget()
-	if !failed && o.cut {
+	if !failed && o.truncated {
 		return
 	}
-	c.ended.Add(1)
+	c.total.Add(1)
 	if failed {
 		c.failed.Add(1)
 	}
@@ -34,7 +34,7 @@
 
 // failedAtTarget reports whether the target did not answer, not wholly, or with a status of 500 or above.
 func (o *outcome) failedAtTarget() bool {
-	return o.refusal != nil || o.lost || o.status >= http.StatusInternalServerError
+	return o.refusal != nil || o.incomplete || o.status >= http.StatusInternalServerError
 }
 
 // Counts returns the number of requests that ended at this agent's target, those included that the agent refused, and
@@ -42,5 +42,5 @@
 // request that a peer ran is counted by the peer. Both numbers only rise.
 func (s *Server) Counts() (requests, failures uint64) {
 	failures = s.counts.failed.Load()
-	return s.counts.ended.Load(), failures
+	return s.counts.total.Load(), failures
 }
--- a/pkg/request/counts_test.go
+++ b/pkg/request/counts_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted waits until the server has counted the requests.
-func counted(t *testing.T, s *Server, requests, failures uint64) {
+// requireCounts waits until the server has requireCounts the requests.
+func requireCounts(t *testing.T, s *Server, requests, failures uint64) {
 	t.Helper()
 	ok := func() bool {
 		r, f := s.Counts()
@@ -31,12 +31,12 @@
 		method             string
 		requests, failures uint64
 	}{
-		{"answer", []string{answerOK}, "POST", 1, 0},
+		{"answer", []string{responseOK}, "POST", 1, 0},
 		{"the caller's mistake", []string{missing}, "POST", 1, 0},
 		{"failing target", []string{failing}, "POST", 1, 1},
-		{"no answer", []string{stepBreak}, "POST", 1, 1},
-		{"second try is answered", []string{stepBreak, answerOK}, "GET", 1, 0},
-		{"target refuses", []string{answerFit}, "POST", 1, 1},
+		{"no answer", []string{stepCloseConn}, "POST", 1, 1},
+		{"second try is answered", []string{stepCloseConn, responseOK}, "GET", 1, 0},
+		{"target refuses", []string{responseShed}, "POST", 1, 1},
 		{"target stops", []string{stepStop}, "GET", 1, 1},
 		{"late answer", []string{stepHang}, "POST", 1, 1},
 		{"cut answer", []string{cut}, "POST", 1, 1},
@@ -52,13 +52,13 @@
 				_, _ = io.Copy(io.Discard, res.Body)
 				_ = res.Body.Close()
 			}
-			counted(t, s, tt.requests, tt.failures)
+			requireCounts(t, s, tt.requests, tt.failures)
 		})
 	}
 }
 
 func TestCancelledRequestIsNotCounted(t *testing.T) {
-	target := newScriptedTarget(t, stepHang, answerOK)
+	target := newScriptedTarget(t, stepHang, responseOK)
 	s, url := newFaultServer(t, target.addr(), nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
@@ -68,5 +68,5 @@
 	require.ErrorIs(t, err, context.Canceled)
 	require.Eventually(t, func() bool { return s.Load().Busy == 0 }, 10*time.Second, time.Millisecond)
 	call(t, http.MethodPost, url, "order")
-	counted(t, s, 1, 0)
+	requireCounts(t, s, 1, 0)
 }
--- a/pkg/request/endpoint.go
+++ b/pkg/request/endpoint.go
@@ -19,11 +19,11 @@
 	return e
 }
 
-// leave tells the callers of HTTP/2 to send their further requests elsewhere (GOAWAY), and returns when the last
+// drain tells the callers of HTTP/2 to send their further requests elsewhere (GOAWAY), and returns when the last
 // connection has ended or ctx ends. A connection that was opened during a round is told in the next one.
-func (e *endpoint) leave(ctx context.Context, round time.Duration) {
+func (e *endpoint) drain(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, round)
+		limited, cancel := context.WithTimeout(ctx, interval)
 		err := e.server.Shutdown(limited)
 		cancel()
 		if err == nil {
--- a/pkg/request/fault_test.go
+++ b/pkg/request/fault_test.go
@@ -27,11 +27,11 @@
 
 // Steps of a scriptedTarget; any other text is sent as it is.
 const (
-	stepBreak = "break" // closes the connection without an answer
-	stepStop  = "stop"  // also stops listening
-	stepHang  = "hang"  // never answers
-	answerOK  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	answerFit = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nRetry-After: 0\r\n\r\n"
+	stepCloseConn = "break" // closes the connection without an answer
+	stepStop      = "stop"  // also stops listening
+	stepHang      = "hang"  // never answers
+	responseOK    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	responseShed  = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nRetry-After: 0\r\n\r\n"
 )
 
 func newScriptedTarget(t *testing.T, steps ...string) *scriptedTarget {
@@ -67,7 +67,7 @@
 		_, _ = io.Copy(io.Discard, req.Body)
 		n := min(int(s.hits.Add(1)), len(s.steps))
 		switch step := s.steps[n-1]; step {
-		case stepBreak:
+		case stepCloseConn:
 			return
 		case stepStop:
 			_ = s.listener.Close()
@@ -123,13 +123,13 @@
 		run    refusal.Run
 		hits   int32
 	}{
-		{"answer", []string{answerOK}, "POST", 200, "", "", 1},
-		{"post without answer is not repeated", []string{stepBreak, answerOK}, "POST", 502, refusal.ReasonTargetFailed, "unknown", 1},
-		{"get without answer is repeated", []string{stepBreak, answerOK}, "GET", 200, "", "", 2},
-		{"get is repeated a few times only", []string{stepBreak}, "GET", 502, refusal.ReasonTargetFailed, "unknown", maxAttempts},
+		{"answer", []string{responseOK}, "POST", 200, "", "", 1},
+		{"post without answer is not repeated", []string{stepCloseConn, responseOK}, "POST", 502, refusal.ReasonTargetFailed, "unknown", 1},
+		{"get without answer is repeated", []string{stepCloseConn, responseOK}, "GET", 200, "", "", 2},
+		{"get is repeated a few times only", []string{stepCloseConn}, "GET", 502, refusal.ReasonTargetFailed, "unknown", maxAttempts},
 		{"get that may have run is never called not run", []string{stepStop}, "GET", 503, refusal.ReasonTargetRefused, "unknown", 1},
-		{"shed post is not run and not repeated", []string{answerFit, answerOK}, "POST", 503, refusal.ReasonTargetShed, "no", 1},
-		{"shed get is repeated", []string{answerFit, answerOK}, "GET", 200, "", "", 2},
+		{"shed post is not run and not repeated", []string{responseShed, responseOK}, "POST", 503, refusal.ReasonTargetShed, "no", 1},
+		{"shed get is repeated", []string{responseShed, responseOK}, "GET", 200, "", "", 2},
 		{"answer without a length", []string{unsized}, "GET", 502, refusal.ReasonTargetFailed, "unknown", 1},
 		{"late answer", []string{stepHang}, "POST", 504, refusal.ReasonDeadline, "unknown", 1},
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-func TestClosedTargetIsNotRunAndSaysWhenToComeBack(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+func TestClosedTargetIsRefusedAsNotRunWithRetryAfter(t *testing.T) {
+	target := newScriptedTarget(t, responseOK)
 	require.NoError(t, target.listener.Close())
 	_, url := newFaultServer(t, target.addr(), nil)
 	begin := time.Now()
@@ -168,7 +168,7 @@
 // A transport repeats requests that it takes for idempotent after a lost connection, when it has used the connection
 // before. Here the second of the transport's own tries would be shed, and the caller told that nothing ran.
 func TestGetIsNotRepeatedByTheTransport(t *testing.T) {
-	target := newScriptedTarget(t, answerOK, stepBreak, answerFit)
+	target := newScriptedTarget(t, responseOK, stepCloseConn, responseShed)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.RetryRatio = 1e-9 })
 	call(t, "GET", url, "")
 	res, _ := call(t, "GET", url, "", HeaderTimeout, "300")
@@ -178,7 +178,7 @@
 // The same holds for a request with an idempotency header.
 func TestKeyIsNotRepeatedByTheTransport(t *testing.T) {
 	for _, name := range []string{HeaderKey, "X-Idempotency-Key"} {
-		target := newScriptedTarget(t, answerOK, stepBreak, answerOK)
+		target := newScriptedTarget(t, responseOK, stepCloseConn, responseOK)
 		_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = newMemoryStore() })
 		call(t, "GET", url, "")
 		res, _ := call(t, "POST", url, "", name, "0123456789abcdef")
@@ -188,7 +188,7 @@
 }
 
 func TestMalformedRequests(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	s, url := newFaultServer(t, target.addr(), nil)
 	ticket := s.issue(1)[0].String()
 	tests := []struct {
@@ -214,7 +214,7 @@
 }
 
 func TestHTTP10IsRefused(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	_, url := newFaultServer(t, target.addr(), nil)
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	require.NoError(t, err)
@@ -227,7 +227,7 @@
 	require.Zero(t, target.hits.Load())
 }
 
-func TestHeadersOfAgentsDoNotPass(t *testing.T) {
+func TestAgentHeadersAreNotForwarded(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	_, url := newTestServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header
@@ -254,7 +254,7 @@
 }
 
 func TestRecordsDoNotHoldSecrets(t *testing.T) {
-	target := newScriptedTarget(t, answerOK)
+	target := newScriptedTarget(t, responseOK)
 	recorder := &memoryRecorder{}
 	s, url := newFaultServer(t, target.addr(), func(o *Options) { o.Recorder = recorder })
 	k := s.issue(1)[0]
--- a/pkg/request/flow_conn.go
+++ b/pkg/request/flow_conn.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// lingerTime is how long a closing connection goes on reading what its caller still sends. A connection that is
+	// lingerTimeout is how long a closing connection goes on reading what its caller still sends. A connection that is
 	// closed with unread bytes is reset, and a reset destroys the part of an answer that is still on its way.
-	lingerTime = time.Second
-	// discardSize is the size of the buffer for bytes that nobody reads.
-	discardSize = 1 << 10
+	lingerTimeout = time.Second
+	// discardBufferSize is the size of the buffer for bytes that nobody reads.
+	discardBufferSize = 1 << 10
 )
 
 // flowConn is a caller's connection with the key of its flow; closed is closed with it.
@@ -24,10 +24,10 @@
 	key    flow.Key
 	closed chan struct{}
 	once   sync.Once
-	// life ends with the server; there is no lingering after that.
-	life context.Context
-	// head is what was read to tell the protocol; only readers use it.
-	head []byte
+	// serverCtx ends with the server; there is no lingering after that.
+	serverCtx context.Context
+	// sniffed is what was read to tell the protocol; only readers use it.
+	sniffed []byte
 
 	mu sync.Mutex
 	// idleSince is zero while a request is under way.
@@ -35,14 +35,14 @@
 	retired   bool
 }
 
-func newFlowConn(life context.Context, c net.Conn, key flow.Key, now time.Time) *flowConn {
-	return &flowConn{Conn: c, key: key, closed: make(chan struct{}), life: life, idleSince: now}
+func newFlowConn(serverCtx context.Context, c net.Conn, key flow.Key, now time.Time) *flowConn {
+	return &flowConn{Conn: c, key: key, closed: make(chan struct{}), serverCtx: serverCtx, idleSince: now}
 }
 
 // Read reads what the caller sends. After retire it discards everything until the caller closes, and reports the end.
 func (c *flowConn) Read(b []byte) (int, error) {
 	n, err := c.read(b)
-	if !c.received(n) {
+	if !c.markActive(n) {
 		return n, err
 	}
 	for err == nil {
@@ -52,16 +52,16 @@
 }
 
 func (c *flowConn) read(b []byte) (int, error) {
-	if len(c.head) == 0 {
+	if len(c.sniffed) == 0 {
 		return c.Conn.Read(b)
 	}
-	n := copy(b, c.head)
-	c.head = c.head[n:]
+	n := copy(b, c.sniffed)
+	c.sniffed = c.sniffed[n:]
 	return n, nil
 }
 
-// received notes that a request is under way, and reports whether the connection was retired before.
-func (c *flowConn) received(n int) bool {
+// markActive notes that a request is under way, and reports whether the connection was retired before.
+func (c *flowConn) markActive(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.retired && n > 0 {
@@ -70,8 +70,8 @@
 	return c.retired
 }
 
-// setIdle notes that no request is under way.
-func (c *flowConn) setIdle(now time.Time) {
+// markIdle notes that no request is under way.
+func (c *flowConn) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = now
@@ -79,10 +79,10 @@
 
 // retire takes the connection from its reader when it has been idle for the quiet time. From then on no request of it is
 // read, so that its last answer may be sent.
-func (c *flowConn) retire(now time.Time, quiet time.Duration) bool {
+func (c *flowConn) retire(now time.Time, idleFor time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.retired || c.idleSince.IsZero() || now.Sub(c.idleSince) < quiet {
+	if c.retired || c.idleSince.IsZero() || now.Sub(c.idleSince) < idleFor {
 		return false
 	}
 	c.retired = true
@@ -110,10 +110,10 @@
 	if c.CloseWrite() != nil {
 		return
 	}
-	stop := context.AfterFunc(c.life, func() { _ = c.Conn.Close() })
+	stop := context.AfterFunc(c.serverCtx, func() { _ = c.Conn.Close() })
 	defer stop()
-	_ = c.SetReadDeadline(time.Now().Add(lingerTime))
-	b := make([]byte, discardSize)
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	b := make([]byte, discardBufferSize)
 	for {
 		if _, err := c.Conn.Read(b); err != nil {
 			return
--- a/pkg/request/forward_ticket.go
+++ b/pkg/request/forward_ticket.go
@@ -11,26 +11,26 @@
 // forwardTicket passes a submission to the issuer of its ticket.
 func (s *Server) forwardTicket(u *submission) {
 	if u.hops > 0 {
-		s.refuseTicket(u, issuerGone(refusal.RunNo, "the ticket belongs to another agent"))
+		s.refuseTicket(u, issuerUnavailable(refusal.RunNo, "the ticket belongs to another agent"))
 		return
 	}
 	ctx, cancel := context.WithCancelCause(u.r.Context())
 	defer cancel(nil)
 	late := time.AfterFunc(u.deadline.Add(2*s.o.Grace).Sub(s.o.Now()), func() { cancel(errDeadline) })
 	defer late.Stop()
-	u.stream()
-	res, f := s.askIssuer(ctx, u)
+	u.enableFullDuplex()
+	res, f := s.sendToIssuer(ctx, u)
 	if f != nil {
 		s.refuseTicket(u, f)
 		return
 	}
 	defer res.Body.Close()
 	late.Stop()
-	s.passAnswer(u, res)
+	s.forwardIssuerResponse(u, res)
 }
 
-// askIssuer sends the submission. Sending it again is safe as long as the issuer's memory decides.
-func (s *Server) askIssuer(ctx context.Context, u *submission) (*http.Response, *Refusal) {
+// sendToIssuer sends the submission. Sending it again is safe as long as the issuer's memory decides.
+func (s *Server) sendToIssuer(ctx context.Context, u *submission) (*http.Response, *Refusal) {
 	maybeSent := false
 	for range issuerAttempts {
 		p, ok := s.o.Peers.Find(u.ticket.Issuer)
@@ -38,14 +38,14 @@
 			break
 		}
 		s.logPlacement(u.r, "forward", p.Agent, "issuer of the ticket")
-		res, sent, err := send(s.peers, s.toPeer(ctx, u, p, hopTicket))
+		res, sent, err := send(s.peers, s.peerRequest(ctx, u, p, hopTicket))
 		if err == nil {
-			s.learn(p, res)
+			s.updatePeerLoad(p, res)
 			return res, nil
 		}
-		s.loads.unusable(s.o.Now(), p.Agent)
+		s.loads.markUnreachable(s.o.Now(), p.Agent)
 		maybeSent = maybeSent || sent
-		if ctx.Err() != nil || !u.body.replayable() {
+		if ctx.Err() != nil || !u.body.isReplayable() {
 			break
 		}
 	}
@@ -58,28 +58,28 @@
 		submission = ""
 	}
 	if context.Cause(ctx) == errDeadline {
-		f := tooLate()
+		f := deadlineExceeded()
 		f.Submission = submission
 		return f
 	}
-	return issuerGone(submission, "the issuing agent can't be reached")
+	return issuerUnavailable(submission, "the issuing agent can't be reached")
 }
 
-// passAnswer passes the issuer's answer on, whole, or cut so that the caller sees it.
-func (s *Server) passAnswer(u *submission, res *http.Response) {
+// forwardIssuerResponse passes the issuer's answer on, whole, or cut so that the caller sees it.
+func (s *Server) forwardIssuerResponse(u *submission, res *http.Response) {
 	if runOf(res) != "" {
-		readAnswer(res).send(u.w)
+		readRelayed(res).send(u.w)
 		return
 	}
 	removeOwnHeaders(res.Header, HeaderRepeated)
 	copyHeader(u.w, res)
-	fromPeer, toCaller := copyBody(u.w, res, nothing{})
+	fromPeer, toCaller := copyBody(u.w, res, discardWriter{})
 	if fromPeer != nil || toCaller != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// nothing is an io.Writer that wants no answer.
-type nothing struct{}
+// discardWriter is an io.Writer that wants no answer.
+type discardWriter struct{}
 
-func (nothing) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/pkg/request/history_test.go
+++ b/pkg/request/history_test.go
@@ -35,15 +35,15 @@
 	eventUnknown = "told unknown"
 )
 
-// fate is the state of one piece of work in the model.
-type fate struct {
-	runs   int
-	denied int
+// workState is the state of one piece of work in the model.
+type workState struct {
+	runs           int
+	refusedThrough int
 }
 
-// promise is the model: work begins at most once, and never for a submission up to one whose caller was told that
+// atMostOnceModel is the model: work begins at most once, and never for a submission up to one whose caller was told that
 // nothing ran; a caller is told that work ran only when it did.
-var promise = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
 		for _, op := range history {
@@ -56,14 +56,14 @@
 		}
 		return list
 	},
-	Init: func() any { return fate{} },
+	Init: func() any { return workState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		f, e := state.(fate), input.(event)
+		f, e := state.(workState), input.(event)
 		switch e.kind {
 		case eventBegan:
-			return f.runs == 0 && e.attempt > f.denied, fate{runs: 1, denied: f.denied}
+			return f.runs == 0 && e.attempt > f.refusedThrough, workState{runs: 1, refusedThrough: f.refusedThrough}
 		case eventNo:
-			return f.runs == 0, fate{denied: max(f.denied, e.attempt)}
+			return f.runs == 0, workState{refusedThrough: max(f.refusedThrough, e.attempt)}
 		case eventRan:
 			return f.runs == 1, f
 		}
@@ -72,24 +72,24 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprint(input) },
 }
 
-// chronicle collects the history.
-type chronicle struct {
+// historyRecorder collects the history.
+type historyRecorder struct {
 	mu    sync.Mutex
 	begin time.Time
 	ops   []porcupine.Operation
 	last  int
 }
 
-func (c *chronicle) now() int64 { return time.Since(c.begin).Nanoseconds() }
+func (c *historyRecorder) now() int64 { return time.Since(c.begin).Nanoseconds() }
 
-func (c *chronicle) add(client int, e event, from, to int64) {
+func (c *historyRecorder) add(client int, e event, from, to int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ops = append(c.ops, porcupine.Operation{ClientId: client, Input: e, Call: from, Return: to})
 }
 
 // ServeHTTP is the target: it sheds some work, loses some answers and is slow at times.
-func (c *chronicle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *historyRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	dice := rand.IntN(20)
 	if dice < 5 {
@@ -115,7 +115,7 @@
 }
 
 // submit sends work once, drops some submissions, and notes what the caller was told. It returns true when the work ran.
-func (c *chronicle) submit(client int, url, work string, header, value string, attempt int) bool {
+func (c *historyRecorder) submit(client int, url, work string, header, value string, attempt int) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if rand.IntN(6) == 0 {
@@ -129,7 +129,7 @@
 	req.Header.Set("X-Work", work)
 	req.Header.Set(HeaderAttempt, strconv.Itoa(attempt))
 	req.Header.Set("X-Attempt", strconv.Itoa(attempt))
-	NoReplay(req)
+	DisableTransportRetry(req)
 	from := c.now()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -148,35 +148,35 @@
 	return kind == eventRan
 }
 
-// doubleBook runs a ticket for every submission.
-type doubleBook struct{ ticketBook }
+// doubleRunBook runs a ticket for every submission.
+type doubleRunBook struct{ ticketBook }
 
-func (b doubleBook) Spend(now time.Time, t ticket.Ticket, f uint64) ticket.Result {
+func (b doubleRunBook) Spend(now time.Time, t ticket.Ticket, f uint64) ticket.Result {
 	res := b.ticketBook.Spend(now, t, f)
 	res.Won = true
 	return res
 }
 
-func (b doubleBook) Start(t ticket.Ticket) bool {
+func (b doubleRunBook) Start(t ticket.Ticket) bool {
 	b.ticketBook.Start(t)
 	return true
 }
 
-// hastyBook lets a refused ticket be submitted again, so that "no" is said before it is final.
-type hastyBook struct {
+// prematureRefusalBook lets a refused ticket be submitted again, so that "no" is said before it is final.
+type prematureRefusalBook struct {
 	ticketBook
 	mu      sync.Mutex
 	refused map[ticket.Ticket]bool
 }
 
-func (b *hastyBook) Withdraw(now time.Time, t ticket.Ticket) bool {
+func (b *prematureRefusalBook) Withdraw(now time.Time, t ticket.Ticket) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refused[t] = true
 	return b.ticketBook.Withdraw(now, t)
 }
 
-func (b *hastyBook) Spend(now time.Time, t ticket.Ticket, f uint64) ticket.Result {
+func (b *prematureRefusalBook) Spend(now time.Time, t ticket.Ticket, f uint64) ticket.Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	res := b.ticketBook.Spend(now, t, f)
@@ -187,20 +187,20 @@
 	return res
 }
 
-func (b *hastyBook) Start(t ticket.Ticket) bool {
+func (b *prematureRefusalBook) Start(t ticket.Ticket) bool {
 	b.ticketBook.Start(t)
 	return true
 }
 
-// history runs concurrent submissions of the same tickets and keys at two agents, one of which dies on the way.
-func history(t *testing.T, wrap func(ticketBook) ticketBook) porcupine.CheckResult {
-	c := &chronicle{begin: time.Now()}
+// checkHistory runs concurrent submissions of the same tickets and keys at two agents, one of which dies on the way.
+func checkHistory(t *testing.T, wrap func(ticketBook) ticketBook) porcupine.CheckResult {
+	c := &historyRecorder{begin: time.Now()}
 	faults := make([]storeFault, 400)
 	for i := range faults {
 		faults[i] = []storeFault{faultNone, faultNone, faultDown, faultLostAfter, faultLostBefore}[rand.IntN(5)]
 	}
 	store := newMemoryStore(faults...)
-	a, b := newHistoryMember(t, "agent-a", c, store), newHistoryMember(t, "agent-b", c, store)
+	a, b := newHistoryAgent(t, "agent-a", c, store), newHistoryAgent(t, "agent-b", c, store)
 	a.peers.set(b.peer)
 	b.peers.set(a.peer)
 	a.server.book, b.server.book = wrap(a.server.book), wrap(b.server.book)
@@ -211,7 +211,7 @@
 				work := fmt.Sprintf("key-%010d-%010d", client, i)
 				ran := false
 				for attempt := 1; attempt <= 6 && !ran; attempt++ {
-					m := []*member{a, b}[rand.IntN(2)]
+					m := []*testAgent{a, b}[rand.IntN(2)]
 					ran = c.submit(client, m.url, work, HeaderKey, work, attempt)
 				}
 			}
@@ -221,7 +221,7 @@
 	for client := range 4 {
 		wg.Go(func() {
 			for _, k := range issued {
-				m := []*member{a, b}[rand.IntN(2)]
+				m := []*testAgent{a, b}[rand.IntN(2)]
 				c.submit(100+client, m.url, k.String(), HeaderTicket, k.String(), 1)
 			}
 		})
@@ -231,12 +231,12 @@
 	time.Sleep(20 * time.Millisecond) // work whose caller is gone may still begin
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return porcupine.CheckOperationsTimeout(promise, c.ops, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(atMostOnceModel, c.ops, 20*time.Second)
 }
 
-func newHistoryMember(t *testing.T, name string, target http.Handler, store *memoryStore) *member {
+func newHistoryAgent(t *testing.T, name string, target http.Handler, store *memoryStore) *testAgent {
 	t.Helper()
-	m := &member{peers: &testPeers{}}
+	m := &testAgent{peers: &testPeers{}}
 	m.server, m.url = newTestServer(t, target, func(o *Options) {
 		o.Agent, o.Peers, o.Store, o.Slots, o.ClaimRate = name, m.peers, store, 3, 1e6
 	})
@@ -251,16 +251,16 @@
 		want bool
 	}{
 		{"agent", func(b ticketBook) ticketBook { return b }, true},
-		{"runs a ticket twice", func(b ticketBook) ticketBook { return doubleBook{b} }, false},
+		{"runs a ticket twice", func(b ticketBook) ticketBook { return doubleRunBook{b} }, false},
 		{"says no before it is final", func(b ticketBook) ticketBook {
-			return &hastyBook{ticketBook: b, refused: make(map[ticket.Ticket]bool)}
+			return &prematureRefusalBook{ticketBook: b, refused: make(map[ticket.Ticket]bool)}
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			kept := true
 			for n := 0; n < 10 && kept && (n < 2 || !tt.want); n++ {
-				result := history(t, tt.wrap)
+				result := checkHistory(t, tt.wrap)
 				require.NotEqual(t, porcupine.Unknown, result)
 				kept = kept && result == porcupine.Ok
 			}
--- a/pkg/request/listener.go
+++ b/pkg/request/listener.go
@@ -16,8 +16,8 @@
 	return &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// offer hands over one connection; false means that the listener is closed.
-func (l *connListener) offer(c net.Conn) bool {
+// deliver hands over one connection; false means that the listener is closed.
+func (l *connListener) deliver(c net.Conn) bool {
 	select {
 	case l.conns <- c:
 		return true
--- a/pkg/request/options.go
+++ b/pkg/request/options.go
@@ -18,12 +18,12 @@
 
 // Defaults of Options.
 const (
-	DefaultDeadline   = 10 * time.Second
-	DefaultMaxTimeout = 10 * time.Minute
-	DefaultGrace      = 500 * time.Millisecond
-	DefaultSlots      = 1
-	DefaultClaimRate  = 20
-	DefaultAnswers    = 1024
+	DefaultDeadline        = 10 * time.Second
+	DefaultMaxTimeout      = 10 * time.Minute
+	DefaultGrace           = 500 * time.Millisecond
+	DefaultSlots           = 1
+	DefaultClaimRate       = 20
+	DefaultCachedResponses = 1024
 )
 
 // DialFunc opens a TCP connection.
@@ -53,15 +53,15 @@
 	MaxTimeout time.Duration
 	// Grace is how long after its deadline a started request may still answer; 0 means DefaultGrace.
 	Grace time.Duration
-	// TicketLife is the time in which a ticket must be submitted; 0 means ticket.DefaultLife.
-	TicketLife time.Duration
+	// TicketLifetime is the time in which a ticket must be submitted; 0 means ticket.DefaultLife.
+	TicketLifetime time.Duration
 	// TicketRetention is how long after its expiry the fate of a ticket is remembered; 0 means
 	// ticket.DefaultRetention.
 	TicketRetention time.Duration
 	// TicketMax bounds the remembered tickets; 0 means ticket.DefaultMax.
 	TicketMax int
-	// Answers is the number of small answers that are kept for repeats of a ticket; 0 means DefaultAnswers.
-	Answers int
+	// CachedResponses is the number of small answers that are kept for repeats of a ticket; 0 means DefaultAnswers.
+	CachedResponses int
 	// Store keeps the claims; nil refuses requests that need one.
 	Store objectapi.Store
 	// Eras are those of the object API behind Store; nil means that it names none.
@@ -100,7 +100,7 @@
 	o.ClaimRate = cmp.Or(o.ClaimRate, DefaultClaimRate)
 	o.ClaimBurst = cmp.Or(o.ClaimBurst, max(int(o.ClaimRate), 1))
 	o.RetryRatio = cmp.Or(o.RetryRatio, limit.DefaultRetryRatio)
-	o.Answers = cmp.Or(o.Answers, DefaultAnswers)
+	o.CachedResponses = cmp.Or(o.CachedResponses, DefaultCachedResponses)
 	if o.Peers == nil {
 		o.Peers = noPeers{}
 	}
--- a/pkg/request/outcome.go
+++ b/pkg/request/outcome.go
@@ -9,15 +9,15 @@
 	// refusal is set when the agent refuses.
 	refusal *Refusal
 	// relayed is a refusal that a peer has recorded; it is passed on as it is.
-	relayed *relayedAnswer
+	relayed *relayedResponse
 	// run is set with relayed.
 	run refusal.Run
 	// status is the HTTP status of a target's answer.
 	status int
-	// cut is true when the caller doesn't have the whole answer.
-	cut bool
-	// lost is true when the target did not give its whole answer.
-	lost bool
+	// truncated is true when the caller doesn't have the whole answer.
+	truncated bool
+	// incomplete is true when the target did not give its whole answer.
+	incomplete bool
 }
 
 func refused(f *Refusal) *outcome { return &outcome{refusal: f} }
@@ -29,7 +29,7 @@
 		return o.refusal.Run
 	case o.relayed != nil:
 		return o.run
-	case o.lost:
+	case o.incomplete:
 		return refusal.RunUnknown
 	}
 	return ""
--- a/pkg/request/outgoing.go
+++ b/pkg/request/outgoing.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// outgoing returns the request as the target gets it.
-func (s *Server) outgoing(ctx context.Context, u *submission, host string) *http.Request {
+// outgoingRequest returns the request as the target gets it.
+func (s *Server) outgoingRequest(ctx context.Context, u *submission, host string) *http.Request {
 	out := u.r.Clone(ctx)
 	out.RequestURI = ""
 	out.URL.Scheme = "http"
@@ -21,24 +21,24 @@
 		out.Header.Set("X-Forwarded-For", caller.Addr().String())
 	}
 	u.body.attach(out)
-	NoReplay(out)
+	DisableTransportRetry(out)
 	return out
 }
 
-// toPeer returns the request as another agent gets it.
-func (s *Server) toPeer(ctx context.Context, u *submission, p Peer, kind hopKind) *http.Request {
-	out := s.outgoing(ctx, u, p.Control.String())
-	s.markHop(out.Header, u.r.Context(), kind, u.hops+1)
+// peerRequest returns the request as another agent gets it.
+func (s *Server) peerRequest(ctx context.Context, u *submission, p Peer, kind hopKind) *http.Request {
+	out := s.outgoingRequest(ctx, u, p.Control.String())
+	s.setHopHeaders(out.Header, u.r.Context(), kind, u.hops+1)
 	if kind == hopTicket {
 		out.Header.Set(HeaderTicket, u.ticket.String())
 	}
-	if !u.body.whole {
+	if !u.body.buffered {
 		out.Header.Set("Expect", "100-continue")
 	}
 	return out
 }
 
-func (s *Server) markHop(h http.Header, ctx context.Context, kind hopKind, hops int) {
+func (s *Server) setHopHeaders(h http.Header, ctx context.Context, kind hopKind, hops int) {
 	key := callerOf(ctx)
 	h.Set(headerHop, strconv.Itoa(hops))
 	h.Set(headerKind, string(kind))
--- a/pkg/request/peer_loads.go
+++ b/pkg/request/peer_loads.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// loadLife is how long the load of a peer is believed.
-	loadLife = 250 * time.Millisecond
+	// loadMaxAge is how long the load of a peer is believed.
+	loadMaxAge = 250 * time.Millisecond
 	// sampleSize is the number of peers that are compared for one decision, whatever the size of the service.
 	sampleSize = 8
 )
@@ -22,8 +22,8 @@
 	at   time.Time
 }
 
-// free returns the number of slots that seem free; 0 when there is none or something waits.
-func (p peerLoad) free() int {
+// freeSlots returns the number of slots that seem freeSlots; 0 when there is none or something waits.
+func (p peerLoad) freeSlots() int {
 	if p.load.Waiting > 0 {
 		return 0
 	}
@@ -42,37 +42,37 @@
 type peerLoads struct {
 	mu    sync.Mutex
 	loads map[string]peerLoad
-	// hope is until when some peer may still seem free; without it nobody needs to look.
-	hope time.Time
+	// maybeFreeUntil is until when some peer may still seem free; without it nobody needs to look.
+	maybeFreeUntil time.Time
 }
 
 func newPeerLoads() *peerLoads {
 	return &peerLoads{loads: make(map[string]peerLoad)}
 }
 
-// learn takes a load that a peer told.
-func (p *peerLoads) learn(now time.Time, agent string, l limit.Load) {
+// update takes a load that a peer told.
+func (p *peerLoads) update(now time.Time, agent string, l limit.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := peerLoad{load: l, at: now}
 	p.loads[agent] = known
-	if known.free() > 0 {
-		p.hope = now.Add(loadLife)
+	if known.freeSlots() > 0 {
+		p.maybeFreeUntil = now.Add(loadMaxAge)
 	}
 }
 
-// hopeful reports whether some peer may have a free slot.
-func (p *peerLoads) hopeful(now time.Time) bool {
+// mayHaveFreePeer reports whether some peer may have a free slot.
+func (p *peerLoads) mayHaveFreePeer(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !now.After(p.hope)
+	return !now.After(p.maybeFreeUntil)
 }
 
-// unusable notes that a peer can't be reached.
-func (p *peerLoads) unusable(now time.Time, agent string) { p.learn(now, agent, limit.Load{}) }
+// markUnreachable notes that a peer can't be reached.
+func (p *peerLoads) markUnreachable(now time.Time, agent string) { p.update(now, agent, limit.Load{}) }
 
-// sending counts work that is sent to a peer, until it tells its load again.
-func (p *peerLoads) sending(agent string, n int) {
+// addSent counts work that is sent to a peer, until it tells its load again.
+func (p *peerLoads) addSent(agent string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.loads[agent]
@@ -88,11 +88,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.loads[agent]
-	return l, ok && now.Sub(l.at) <= loadLife
+	return l, ok && now.Sub(l.at) <= loadMaxAge
 }
 
-// keep forgets the peers that are no longer in the service.
-func (p *peerLoads) keep(peers []Peer) {
+// prune forgets the peers that are no longer in the service.
+func (p *peerLoads) prune(peers []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.loads) <= 2*len(peers)+sampleSize {
@@ -107,8 +107,8 @@
 	p.loads = known
 }
 
-// sample returns up to sampleSize peers, chosen at random.
-func sample(peers []Peer) []Peer {
+// samplePeers returns up to sampleSize peers, chosen at random.
+func samplePeers(peers []Peer) []Peer {
 	if len(peers) <= sampleSize {
 		return peers
 	}
--- a/pkg/request/place_tickets.go
+++ b/pkg/request/place_tickets.go
@@ -57,7 +57,7 @@
 	if !s.draining.Load() {
 		shares = append(shares, ticketShare{ratio: own.ratio(), slots: float64(max(own.load.Limit, 1))})
 	}
-	for _, p := range sample(s.o.Peers.Candidates()) {
+	for _, p := range samplePeers(s.o.Peers.Candidates()) {
 		l, fresh := s.loads.fresh(now, p.Agent)
 		if !fresh {
 			l = own
@@ -66,7 +66,7 @@
 	}
 	rand.Shuffle(len(shares), func(i, j int) { shares[i], shares[j] = shares[j], shares[i] })
 	for range n {
-		if best := lowest(shares); best != nil {
+		if best := leastLoaded(shares); best != nil {
 			best.count++
 			best.ratio += 1 / best.slots
 		}
@@ -74,7 +74,7 @@
 	return shares
 }
 
-func lowest(shares []ticketShare) *ticketShare {
+func leastLoaded(shares []ticketShare) *ticketShare {
 	var best *ticketShare
 	for i := range shares {
 		if best == nil || shares[i].ratio < best.ratio {
@@ -98,14 +98,14 @@
 func (s *Server) issueAtPeer(ctx context.Context, p Peer, n int) []ticket.Ticket {
 	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
 	defer cancel()
-	res, err := s.askPeer(ctx, p, http.MethodPost, ticketsPath+"?n="+strconv.Itoa(n), hopIssue)
+	res, err := s.callPeer(ctx, p, http.MethodPost, ticketsPath+"?n="+strconv.Itoa(n), hopIssue)
 	if err != nil {
 		return nil
 	}
 	defer res.Body.Close()
 	var list TicketList
-	answer := readAnswer(res)
-	if res.StatusCode != http.StatusOK || json.Unmarshal(answer.body, &list) != nil {
+	relayed := readRelayed(res)
+	if res.StatusCode != http.StatusOK || json.Unmarshal(relayed.body, &list) != nil {
 		return nil
 	}
 	var tickets []ticket.Ticket
--- a/pkg/request/probe.go
+++ b/pkg/request/probe.go
@@ -18,48 +18,48 @@
 // probe asks one peer of unknown load in the background. The rate is bounded for the whole agent.
 func (s *Server) probe() {
 	now := s.o.Now()
-	if s.probing.Load() >= maxProbing || s.probes.TokensAt(now) < 1 {
+	if s.probing.Load() >= maxProbing || s.probeLimiter.TokensAt(now) < 1 {
 		return
 	}
 	var stale []Peer
-	for _, p := range sample(s.o.Peers.Candidates()) {
+	for _, p := range samplePeers(s.o.Peers.Candidates()) {
 		if _, fresh := s.loads.fresh(now, p.Agent); !fresh {
 			stale = append(stale, p)
 		}
 	}
-	if len(stale) == 0 || !s.probes.AllowN(now, 1) {
+	if len(stale) == 0 || !s.probeLimiter.AllowN(now, 1) {
 		return
 	}
 	p := stale[rand.IntN(len(stale))]
 	s.probing.Add(1)
 	go func() {
 		defer s.probing.Add(-1)
-		s.askLoad(p)
+		s.fetchLoad(p)
 	}()
 }
 
-func (s *Server) askLoad(p Peer) {
+func (s *Server) fetchLoad(p Peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Control.String()+wellKnown+"load", nil)
 	if err != nil {
 		return
 	}
-	s.markHop(req.Header, ctx, hopLoad, 1)
+	s.setHopHeaders(req.Header, ctx, hopLoad, 1)
 	res, err := s.peers.RoundTrip(req)
 	if err != nil {
-		s.loads.unusable(s.o.Now(), p.Agent)
+		s.loads.markUnreachable(s.o.Now(), p.Agent)
 		return
 	}
 	defer res.Body.Close()
-	s.learn(p, res)
+	s.updatePeerLoad(p, res)
 }
 
-// learn takes the load from a peer's answer and removes it, so that no caller sees it.
-func (s *Server) learn(p Peer, res *http.Response) {
+// updatePeerLoad takes the load from a peer's answer and removes it, so that no caller sees it.
+func (s *Server) updatePeerLoad(p Peer, res *http.Response) {
 	l, ok := decodeLoad(res.Header.Get(headerLoad))
 	res.Header.Del(headerLoad)
 	if ok {
-		s.loads.learn(s.o.Now(), p.Agent, l)
+		s.loads.update(s.o.Now(), p.Agent, l)
 	}
 }
--- a/pkg/request/problem.go
+++ b/pkg/request/problem.go
@@ -68,7 +68,7 @@
 	if by == "" {
 		by = s.o.Agent
 	}
-	body, err := problemAnswer(w.Header(), f, by, s.record(r, f, by))
+	body, err := encodeProblem(w.Header(), f, by, s.record(r, f, by))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -76,8 +76,8 @@
 	_, _ = w.Write(body)
 }
 
-// problemAnswer sets the headers of a refusal and returns its document.
-func problemAnswer(h http.Header, f *Refusal, by, record string) ([]byte, error) {
+// encodeProblem sets the headers of a refusal and returns its document.
+func encodeProblem(h http.Header, f *Refusal, by, record string) ([]byte, error) {
 	p := Problem{
 		Type: problemURI + string(f.Reason), Title: string(f.Reason), Status: f.Status, Detail: f.Detail, Instance: record,
 		Reason: f.Reason, Run: f.Run, Submission: f.Submission, DecidedBy: by, RetryAfterMS: f.RetryAfter.Milliseconds(),
--- a/pkg/request/refusals.go
+++ b/pkg/request/refusals.go
@@ -9,17 +9,17 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// statusClosed is the status in the record of a caller that went away; nobody reads the answer.
-const statusClosed = 499
+// statusClientClosed is the status in the record of a caller that went away; nobody reads the answer.
+const statusClientClosed = 499
 
-// retryLater is what callers are told when nothing better is known.
-const retryLater = time.Second
+// defaultRetryAfter is what callers are told when nothing better is known.
+const defaultRetryAfter = time.Second
 
 // Causes of the end of a started request's context.
 var (
 	errDeadline  = errors.New("the deadline is over")
 	errClosed    = errors.New("the agent ended")
-	errOrphan    = errors.New("nobody reads the answer")
+	errOrphaned  = errors.New("nobody reads the answer")
 	errCancelled = errors.New("the caller cancelled")
 )
 
@@ -28,21 +28,21 @@
 }
 
 func callerGone() *Refusal {
-	return &Refusal{Reason: refusal.ReasonCancelled, Status: statusClosed,
+	return &Refusal{Reason: refusal.ReasonCancelled, Status: statusClientClosed,
 		Detail: "the caller went away or cancelled before the start", Run: refusal.RunNo}
 }
 
 func callerGoneRunning(cause error) *Refusal {
-	return &Refusal{Reason: refusal.ReasonCancelled, Status: statusClosed,
+	return &Refusal{Reason: refusal.ReasonCancelled, Status: statusClientClosed,
 		Detail: "the caller went away or cancelled after the start: " + cause.Error(), Run: refusal.RunUnknown}
 }
 
-func tooLate() *Refusal {
+func deadlineExceeded() *Refusal {
 	return &Refusal{Reason: refusal.ReasonDeadline, Status: http.StatusGatewayTimeout,
 		Detail: "the target did not answer before the deadline", Run: refusal.RunUnknown}
 }
 
-func tooLateToSend() *Refusal {
+func deadlineBeforeSend() *Refusal {
 	return &Refusal{Reason: refusal.ReasonDeadline, Status: http.StatusGatewayTimeout,
 		Detail: "no connection before the deadline", Run: refusal.RunNo}
 }
@@ -52,29 +52,29 @@
 		RetryAfter: d.RetryAfter}
 }
 
-func notConnected(err error) *Refusal {
+func connectFailed(err error) *Refusal {
 	return &Refusal{Reason: refusal.ReasonTargetRefused, Status: http.StatusServiceUnavailable,
-		Detail: "the target took no connection: " + err.Error(), Run: refusal.RunNo, RetryAfter: retryLater}
+		Detail: "the target took no connection: " + err.Error(), Run: refusal.RunNo, RetryAfter: defaultRetryAfter}
 }
 
-func notAnswered(err error) *Refusal {
+func responseLost(err error) *Refusal {
 	return &Refusal{Reason: refusal.ReasonTargetFailed, Status: http.StatusBadGateway,
 		Detail: "the connection ended before the answer: " + err.Error(), Run: refusal.RunUnknown}
 }
 
-func noLength() *Refusal {
+func unframedResponse() *Refusal {
 	return &Refusal{Reason: refusal.ReasonTargetFailed, Status: http.StatusBadGateway,
 		Detail: "the target's answer has neither a length nor chunks, so a cut could not be seen", Run: refusal.RunUnknown}
 }
 
 func shedByTarget(target string, after time.Duration) *Refusal {
 	return &Refusal{Reason: refusal.ReasonTargetShed, Status: http.StatusServiceUnavailable, DecidedBy: target,
-		Detail: "the target answered 503 with Retry-After", Run: refusal.RunNo, RetryAfter: max(after, retryLater/10)}
+		Detail: "the target answered 503 with Retry-After", Run: refusal.RunNo, RetryAfter: max(after, defaultRetryAfter/10)}
 }
 
-func noRetryLeft(err error) *Refusal {
+func retryBudgetSpent(err error) *Refusal {
 	return &Refusal{Reason: refusal.ReasonRetryBudget, Status: http.StatusBadGateway,
-		Detail: "the retry budget is spent; " + err.Error(), Run: refusal.RunUnknown, RetryAfter: retryLater}
+		Detail: "the retry budget is spent; " + err.Error(), Run: refusal.RunUnknown, RetryAfter: defaultRetryAfter}
 }
 
 func wrongService(asked string) *Refusal {
@@ -84,17 +84,17 @@
 
 func tooManyHops() *Refusal {
 	return &Refusal{Reason: refusal.ReasonAllFull, Status: http.StatusServiceUnavailable,
-		Detail: "the request was passed on too often", Run: refusal.RunNo, RetryAfter: retryLater}
+		Detail: "the request was passed on too often", Run: refusal.RunNo, RetryAfter: defaultRetryAfter}
 }
 
-func issuerGone(submission refusal.Run, detail string) *Refusal {
+func issuerUnavailable(submission refusal.Run, detail string) *Refusal {
 	return &Refusal{Reason: refusal.ReasonTicketGone, Status: http.StatusBadGateway, Detail: detail,
 		Run: refusal.RunUnknown, Submission: submission}
 }
 
-func claimStore(err error, run refusal.Run) *Refusal {
+func claimUnavailable(err error, run refusal.Run) *Refusal {
 	f := &Refusal{Reason: refusal.ReasonClaimStore, Status: http.StatusServiceUnavailable,
-		Detail: "the claim could not be made: " + err.Error(), Run: run, RetryAfter: retryLater}
+		Detail: "the claim could not be made: " + err.Error(), Run: run, RetryAfter: defaultRetryAfter}
 	if run == refusal.RunUnknown {
 		f.Submission = refusal.RunNo
 	}
@@ -106,7 +106,7 @@
 		Detail: "the caller takes more tickets than its share", Run: refusal.RunNo, RetryAfter: wait}
 }
 
-func bookFull() *Refusal {
+func ticketBookFull() *Refusal {
 	return &Refusal{Reason: refusal.ReasonQueueFull, Status: http.StatusServiceUnavailable,
-		Detail: "this agent remembers as many tickets as it may", Run: refusal.RunNo, RetryAfter: retryLater}
+		Detail: "this agent remembers as many tickets as it may", Run: refusal.RunNo, RetryAfter: defaultRetryAfter}
 }
--- a/pkg/request/relayed_answer.go
+++ b/pkg/request/relayed_response.go
@@ -6,25 +6,25 @@
 	"strconv"
 )
 
-// relayedAnswer is a small answer of a peer that is passed on as it is.
-type relayedAnswer struct {
+// relayedResponse is a small answer of a peer that is passed on as it is.
+type relayedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readAnswer reads a peer's refusal; one that is cut is passed on without its document, as the headers say all.
-func readAnswer(res *http.Response) *relayedAnswer {
+// readRelayed reads a peer's refusal; one that is cut is passed on without its document, as the headers say all.
+func readRelayed(res *http.Response) *relayedResponse {
 	removeConnectionHeaders(res.Header)
 	res.Header.Del(headerLoad)
 	body, err := io.ReadAll(io.LimitReader(res.Body, peerResponseLimit))
 	if err != nil {
 		body = nil
 	}
-	return &relayedAnswer{status: res.StatusCode, header: res.Header, body: body}
+	return &relayedResponse{status: res.StatusCode, header: res.Header, body: body}
 }
 
-func (a *relayedAnswer) send(w http.ResponseWriter) {
+func (a *relayedResponse) send(w http.ResponseWriter) {
 	h := w.Header()
 	for name, values := range a.header {
 		h[name] = values
--- a/pkg/request/answer.go
+++ b/pkg/request/response.go
@@ -30,9 +30,9 @@
 
 // copyBody streams the answer's body and trailers and flushes each part. After a failed write it goes on reading while
 // keep still wants the answer. The errors say which side ended early.
-func copyBody(w http.ResponseWriter, res *http.Response, keep io.Writer) (fromTarget, toCaller error) {
-	announced := len(res.Trailer)
-	out := &partWriter{w: w, c: http.NewResponseController(w)}
+func copyBody(w http.ResponseWriter, res *http.Response, cache io.Writer) (fromTarget, toCaller error) {
+	declared := len(res.Trailer)
+	out := &flushWriter{w: w, c: http.NewResponseController(w)}
 	if res.ContentLength != 0 {
 		toCaller = out.c.Flush()
 	}
@@ -42,33 +42,33 @@
 		if n > 0 && toCaller == nil {
 			toCaller = out.write(buf[:n])
 		}
-		_, _ = keep.Write(buf[:n])
+		_, _ = cache.Write(buf[:n])
 		if err == io.EOF {
-			copyTrailers(w, res, announced)
+			copyTrailers(w, res, declared)
 			return nil, toCaller
 		}
 		if err != nil {
 			return err, toCaller
 		}
-		if toCaller != nil && !wanted(keep) {
+		if toCaller != nil && !wantsMore(cache) {
 			return nil, toCaller
 		}
 	}
 }
 
-// wanted reports whether keep takes more of the answer.
-func wanted(keep io.Writer) bool {
-	k, ok := keep.(*keptAnswer)
-	return ok && !k.over
+// wantsMore reports whether keep takes more of the answer.
+func wantsMore(cache io.Writer) bool {
+	k, ok := cache.(*cachedResponse)
+	return ok && !k.overflowed
 }
 
-// partWriter writes and flushes parts of an answer.
-type partWriter struct {
+// flushWriter writes and flushes parts of an answer.
+type flushWriter struct {
 	w http.ResponseWriter
 	c *http.ResponseController
 }
 
-func (p *partWriter) write(b []byte) error {
+func (p *flushWriter) write(b []byte) error {
 	if _, err := p.w.Write(b); err != nil {
 		return err
 	}
@@ -76,9 +76,9 @@
 }
 
 // copyTrailers sets the trailers; those that were not announced need the prefix of net/http.
-func copyTrailers(w http.ResponseWriter, res *http.Response, announced int) {
+func copyTrailers(w http.ResponseWriter, res *http.Response, declared int) {
 	prefix := ""
-	if len(res.Trailer) != announced {
+	if len(res.Trailer) != declared {
 		prefix = http.TrailerPrefix
 	}
 	for name, values := range res.Trailer {
--- a/pkg/request/absence.go
+++ b/pkg/request/restore_guard.go
@@ -14,11 +14,11 @@
 
 // Times after the object API came back from an older copy in which a key without a claim may have been claimed before.
 const (
-	// distrustTime is as long as a ticket may be submitted.
-	distrustTime = time.Minute
-	// firstDistrustTime is for submissions that their callers count as the first ones: a later one may have run while the first was under way, which
+	// restoreQuarantine is as long as a ticket may be submitted.
+	restoreQuarantine = time.Minute
+	// firstAttemptQuarantine is for submissions that their callers count as the first ones: a later one may have run while the first was under way, which
 	// takes no longer than a deadline as a rule.
-	firstDistrustTime = 10 * time.Second
+	firstAttemptQuarantine = 10 * time.Second
 	// firstAttempt is the count of a submission before which the caller has made none.
 	firstAttempt = 1
 )
@@ -26,8 +26,8 @@
 // errClaimsRestored refuses a key whose claim may be lost.
 var errClaimsRestored = errors.New("the object API came back from an older copy, and the claim of this key may be lost")
 
-// absence tells whether a key that has no claim was never claimed. It is safe for concurrent use.
-type absence struct {
+// restoreGuard tells whether a key that has no claim was never claimed. It is safe for concurrent use.
+type restoreGuard struct {
 	store objectapi.Store
 	eras  *objectapi.Eras
 	now   func() time.Time
@@ -38,13 +38,13 @@
 	since time.Time
 }
 
-// proves returns nil when a key without a claim was never claimed, as far as the era goes that it returns. An object API that names no era loses
+// check returns nil when a key without a claim was never claimed, as far as the era goes that it returns. An object API that names no era loses
 // nothing.
-func (a *absence) proves(ctx context.Context, attempt uint64) (uint64, error) {
+func (a *restoreGuard) check(ctx context.Context, attempt uint64) (uint64, error) {
 	if a.eras.Newest() == 0 {
 		return 0, nil
 	}
-	if err := a.learn(ctx); err != nil {
+	if err := a.refreshEra(ctx); err != nil {
 		return 0, err
 	}
 	a.mu.Lock()
@@ -52,9 +52,9 @@
 	if newest := a.eras.Newest(); newest != a.era {
 		return 0, trace.Wrap(errClaimsRestored, "the start of era %d is not known yet", newest)
 	}
-	wait := distrustTime
+	wait := restoreQuarantine
 	if attempt == firstAttempt {
-		wait = firstDistrustTime
+		wait = firstAttemptQuarantine
 	}
 	if !a.since.IsZero() && a.now().Before(a.since.Add(wait)) {
 		return 0, errClaimsRestored
@@ -62,8 +62,8 @@
 	return a.era, nil
 }
 
-// learn reads since when the object API is in its era. The call also tells when there is a later one.
-func (a *absence) learn(ctx context.Context) error {
+// refreshEra reads since when the object API is in its era. The call also tells when there is a later one.
+func (a *restoreGuard) refreshEra(ctx context.Context) error {
 	stored, err := objectapi.GetTyped[resource.Era](ctx, a.store, resource.KindEra, resource.EraName)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return nil
--- a/pkg/request/restored_test.go
+++ b/pkg/request/restored_test.go
@@ -21,8 +21,8 @@
 	store  *store.Store
 	eras   *objectapi.Eras
 	client objectapi.Store
-	// passed is the time by which the agents' clock is ahead.
-	passed atomic.Int64
+	// clockOffset is the time by which the agents' clock is ahead.
+	clockOffset atomic.Int64
 }
 
 func newRestoredClaims(t *testing.T, era uint64) *restoredClaims {
@@ -35,17 +35,17 @@
 }
 
 // now is the agents' clock.
-func (r *restoredClaims) now() time.Time { return time.Now().Add(time.Duration(r.passed.Load())) }
+func (r *restoredClaims) now() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) }
 
 // options are those of an agent.
 func (r *restoredClaims) options(o *Options) {
 	o.Store, o.Eras = r.client, r.eras
 	o.Now = r.now
-	o.TicketLife = time.Hour
+	o.TicketLifetime = time.Hour
 }
 
-// describe writes since when the object API is in its era, as the holder of the compile lease does.
-func (r *restoredClaims) describe(since time.Time) {
+// publishEra writes since when the object API is in its era, as the holder of the compile lease does.
+func (r *restoredClaims) publishEra(since time.Time) {
 	b, err := json.Marshal(resource.Era{Era: r.store.Era(), Since: since})
 	require.NoError(r, err)
 	if o, err := r.store.Get(r.Context(), resource.KindEra, resource.EraName); err == nil {
@@ -73,22 +73,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRestoredClaims(t, c.era)
 			if c.era > 0 {
-				r.describe(time.Time{})
+				r.publishEra(time.Time{})
 			}
 			older := r.store.Copy()
-			target := newScriptedTarget(t, answerOK)
+			target := newScriptedTarget(t, responseOK)
 			_, url := newFaultServer(t, target.addr(), r.options)
 			res, body := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "2")
 			require.Equal(t, 200, res.StatusCode, body)
 			r.store.Restore(older)
-			other := newScriptedTarget(t, answerOK)
+			other := newScriptedTarget(t, responseOK)
 			_, second := newFaultServer(t, other.addr(), r.options)
 			for range 3 {
 				res, body = call(t, "POST", second, "order", HeaderKey, testKey, HeaderAttempt, c.attempt)
 				require.Equal(t, 503, res.StatusCode, body)
 				require.Equal(t, string(refusal.ReasonClaimStore), res.Header.Get(HeaderReason))
 				require.Equal(t, string(c.run), res.Header.Get(HeaderRun))
-				r.describe(r.now())
+				r.publishEra(r.now())
 			}
 			require.Zero(t, other.hits.Load())
 			list, _, err := r.store.List(t.Context(), resource.KindClaim)
@@ -100,8 +100,8 @@
 
 func TestAClaimThatIsNotLostHoldsInTheNextEra(t *testing.T) {
 	r := newRestoredClaims(t, 1)
-	r.describe(time.Time{})
-	target := newScriptedTarget(t, answerOK)
+	r.publishEra(time.Time{})
+	target := newScriptedTarget(t, responseOK)
 	_, url := newFaultServer(t, target.addr(), r.options)
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "1")
 	require.Equal(t, 200, res.StatusCode)
@@ -116,17 +116,17 @@
 	for _, c := range []struct {
 		attempt string
 		wait    time.Duration
-	}{{"1", firstDistrustTime}, {"2", distrustTime}, {"", distrustTime}} {
+	}{{"1", firstAttemptQuarantine}, {"2", restoreQuarantine}, {"", restoreQuarantine}} {
 		r := newRestoredClaims(t, 1)
-		r.describe(time.Time{})
-		target := newScriptedTarget(t, answerOK)
+		r.publishEra(time.Time{})
+		target := newScriptedTarget(t, responseOK)
 		_, url := newFaultServer(t, target.addr(), r.options)
 		older := r.store.Copy()
 		r.store.Restore(older)
-		r.describe(r.now())
+		r.publishEra(r.now())
 		res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, c.attempt)
 		require.Equal(t, 503, res.StatusCode)
-		r.passed.Add(int64(c.wait))
+		r.clockOffset.Add(int64(c.wait))
 		res, body := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, c.attempt)
 		require.Equal(t, 200, res.StatusCode, body)
 	}
--- a/pkg/request/run_local.go
+++ b/pkg/request/run_local.go
@@ -15,57 +15,57 @@
 // runLocal sends the work to the agent's own target; the submission has a slot. A nil outcome means that the work has
 // not run, or may run again, and needs another slot.
 func (u *submission) runLocal() *outcome {
-	if u.r.Context().Err() != nil || !u.begin() {
-		u.done(limit.Outcome{Result: limit.ResultIgnored})
+	if u.r.Context().Err() != nil || !u.startWork() {
+		u.releaseSlot(limit.Outcome{Result: limit.ResultIgnored})
 		return refused(callerGone())
 	}
 	u.s.logPlacement(u.r, "start", u.s.o.Agent, "slot free")
-	ctx, cancel := u.startContext()
+	ctx, cancel := u.workContext()
 	defer cancel(nil)
-	u.stream()
+	u.enableFullDuplex()
 	u.attempts++
 	start := u.s.o.Now()
 	late := time.AfterFunc(u.deadline.Add(u.s.o.Grace).Sub(start), func() { cancel(errDeadline) })
 	defer late.Stop()
-	res, sent, err := send(u.s.target, u.s.outgoing(ctx, u, u.s.o.Target.String()))
+	res, sent, err := send(u.s.target, u.s.outgoingRequest(ctx, u, u.s.o.Target.String()))
 	lead := u.s.o.Now().Sub(start)
 	if err != nil {
 		return u.localFailure(ctx, err, sent, lead)
 	}
 	defer res.Body.Close()
-	if after, ok := shedAnswer(res); ok {
+	if after, ok := parseShed(res); ok {
 		return u.localShed(after)
 	}
 	if closeDelimited(res) {
-		u.done(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
-		return refused(noLength())
+		u.releaseSlot(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
+		return refused(unframedResponse())
 	}
 	late.Stop()
-	defer u.boundOrphan(cancel)()
+	defer u.limitOrphan(cancel)()
 	removeOwnHeaders(res.Header)
-	o := u.answer(res)
-	u.done(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
+	o := u.forwardResponse(res)
+	u.releaseSlot(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
 	return o
 }
 
 func (u *submission) localFailure(ctx context.Context, err error, sent bool, lead time.Duration) *outcome {
 	if !sent {
-		u.done(limit.Outcome{Result: limit.ResultFailed})
-		u.back()
-		u.failure = notConnected(err)
-		return u.unlessGone(ctx)
+		u.releaseSlot(limit.Outcome{Result: limit.ResultFailed})
+		u.returnToWaiting()
+		u.failure = connectFailed(err)
+		return u.unsentOutcome(ctx)
 	}
-	u.done(limit.Outcome{Result: failureResult(ctx), Lead: lead})
-	return u.sent(ctx, err)
+	u.releaseSlot(limit.Outcome{Result: failureResult(ctx), Lead: lead})
+	return u.classifySentFailure(ctx, err)
 }
 
-// unlessGone returns nil while somebody waits for work that was not sent.
-func (u *submission) unlessGone(ctx context.Context) *outcome {
+// unsentOutcome returns nil while somebody waits for work that was not sent.
+func (u *submission) unsentOutcome(ctx context.Context) *outcome {
 	switch {
 	case context.Cause(ctx) == nil:
 		return nil
 	case context.Cause(ctx) == errDeadline:
-		return refused(tooLateToSend())
+		return refused(deadlineBeforeSend())
 	}
 	return refused(callerGone())
 }
@@ -83,16 +83,16 @@
 
 // localShed handles a target that did not run the work. Only idempotent work is tried again.
 func (u *submission) localShed(after time.Duration) *outcome {
-	u.done(limit.Outcome{Result: limit.ResultShed, RetryAfter: after})
+	u.releaseSlot(limit.Outcome{Result: limit.ResultShed, RetryAfter: after})
 	u.failure = shedByTarget(u.s.o.Target.String(), after)
-	if u.repeatable() && u.s.budget.Withdraw() {
+	if u.isRepeatable() && u.s.budget.Withdraw() {
 		return nil
 	}
 	return refused(u.failure)
 }
 
-// shedAnswer reports whether a target refused to run the work: 503 with Retry-After (RFC 9110, section 10.2.3).
-func shedAnswer(res *http.Response) (time.Duration, bool) {
+// parseShed reports whether a target refused to run the work: 503 with Retry-After (RFC 9110, section 10.2.3).
+func parseShed(res *http.Response) (time.Duration, bool) {
 	text := res.Header.Get("Retry-After")
 	if res.StatusCode != http.StatusServiceUnavailable || text == "" {
 		return 0, false
@@ -102,28 +102,28 @@
 	}
 	at, err := http.ParseTime(text)
 	if err != nil {
-		return retryLater, true
+		return defaultRetryAfter, true
 	}
 	return max(time.Until(at), 0), true
 }
 
-// answer passes a target's answer to the caller.
-func (u *submission) answer(res *http.Response) *outcome {
+// forwardResponse passes a target's forwardResponse to the caller.
+func (u *submission) forwardResponse(res *http.Response) *outcome {
 	o := &outcome{status: res.StatusCode}
-	var keep io.Writer = io.Discard
-	if u.flight != nil {
-		u.flight.answer = &keptAnswer{status: res.StatusCode}
-		keep = u.flight.answer
+	var cache io.Writer = io.Discard
+	if u.inflight != nil {
+		u.inflight.response = &cachedResponse{status: res.StatusCode}
+		cache = u.inflight.response
 	}
 	copyHeader(u.w, res)
-	if u.flight != nil {
-		u.flight.answer.header = u.w.Header().Clone()
+	if u.inflight != nil {
+		u.inflight.response.header = u.w.Header().Clone()
 	}
-	fromTarget, toCaller := copyBody(u.w, res, keep)
-	o.lost = fromTarget != nil
-	o.cut = o.lost || toCaller != nil
-	if u.flight != nil {
-		u.flight.answer.whole = !o.lost && len(res.Trailer) == 0
+	fromTarget, toCaller := copyBody(u.w, res, cache)
+	o.incomplete = fromTarget != nil
+	o.truncated = o.incomplete || toCaller != nil
+	if u.inflight != nil {
+		u.inflight.response.complete = !o.incomplete && len(res.Trailer) == 0
 	}
 	return o
 }
--- a/pkg/request/serve_caller.go
+++ b/pkg/request/serve_caller.go
@@ -18,7 +18,7 @@
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	removeOwnHeaders(r.Header, HeaderTicket, HeaderAttempt)
-	w = &answerWriter{ResponseWriter: w, s: s}
+	w = &drainResponseWriter{ResponseWriter: w, s: s}
 	if r.ProtoMajor == 1 && r.ProtoMinor == 0 {
 		s.refuseEarly(w, r, malformed("HTTP/1.0 can't show that an answer is cut"))
 		return
@@ -56,7 +56,7 @@
 func (s *Server) deadline(r *http.Request) (time.Time, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
-		return s.o.Now().Add(time.Duration(s.patience.Load())), nil
+		return s.o.Now().Add(time.Duration(s.defaultDeadline.Load())), nil
 	}
 	ms, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
@@ -76,7 +76,7 @@
 		s.serveTicket(u, t)
 		return
 	}
-	if key := u.r.Header.Get(HeaderKey); key != "" && !u.idempotent() {
+	if key := u.r.Header.Get(HeaderKey); key != "" && !u.isIdempotent() {
 		s.serveClaim(u, key)
 		return
 	}
@@ -85,8 +85,8 @@
 
 // finish tells the caller. An answer that is not whole is cut visibly.
 func (s *Server) finish(u *submission, o *outcome) {
-	o = u.honest(o)
-	u.conclude(o)
+	o = u.correctRunState(o)
+	u.recordOutcome(o)
 	switch {
 	case o.refusal != nil:
 		if u.ticket != nil {
@@ -95,15 +95,15 @@
 		s.refuse(u.w, u.r, o.refusal)
 	case o.relayed != nil:
 		o.relayed.send(u.w)
-	case o.cut:
-		s.recordCut(u, o)
+	case o.truncated:
+		s.recordIncomplete(u, o)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// recordCut leaves a record of an answer that the target did not finish.
-func (s *Server) recordCut(u *submission, o *outcome) {
-	if !o.lost {
+// recordIncomplete leaves a record of an answer that the target did not finish.
+func (s *Server) recordIncomplete(u *submission, o *outcome) {
+	if !o.incomplete {
 		return
 	}
 	f := &Refusal{Reason: refusal.ReasonTargetFailed, Status: o.status, Run: refusal.RunUnknown,
--- a/pkg/request/serve_claim.go
+++ b/pkg/request/serve_claim.go
@@ -48,7 +48,7 @@
 	ctx := u.r.Context()
 	held, err := s.claims.claim(ctx, name, offered)
 	for range maxReplaces {
-		if err != nil || held.ticket == offered.ticket || !s.replaceable(u, held, offered) {
+		if err != nil || held.ticket == offered.ticket || !s.canReplace(u, held, offered) {
 			break
 		}
 		held, err = s.claims.replace(ctx, held, offered)
@@ -81,14 +81,14 @@
 	if attemptOf(u.r) > 1 {
 		run = refusal.RunUnknown
 	}
-	f := claimStore(err, run)
+	f := claimUnavailable(err, run)
 	f.Request = name
 	s.refuse(u.w, u.r, f)
 }
 
-// replaceable reports whether the stored claim never runs and may make way for the offered one. A caller may have been
+// canReplace reports whether the stored claim never runs and may make way for the offered one. A caller may have been
 // told that its work did not run: a submission that it made before must not start after that.
-func (s *Server) replaceable(u *submission, held, offered claim) bool {
+func (s *Server) canReplace(u *submission, held, offered claim) bool {
 	status, ok := s.claimedStatus(u.r.Context(), held.ticket)
 	if !ok || status.Run != refusal.RunNo {
 		return false
@@ -110,5 +110,5 @@
 	if !ok {
 		return TicketStatus{}, false
 	}
-	return s.askStatus(ctx, p, t)
+	return s.queryTicketStatus(ctx, p, t)
 }
--- a/pkg/request/serve_control.go
+++ b/pkg/request/serve_control.go
@@ -15,7 +15,7 @@
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	r = r.WithContext(withCaller(r.Context(), hopCaller(r)))
-	w = &answerWriter{ResponseWriter: w, s: s}
+	w = &drainResponseWriter{ResponseWriter: w, s: s}
 	w.Header().Set(headerLoad, encodeLoad(s.Load()))
 	kind := hopKind(r.Header.Get(headerKind))
 	if kind == hopLoad {
@@ -41,7 +41,7 @@
 // serveHop runs a request that another agent passed on.
 func (s *Server) serveHop(w http.ResponseWriter, r *http.Request, kind hopKind, hops int) {
 	if kind == hopSteer && s.Load().Busy >= s.Load().Limit {
-		s.refuseQuietly(w, refusal.ReasonAllFull)
+		s.refuseUnrecorded(w, refusal.ReasonAllFull)
 		return
 	}
 	u, f := s.newSubmission(w, r)
@@ -60,15 +60,15 @@
 
 // finishSteered declines without a record: the agent that asked still has the request, and records its end.
 func (s *Server) finishSteered(u *submission) {
-	o := u.honest(u.run())
+	o := u.correctRunState(u.run())
 	if o.refusal != nil && o.refusal.Run == refusal.RunNo && o.refusal.Reason != refusal.ReasonTargetShed {
-		s.refuseQuietly(u.w, o.refusal.Reason)
+		s.refuseUnrecorded(u.w, o.refusal.Reason)
 		return
 	}
 	s.finish(u, o)
 }
 
-func (s *Server) refuseQuietly(w http.ResponseWriter, reason refusal.Reason) {
+func (s *Server) refuseUnrecorded(w http.ResponseWriter, reason refusal.Reason) {
 	h := w.Header()
 	h.Set(headerLoad, encodeLoad(s.Load()))
 	h.Set(HeaderRun, string(refusal.RunNo))
--- a/pkg/request/serve_ticket.go
+++ b/pkg/request/serve_ticket.go
@@ -21,58 +21,58 @@
 		return
 	}
 	if t.Incarnation != s.o.Incarnation {
-		s.refuseTicket(u, issuerGone(refusal.RunNo, "the issuing agent was restarted"))
+		s.refuseTicket(u, issuerUnavailable(refusal.RunNo, "the issuing agent was restarted"))
 		return
 	}
-	own := newFlight()
-	res, holder := s.flights.spend(s.book, s.o.Now(), t, fingerprint(u.r), own)
+	own := newInflight()
+	res, holder := s.inflight.spend(s.book, s.o.Now(), t, fingerprint(u.r), own)
 	if res.Won {
-		u.flight = own
-		defer s.abandon(t)
+		u.inflight = own
+		defer s.releaseTicket(t)
 		s.finish(u, u.run())
 		return
 	}
 	s.serveRepeat(u, res, holder)
 }
 
-// abandon ends a ticket whose submission did not come to its own end, because of a panic. Otherwise it does nothing.
-func (s *Server) abandon(t ticket.Ticket) {
+// releaseTicket ends a ticket whose submission did not come to its own end, because of a panic. Otherwise it does nothing.
+func (s *Server) releaseTicket(t ticket.Ticket) {
 	s.book.Lose(t)
 	s.book.Withdraw(s.o.Now(), t)
-	s.flights.land(t.Sequence)
+	s.inflight.finish(t.Sequence)
 }
 
 // serveRepeat answers a submission of a ticket that another one holds or held.
-func (s *Server) serveRepeat(u *submission, res ticket.Result, holder *flight) {
+func (s *Server) serveRepeat(u *submission, res ticket.Result, holder *inflight) {
 	if res.Other {
 		s.refuseTicket(u, &Refusal{Reason: refusal.ReasonTicketSpent, Status: http.StatusUnprocessableEntity,
 			Detail: "the ticket was used for another request", Run: refusal.RunUnknown, Submission: refusal.RunNo})
 		return
 	}
-	if holder != nil && !u.waitFor(holder) {
+	if holder != nil && !u.waitForHolder(holder) {
 		s.refuseTicket(u, &Refusal{Reason: refusal.ReasonTicketSpent, Status: http.StatusConflict,
 			Detail: "the ticket's work goes on", Run: refusal.RunUnknown, Submission: refusal.RunNo,
-			RetryAfter: retryLater})
+			RetryAfter: defaultRetryAfter})
 		return
 	}
-	if holder != nil && holder.answer.usable() {
-		holder.answer.send(u.w)
+	if holder != nil && holder.response.isComplete() {
+		holder.response.send(u.w)
 		return
 	}
-	if kept := s.answers.get(u.ticket.Sequence); kept != nil {
+	if kept := s.responses.get(u.ticket.Sequence); kept != nil {
 		kept.send(u.w)
 		return
 	}
 	res = s.book.Look(s.o.Now(), *u.ticket)
 	if res.State == ticket.StateRan {
-		s.sendRan(u, res.Status)
+		s.sendCompleted(u, res.Status)
 		return
 	}
 	s.refuseTicket(u, stateRefusal(res.State))
 }
 
-// waitFor waits until the holder of the ticket has ended; false when the deadline or the caller comes first.
-func (u *submission) waitFor(holder *flight) bool {
+// waitForHolder waits until the holder of the ticket has ended; false when the deadline or the caller comes first.
+func (u *submission) waitForHolder(holder *inflight) bool {
 	timer := time.NewTimer(u.deadline.Sub(u.s.o.Now()))
 	defer timer.Stop()
 	select {
@@ -101,7 +101,7 @@
 		f.Detail = "the ticket's work was started and its outcome is not known"
 	case ticket.StateWaiting, ticket.StateRunning:
 		f.Reason = refusal.ReasonTicketSpent
-		f.RetryAfter = retryLater
+		f.RetryAfter = defaultRetryAfter
 	default:
 		f.Reason = refusal.ReasonTicketUnknown
 		if state == ticket.StateForgotten {
--- a/pkg/request/serve_well_known.go
+++ b/pkg/request/serve_well_known.go
@@ -79,7 +79,7 @@
 
 func (s *Server) sendTickets(w http.ResponseWriter, r *http.Request, tickets []ticket.Ticket) {
 	if len(tickets) == 0 {
-		s.refuse(w, r, bookFull())
+		s.refuse(w, r, ticketBookFull())
 		return
 	}
 	list := TicketList{Expires: tickets[0].Expiry}
@@ -108,7 +108,7 @@
 		return
 	}
 	if t.Issuer != s.o.Agent || t.Incarnation != s.o.Incarnation {
-		f := issuerGone("", "the issuing agent was restarted")
+		f := issuerUnavailable("", "the issuing agent was restarted")
 		f.Request = t.ID()
 		s.refuse(w, r, f)
 		return
@@ -122,9 +122,9 @@
 // cancelTicket makes the ticket unusable, or asks its target to stop when it has started.
 func (s *Server) cancelTicket(t ticket.Ticket) {
 	if s.book.Cancel(s.o.Now(), t) == ticket.StateRunning {
-		s.flights.cancel(t.Sequence)
+		s.inflight.cancel(t.Sequence)
 	}
-	s.flights.nudge(t.Sequence)
+	s.inflight.wakeCancelled(t.Sequence)
 }
 
 func (s *Server) ticketStatus(t ticket.Ticket) TicketStatus {
@@ -146,35 +146,35 @@
 
 // passTicketStatus asks the issuer.
 func (s *Server) passTicketStatus(w http.ResponseWriter, r *http.Request, t ticket.Ticket) {
-	f := issuerGone("", "the issuing agent can't be reached")
+	f := issuerUnavailable("", "the issuing agent can't be reached")
 	f.Request = t.ID()
 	p, ok := s.o.Peers.Find(t.Issuer)
 	if !ok {
 		s.refuse(w, r, f)
 		return
 	}
-	res, err := s.askPeer(r.Context(), p, r.Method, r.URL.Path, hopCancel)
+	res, err := s.callPeer(r.Context(), p, r.Method, r.URL.Path, hopCancel)
 	if err != nil {
 		s.refuse(w, r, f)
 		return
 	}
 	defer res.Body.Close()
-	readAnswer(res).send(w)
+	readRelayed(res).send(w)
 }
 
-// askPeer calls an endpoint of another agent.
-func (s *Server) askPeer(ctx context.Context, p Peer, method, path string, kind hopKind) (*http.Response, error) {
+// callPeer calls an endpoint of another agent.
+func (s *Server) callPeer(ctx context.Context, p Peer, method, path string, kind hopKind) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Control.String()+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	s.markHop(req.Header, ctx, kind, 1)
+	s.setHopHeaders(req.Header, ctx, kind, 1)
 	res, err := s.peers.RoundTrip(req)
 	if err != nil {
-		s.loads.unusable(s.o.Now(), p.Agent)
+		s.loads.markUnreachable(s.o.Now(), p.Agent)
 		return nil, err
 	}
-	s.learn(p, res)
+	s.updatePeerLoad(p, res)
 	return res, nil
 }
 
--- a/pkg/request/server.go
+++ b/pkg/request/server.go
@@ -25,29 +25,29 @@
 // Server serves the callers' requests of one target. It has two endpoints: ServeFlow takes callers' connections, and
 // ServeControl takes connections of other agents.
 type Server struct {
-	o        Options
-	http1    *endpoint
-	http2    atomic.Pointer[endpoint]
-	control  *http.Server
-	conns    *connTable
-	target   *http.Transport
-	peers    *http.Transport
-	limiter  *limit.Limiter
-	budget   *limit.Budget
-	book     ticketBook
-	flights  *flights
-	answers  answers
-	loads    *peerLoads
-	claims   *claims
-	rates    ticketRates
-	probes   *rate.Limiter
-	probing  atomic.Int32
-	active   atomic.Int64
-	counts   counts
-	draining atomic.Bool
-	patience atomic.Int64
-	life     context.Context
-	end      context.CancelFunc
+	o               Options
+	http1           *endpoint
+	http2           atomic.Pointer[endpoint]
+	control         *http.Server
+	conns           *connTable
+	target          *http.Transport
+	peers           *http.Transport
+	limiter         *limit.Limiter
+	budget          *limit.Budget
+	book            ticketBook
+	inflight        *inflightTable
+	responses       responseCache
+	loads           *peerLoads
+	claims          *claims
+	rates           ticketRates
+	probeLimiter    *rate.Limiter
+	probing         atomic.Int32
+	active          atomic.Int64
+	counts          counts
+	draining        atomic.Bool
+	defaultDeadline atomic.Int64
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
 // New returns a running Server; end it with Drain and Close.
@@ -61,17 +61,17 @@
 		limiter: limit.New(limit.Options{Slots: o.Slots, Queue: o.Queue, Cold: o.Cold, Unbounded: o.Unbounded,
 			Rand: o.newRand()}),
 		budget: limit.NewBudget(o.RetryRatio, limit.DefaultRetryBurst),
-		book: ticket.NewBook(ticket.Options{Issuer: o.Agent, Incarnation: o.Incarnation, Life: o.TicketLife,
+		book: ticket.NewBook(ticket.Options{Issuer: o.Agent, Incarnation: o.Incarnation, Life: o.TicketLifetime,
 			Retention: o.TicketRetention, Max: o.TicketMax, Rand: o.newRand()}),
-		flights: newFlights(),
-		answers: newAnswers(o.Answers),
-		loads:   newPeerLoads(),
-		claims:  newClaims(o),
-		rates:   newTicketRates(),
-		probes:  rate.NewLimiter(probeRate, probeBurst),
+		inflight:     newInflightTable(),
+		responses:    newResponseCache(o.CachedResponses),
+		loads:        newPeerLoads(),
+		claims:       newClaims(o),
+		rates:        newTicketRates(),
+		probeLimiter: rate.NewLimiter(probeRate, probeBurst),
 	}
-	s.patience.Store(int64(o.Deadline))
-	s.life, s.end = context.WithCancel(context.Background())
+	s.defaultDeadline.Store(int64(o.Deadline))
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.control = newHTTPServer(http.HandlerFunc(s.serveControl))
 	s.control.Protocols.SetHTTP1(true)
 	s.control.Protocols.SetUnencryptedHTTP2(true)
@@ -86,7 +86,7 @@
 	h.Protocols.SetHTTP1(true)
 	h.ConnState = func(c net.Conn, state http.ConnState) {
 		if f, ok := c.(*flowConn); ok && state == http.StateIdle {
-			f.setIdle(s.o.Now())
+			f.markIdle(s.o.Now())
 		}
 	}
 	return h
@@ -107,33 +107,33 @@
 		Protocols:         &http.Protocols{},
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       callerIdleTimeout,
-		MaxHeaderBytes:    maxAnswerHeaders,
+		MaxHeaderBytes:    maxResponseHeaders,
 		ConnContext:       flowContext,
 	}
 }
 
 // ServeFlow serves HTTP on a caller's connection and returns when the connection is closed. The end of ctx closes it.
 func (s *Server) ServeFlow(ctx context.Context, conn net.Conn, key flow.Key) {
-	c := newFlowConn(s.life, conn, key, s.o.Now())
+	c := newFlowConn(s.ctx, conn, key, s.o.Now())
 	s.conns.add(c)
 	defer s.conns.remove(c)
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	second, err := c.speaksHTTP2()
-	if err != nil || !s.offer(c, second) {
+	isHTTP2, err := c.detectHTTP2()
+	if err != nil || !s.dispatch(c, isHTTP2) {
 		return
 	}
 	<-c.closed
 }
 
-// offer hands a connection to the server of its protocol; false means that the server has ended.
-func (s *Server) offer(c *flowConn, second bool) bool {
-	if !second {
-		return s.http1.listener.offer(c)
+// dispatch hands a connection to the server of its protocol; false means that the server has ended.
+func (s *Server) dispatch(c *flowConn, isHTTP2 bool) bool {
+	if !isHTTP2 {
+		return s.http1.listener.deliver(c)
 	}
-	for s.life.Err() == nil {
-		if s.http2.Load().listener.offer(c) {
+	for s.ctx.Err() == nil {
+		if s.http2.Load().listener.deliver(c) {
 			return true
 		}
 	}
@@ -148,7 +148,7 @@
 
 // SetLimits takes a change of the service's limits: the slots of the target, and the time of a request that names none.
 func (s *Server) SetLimits(slots int, deadline time.Duration) {
-	s.patience.Store(int64(cmp.Or(deadline, DefaultDeadline)))
+	s.defaultDeadline.Store(int64(cmp.Or(deadline, DefaultDeadline)))
 	s.wake(s.limiter.SetSlots(s.o.Now(), cmp.Or(slots, DefaultSlots)))
 }
 
@@ -158,7 +158,7 @@
 // SetClaimRate takes a change of the highest number of claims a second; 0 means DefaultClaimRate. Claims that were saved
 // up stay.
 func (s *Server) SetClaimRate(perSecond float64) {
-	s.claims.writes.SetLimitAt(s.o.Now(), rate.Limit(cmp.Or(perSecond, DefaultClaimRate)))
+	s.claims.writeLimiter.SetLimitAt(s.o.Now(), rate.Limit(cmp.Or(perSecond, DefaultClaimRate)))
 }
 
 // SetEvacuated says whether the target's data centre is evacuated. New and waiting requests then go to peers, or are refused as not run;
@@ -175,7 +175,7 @@
 // started is answered, or with the error of ctx.
 func (s *Server) Drain(ctx context.Context) error {
 	if !s.draining.Swap(true) {
-		s.leave()
+		s.drainConnections()
 	}
 	s.wake(nil, s.limiter.Close())
 	tick := time.NewTicker(drainInterval)
@@ -192,7 +192,7 @@
 
 // Close cuts everything at once.
 func (s *Server) Close() error {
-	s.end()
+	s.cancel()
 	s.target.CloseIdleConnections()
 	s.peers.CloseIdleConnections()
 	err := errors.Join(s.control.Close(), s.http1.server.Close(), s.http2.Load().server.Close())
--- a/pkg/request/server_test.go
+++ b/pkg/request/server_test.go
@@ -85,7 +85,7 @@
 	require.Equal(t, "sum of seven", res.Trailer.Get("X-Sum"))
 }
 
-func TestCutAnswerIsVisible(t *testing.T) {
+func TestTruncatedResponseIsVisible(t *testing.T) {
 	target := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "the first half")
 		_ = http.NewResponseController(w).Flush()
--- a/pkg/request/steer.go
+++ b/pkg/request/steer.go
@@ -13,10 +13,10 @@
 // steer tries to give a submission without a slot to a peer whose target is free. It returns an outcome when the peer
 // took it, a new decision when the submission stays here, or neither when there is no such peer.
 func (u *submission) steer(d limit.Decision) (*limit.Decision, *outcome) {
-	if u.steered || u.hops >= maxHops || u.steers >= maxSteers || !u.body.replayable() {
+	if u.steered || u.hops >= maxHops || u.steers >= maxSteers || !u.body.isReplayable() {
 		return nil, nil
 	}
-	p, ok := u.s.pickPeer(u.blocked(d))
+	p, ok := u.s.pickPeer(u.isTargetUnavailable(d))
 	if !ok {
 		u.s.probe()
 		return nil, nil
@@ -33,8 +33,8 @@
 	return &next, nil
 }
 
-// blocked reports whether the own target is of no use, so that a peer of unknown load is worth a try.
-func (u *submission) blocked(d limit.Decision) bool {
+// isTargetUnavailable reports whether the own target is of no use, so that a peer of unknown load is worth a try.
+func (u *submission) isTargetUnavailable(d limit.Decision) bool {
 	leaves := d.Reason == refusal.ReasonDraining || d.Reason == refusal.ReasonEvacuated
 	return d.Verdict == limit.VerdictRefuse && (leaves || u.failure != nil)
 }
@@ -48,92 +48,92 @@
 }
 
 // pickPeer returns the least busy of a few peers that have a free slot. With blind set, any peer of unknown load will do.
-func (s *Server) pickPeer(blind bool) (Peer, bool) {
+func (s *Server) pickPeer(allowUnknown bool) (Peer, bool) {
 	now := s.o.Now()
-	if !blind && !s.loads.hopeful(now) {
+	if !allowUnknown && !s.loads.mayHaveFreePeer(now) {
 		return Peer{}, false
 	}
 	candidates := s.o.Peers.Candidates()
-	s.loads.keep(candidates)
+	s.loads.prune(candidates)
 	var best, unknown Peer
 	bestRatio := 0.0
-	found, blindFound := false, 0
-	for _, p := range sample(candidates) {
+	found, unknownSeen := false, 0
+	for _, p := range samplePeers(candidates) {
 		l, fresh := s.loads.fresh(now, p.Agent)
 		if !fresh {
-			blindFound++
-			if rand.IntN(blindFound) == 0 {
+			unknownSeen++
+			if rand.IntN(unknownSeen) == 0 {
 				unknown = p
 			}
 			continue
 		}
-		if l.free() > 0 && (!found || l.ratio() < bestRatio) {
+		if l.freeSlots() > 0 && (!found || l.ratio() < bestRatio) {
 			best, bestRatio, found = p, l.ratio(), true
 		}
 	}
 	if found {
 		return best, true
 	}
-	return unknown, blind && blindFound > 0
+	return unknown, allowUnknown && unknownSeen > 0
 }
 
 // runPeer offers the work to a peer, which starts it now or not at all. A nil outcome means that it was not run there,
 // or may run again.
 func (u *submission) runPeer(p Peer) *outcome {
-	if !u.begin() {
+	if !u.startWork() {
 		return refused(callerGone())
 	}
 	u.s.logPlacement(u.r, "steer", p.Agent, "peer has a free slot")
-	ctx, cancel := u.startContext()
+	ctx, cancel := u.workContext()
 	defer cancel(nil)
 	late := time.AfterFunc(u.deadline.Add(2*u.s.o.Grace).Sub(u.s.o.Now()), func() { cancel(errDeadline) })
 	defer late.Stop()
-	u.stream()
-	u.s.loads.sending(p.Agent, 1)
-	res, sent, err := send(u.s.peers, u.s.toPeer(ctx, u, p, hopSteer))
+	u.enableFullDuplex()
+	u.s.loads.addSent(p.Agent, 1)
+	res, sent, err := send(u.s.peers, u.s.peerRequest(ctx, u, p, hopSteer))
 	if err != nil {
 		return u.peerFailure(ctx, p, err, sent)
 	}
 	defer res.Body.Close()
 	late.Stop()
-	defer u.boundOrphan(cancel)()
-	u.s.learn(p, res)
+	defer u.limitOrphan(cancel)()
+	u.s.updatePeerLoad(p, res)
 	run := runOf(res)
-	if run == refusal.RunNo && u.peerDeclined(res) {
-		u.back()
+	if run == refusal.RunNo && u.canTryElsewhere(res) {
+		u.returnToWaiting()
 		return nil
 	}
 	if run != "" {
-		return u.relay(res, run)
+		return u.relayRefusal(res, run)
 	}
 	removeOwnHeaders(res.Header)
 	u.attempts++
-	return u.answer(res)
+	return u.forwardResponse(res)
 }
 
-// peerDeclined reports whether the submission may go on elsewhere: a target that shed it may have seen it, so that only
+// canTryElsewhere reports whether the submission may go on elsewhere: a target that shed it may have seen it, so that only
 // idempotent work does.
-func (u *submission) peerDeclined(res *http.Response) bool {
+func (u *submission) canTryElsewhere(res *http.Response) bool {
 	if refusal.Reason(res.Header.Get(HeaderReason)) != refusal.ReasonTargetShed {
 		return true
 	}
-	return u.repeatable() && u.s.budget.Withdraw()
+	return u.isRepeatable() && u.s.budget.Withdraw()
 }
 
 func (u *submission) peerFailure(ctx context.Context, p Peer, err error, sent bool) *outcome {
-	u.s.loads.unusable(u.s.o.Now(), p.Agent)
+	u.s.loads.markUnreachable(u.s.o.Now(), p.Agent)
 	if !sent {
-		u.back()
-		return u.unlessGone(ctx)
+		u.returnToWaiting()
+		return u.unsentOutcome(ctx)
 	}
-	o := u.sent(ctx, err)
+	o := u.classifySentFailure(ctx, err)
 	if o == nil {
-		u.back()
+		u.returnToWaiting()
 	}
 	return o
 }
 
-// relay passes a refusal on that the peer has recorded.
-func (u *submission) relay(res *http.Response, run refusal.Run) *outcome {
-	return &outcome{relayed: readAnswer(res), run: run}
+// relayRefusal passes a refusal on that the peer has recorded.
+func (u *submission) relayRefusal(res *http.Response, run refusal.Run) *outcome {
+	return &outcome{relayed: readRelayed(res), run: run}
 }
--- a/pkg/request/submission.go
+++ b/pkg/request/submission.go
@@ -31,19 +31,19 @@
 	steered bool
 	body    *requestBody
 	// ticket and flight are nil for a plain submission.
-	ticket *ticket.Ticket
-	flight *flight
+	ticket   *ticket.Ticket
+	inflight *inflight
 
 	work     *limit.Work
 	steers   int
 	attempts int
 	failure  *Refusal
-	// exposed is true once an attempt may have run the work; no later refusal may then say that it did not run.
-	exposed bool
+	// mayHaveRun is true once an attempt may have run the work; no later refusal may then say that it did not run.
+	mayHaveRun bool
 }
 
-// idempotent reports whether the work may be sent again after it may have reached a target.
-func (u *submission) idempotent() bool {
+// isIdempotent reports whether the work may be sent again after it may have reached a target.
+func (u *submission) isIdempotent() bool {
 	if u.ticket != nil {
 		return false
 	}
@@ -84,8 +84,8 @@
 			d = u.admit()
 			continue
 		}
-		if u.r.Context().Err() != nil || u.stopped() {
-			return u.giveUp()
+		if u.r.Context().Err() != nil || u.isCancelled() {
+			return u.abandon()
 		}
 		if next, o := u.steer(d); o != nil {
 			return o
@@ -94,15 +94,15 @@
 			continue
 		}
 		if d.Verdict == limit.VerdictRefuse {
-			return u.countRefused(u.notStarted(d))
+			return u.countRefused(u.refuseUnstarted(d))
 		}
 		u.wait()
 		d = u.s.limiter.Poll(u.s.o.Now(), u.work)
 	}
 }
 
-// notStarted refuses; a failure of the target explains more than the estimate that followed from it.
-func (u *submission) notStarted(d limit.Decision) *outcome {
+// refuseUnstarted refuses; a failure of the target explains more than the estimate that followed from it.
+func (u *submission) refuseUnstarted(d limit.Decision) *outcome {
 	if u.failure == nil {
 		return refused(notAdmitted(d))
 	}
@@ -118,10 +118,10 @@
 	return o
 }
 
-// giveUp ends a submission whose caller is gone; it has not started.
-func (u *submission) giveUp() *outcome {
+// abandon ends a submission whose caller is gone; it has not started.
+func (u *submission) abandon() *outcome {
 	if !u.s.limiter.Leave(u.work) {
-		u.done(limit.Outcome{Result: limit.ResultIgnored})
+		u.releaseSlot(limit.Outcome{Result: limit.ResultIgnored})
 	}
 	return refused(callerGone())
 }
@@ -132,110 +132,110 @@
 	defer timer.Stop()
 	select {
 	case <-u.work.Wake:
-	case <-u.stop():
+	case <-u.cancelRequested():
 	case <-u.r.Context().Done():
 	case <-timer.C:
 	}
 }
 
-// stop is closed when the caller cancelled the ticket; it is nil for a plain submission.
-func (u *submission) stop() <-chan struct{} {
-	if u.flight == nil {
+// cancelRequested is closed when the caller cancelled the ticket; it is nil for a plain submission.
+func (u *submission) cancelRequested() <-chan struct{} {
+	if u.inflight == nil {
 		return nil
 	}
-	return u.flight.stop
+	return u.inflight.cancelRequested
 }
 
-func (u *submission) stopped() bool {
+func (u *submission) isCancelled() bool {
 	select {
-	case <-u.stop():
+	case <-u.cancelRequested():
 		return true
 	default:
 		return false
 	}
 }
 
-// done gives the slot back.
-func (u *submission) done(o limit.Outcome) {
+// releaseSlot gives the slot back.
+func (u *submission) releaseSlot(o limit.Outcome) {
 	u.s.wake(u.s.limiter.Done(u.s.o.Now(), u.work, o), nil)
 }
 
-// stream lets a body that is not whole in memory flow while the answer does. After that net/http can't use an HTTP/1.1
+// enableFullDuplex lets a body that is not whole in memory flow while the answer does. After that net/http can't use an HTTP/1.1
 // connection again: it panics when a handler returns before it has read such a body.
-func (u *submission) stream() {
-	if u.body.whole || u.r.ProtoMajor != 1 {
+func (u *submission) enableFullDuplex() {
+	if u.body.buffered || u.r.ProtoMajor != 1 {
 		return
 	}
 	u.w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(u.w).EnableFullDuplex()
 }
 
-// begin makes the work running; false means that a cancel came first.
-func (u *submission) begin() bool {
+// startWork makes the work running; false means that a cancel came first.
+func (u *submission) startWork() bool {
 	return u.ticket == nil || u.s.book.Start(*u.ticket)
 }
 
-// back makes the work waiting again after it was proved not to have begun.
-func (u *submission) back() {
+// returnToWaiting makes the work waiting again after it was proved not to have begun.
+func (u *submission) returnToWaiting() {
 	if u.ticket != nil {
 		u.s.book.Return(*u.ticket)
 	}
 }
 
-// startContext returns the context of started work. Work with a ticket goes on when its caller is gone, so that a
+// workContext returns the context of started work. Work with a ticket goes on when its caller is gone, so that a
 // repeat learns its outcome; an explicit cancel ends it.
-func (u *submission) startContext() (context.Context, context.CancelCauseFunc) {
+func (u *submission) workContext() (context.Context, context.CancelCauseFunc) {
 	if u.ticket == nil {
 		return context.WithCancelCause(u.r.Context())
 	}
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(u.r.Context()))
-	u.s.flights.setCancel(u.flight, cancel)
-	unlink := context.AfterFunc(u.s.life, func() { cancel(errClosed) })
+	u.s.inflight.setCancel(u.inflight, cancel)
+	unlink := context.AfterFunc(u.s.ctx, func() { cancel(errClosed) })
 	return ctx, func(cause error) {
 		unlink()
 		cancel(cause)
 	}
 }
 
-// orphanGraces is how many times Options.Grace the answer of a ticket may go on when nobody reads it.
-const orphanGraces = 10
+// orphanGraceFactor is how many times Options.Grace the answer of a ticket may go on when nobody reads it.
+const orphanGraceFactor = 10
 
-// boundOrphan ends an answer that stalls after its caller is gone: it would keep its slot for ever. The work of a plain
+// limitOrphan ends an answer that stalls after its caller is gone: it would keep its slot for ever. The work of a plain
 // submission ends with its caller anyway.
-func (u *submission) boundOrphan(cancel context.CancelCauseFunc) (stop func() bool) {
+func (u *submission) limitOrphan(cancel context.CancelCauseFunc) (stop func() bool) {
 	return context.AfterFunc(u.r.Context(), func() {
-		time.AfterFunc(orphanGraces*u.s.o.Grace, func() { cancel(errOrphan) })
+		time.AfterFunc(orphanGraceFactor*u.s.o.Grace, func() { cancel(errOrphaned) })
 	})
 }
 
-// repeatable reports whether the work may be sent once more after it may have reached a target.
-func (u *submission) repeatable() bool {
-	return u.idempotent() && u.body.replayable() && !u.steered && u.attempts < maxAttempts
+// isRepeatable reports whether the work may be sent once more after it may have reached a target.
+func (u *submission) isRepeatable() bool {
+	return u.isIdempotent() && u.body.isReplayable() && !u.steered && u.attempts < maxAttempts
 }
 
-// sent classifies a request that may have reached its target but got no answer.
-func (u *submission) sent(ctx context.Context, err error) *outcome {
-	u.exposed = true
+// classifySentFailure classifies a request that may have reached its target but got no answer.
+func (u *submission) classifySentFailure(ctx context.Context, err error) *outcome {
+	u.mayHaveRun = true
 	cause := context.Cause(ctx)
 	if cause == errDeadline {
-		return refused(tooLate())
+		return refused(deadlineExceeded())
 	}
 	if cause != nil {
 		return refused(callerGoneRunning(cause))
 	}
-	if !u.repeatable() {
-		return refused(notAnswered(err))
+	if !u.isRepeatable() {
+		return refused(responseLost(err))
 	}
 	if !u.s.budget.Withdraw() {
-		return refused(noRetryLeft(err))
+		return refused(retryBudgetSpent(err))
 	}
-	u.failure = notAnswered(err)
+	u.failure = responseLost(err)
 	return nil
 }
 
-// honest corrects a refusal that speaks only of the last attempt.
-func (u *submission) honest(o *outcome) *outcome {
-	if !u.exposed || o.runState() != refusal.RunNo {
+// correctRunState corrects a refusal that speaks only of the last attempt.
+func (u *submission) correctRunState(o *outcome) *outcome {
+	if !u.mayHaveRun || o.runState() != refusal.RunNo {
 		return o
 	}
 	f := o.refusal
@@ -247,12 +247,12 @@
 	return refused(f)
 }
 
-// conclude puts the outcome into the book before anybody is told.
-func (u *submission) conclude(o *outcome) {
+// recordOutcome puts the outcome into the book before anybody is told.
+func (u *submission) recordOutcome(o *outcome) {
 	if u.ticket == nil {
 		return
 	}
-	defer u.s.flights.land(u.ticket.Sequence)
+	defer u.s.inflight.finish(u.ticket.Sequence)
 	switch o.runState() {
 	case refusal.RunNo:
 		u.s.book.Withdraw(u.s.o.Now(), *u.ticket)
@@ -260,6 +260,6 @@
 		u.s.book.Lose(*u.ticket)
 	default:
 		u.s.book.Finish(*u.ticket, o.status)
-		u.s.answers.put(u.ticket.Sequence, u.flight.answer)
+		u.s.responses.put(u.ticket.Sequence, u.inflight.response)
 	}
 }
--- a/pkg/request/ticket_test.go
+++ b/pkg/request/ticket_test.go
@@ -19,31 +19,31 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// gate is a target that counts its requests and holds each until it is let go.
-type gate struct {
-	hits  atomic.Int32
-	began chan struct{}
-	leave chan struct{}
-	size  int
+// blockingTarget is a target that counts its requests and holds each until it is let go.
+type blockingTarget struct {
+	hits    atomic.Int32
+	started chan struct{}
+	release chan struct{}
+	size    int
 }
 
-func newGate() *gate {
-	return &gate{began: make(chan struct{}, 100), leave: make(chan struct{}, 100), size: 10}
+func newBlockingTarget() *blockingTarget {
+	return &blockingTarget{started: make(chan struct{}, 100), release: make(chan struct{}, 100), size: 10}
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *blockingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.hits.Add(1)
 	_, _ = io.Copy(io.Discard, r.Body)
-	g.began <- struct{}{}
+	g.started <- struct{}{}
 	select {
-	case <-g.leave:
+	case <-g.release:
 	case <-r.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, strings.Repeat("a", g.size))
 }
 
-func take(t *testing.T, url string) string {
+func takeTicket(t *testing.T, url string) string {
 	t.Helper()
 	res, body := call(t, "POST", url+"/.well-known/auburnwood/tickets?n=1", "")
 	require.Equal(t, 200, res.StatusCode, body)
@@ -53,10 +53,10 @@
 	return list.Tickets[0]
 }
 
-func TestRepeatsOfATicketGetTheOneAnswer(t *testing.T) {
-	g := newGate()
+func TestRepeatsOfATicketShareOneResponse(t *testing.T) {
+	g := newBlockingTarget()
 	_, url := newTestServer(t, g, nil)
-	text := take(t, url)
+	text := takeTicket(t, url)
 	var repeated atomic.Int32
 	var wg sync.WaitGroup
 	for range 5 {
@@ -70,45 +70,45 @@
 			}
 		})
 	}
-	<-g.began
-	g.leave <- struct{}{}
+	<-g.started
+	g.release <- struct{}{}
 	wg.Wait()
 	require.EqualValues(t, 1, g.hits.Load())
 	require.EqualValues(t, 4, repeated.Load())
 }
 
-func TestRepeatOfALargeAnswerIsToldThatTheWorkRan(t *testing.T) {
-	g := newGate()
-	g.size = maxKeptAnswer + 1
-	g.leave <- struct{}{}
+func TestRepeatOfALargeResponseReportsCompletedWork(t *testing.T) {
+	g := newBlockingTarget()
+	g.size = maxCachedResponse + 1
+	g.release <- struct{}{}
 	_, url := newTestServer(t, g, nil)
-	text := take(t, url)
+	text := takeTicket(t, url)
 	_, body := call(t, "POST", url, "order", HeaderTicket, text)
 	require.Len(t, body, g.size)
 	res, body := call(t, "POST", url, "order", HeaderTicket, text)
 	require.Equal(t, 409, res.StatusCode)
-	var ran Ran
+	var ran CompletedWork
 	require.NoError(t, json.Unmarshal([]byte(body), &ran))
 	require.Equal(t, RunYes, ran.Run)
 	require.Equal(t, 200, ran.Outcome)
 }
 
 func TestTicketRefusals(t *testing.T) {
-	g := newGate()
+	g := newBlockingTarget()
 	s, url := newTestServer(t, g, nil)
 	state := func(change func(text string)) string {
-		text := take(t, url)
+		text := takeTicket(t, url)
 		change(text)
 		return text
 	}
 	spent := state(func(text string) {
-		g.leave <- struct{}{}
+		g.release <- struct{}{}
 		call(t, "POST", url, "order", HeaderTicket, text)
 	})
 	cancelled := state(func(text string) {
 		call(t, "DELETE", url+"/.well-known/auburnwood/tickets/"+text, "")
 	})
-	parsed, err := ticket.Parse(take(t, url))
+	parsed, err := ticket.Parse(takeTicket(t, url))
 	require.NoError(t, err)
 	change := func(f func(k *ticket.Ticket)) string {
 		k := parsed
@@ -141,7 +141,7 @@
 	require.Equal(t, 3, s.book.Size())
 }
 
-func submitAndForget(t *testing.T, url, text string) context.CancelFunc {
+func submitAsync(t *testing.T, url, text string) context.CancelFunc {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -156,7 +156,7 @@
 	return cancel
 }
 
-func stateOf(t *testing.T, url, text string) TicketStatus {
+func ticketStatusOf(t *testing.T, url, text string) TicketStatus {
 	t.Helper()
 	var status TicketStatus
 	_, body := call(t, "GET", url+"/.well-known/auburnwood/tickets/"+text, "")
@@ -165,13 +165,13 @@
 }
 
 func TestStartedWorkOfATicketOutlivesItsCaller(t *testing.T) {
-	g := newGate()
+	g := newBlockingTarget()
 	_, url := newTestServer(t, g, nil)
-	text := take(t, url)
-	gone := submitAndForget(t, url, text)
-	<-g.began
+	text := takeTicket(t, url)
+	gone := submitAsync(t, url, text)
+	<-g.started
 	gone()
-	g.leave <- struct{}{}
+	g.release <- struct{}{}
 	res, _ := call(t, "POST", url, "order", HeaderTicket, text)
 	require.Equal(t, 200, res.StatusCode)
 	require.Equal(t, "true", res.Header.Get(HeaderRepeated))
@@ -179,56 +179,56 @@
 }
 
 func TestWaitingWorkOfAGoneCallerIsNotStarted(t *testing.T) {
-	g := newGate()
+	g := newBlockingTarget()
 	_, url := newTestServer(t, g, nil)
-	first, second := take(t, url), take(t, url)
-	submitAndForget(t, url, first)
-	<-g.began
-	gone := submitAndForget(t, url, second)
-	require.Eventually(t, func() bool { return stateOf(t, url, second).State == "waiting" }, 5*time.Second, time.Millisecond)
+	first, second := takeTicket(t, url), takeTicket(t, url)
+	submitAsync(t, url, first)
+	<-g.started
+	gone := submitAsync(t, url, second)
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, second).State == "waiting" }, 5*time.Second, time.Millisecond)
 	gone()
-	require.Eventually(t, func() bool { return stateOf(t, url, second).State == "cancelled" }, 5*time.Second, time.Millisecond)
-	g.leave <- struct{}{}
-	require.Eventually(t, func() bool { return stateOf(t, url, first).Run == RunYes }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, second).State == "cancelled" }, 5*time.Second, time.Millisecond)
+	g.release <- struct{}{}
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, first).Run == RunYes }, 5*time.Second, time.Millisecond)
 	require.EqualValues(t, 1, g.hits.Load())
 }
 
 func TestCancelOfStartedWorkReachesTheTarget(t *testing.T) {
-	g := newGate()
+	g := newBlockingTarget()
 	_, url := newTestServer(t, g, nil)
-	text := take(t, url)
-	submitAndForget(t, url, text)
-	<-g.began
+	text := takeTicket(t, url)
+	submitAsync(t, url, text)
+	<-g.started
 	require.Eventually(t, func() bool {
 		call(t, "DELETE", url+"/.well-known/auburnwood/tickets/"+text, "")
-		return stateOf(t, url, text).State == "lost"
+		return ticketStatusOf(t, url, text).State == "lost"
 	}, 5*time.Second, time.Millisecond)
-	require.Equal(t, refusal.RunUnknown, stateOf(t, url, text).Run)
+	require.Equal(t, refusal.RunUnknown, ticketStatusOf(t, url, text).Run)
 }
 
-func TestOverloadIsRefusedAtOnceWithATimeToComeBack(t *testing.T) {
-	g := newGate()
+func TestOverloadIsRefusedWithRetryAfter(t *testing.T) {
+	g := newBlockingTarget()
 	_, url := newTestServer(t, g, func(o *Options) { o.Queue = 1 })
-	submitAndForget(t, url, take(t, url))
-	<-g.began
-	waiting := take(t, url)
-	submitAndForget(t, url, waiting)
-	require.Eventually(t, func() bool { return stateOf(t, url, waiting).State == "waiting" }, 5*time.Second, time.Millisecond)
-	text := take(t, url)
+	submitAsync(t, url, takeTicket(t, url))
+	<-g.started
+	waiting := takeTicket(t, url)
+	submitAsync(t, url, waiting)
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, waiting).State == "waiting" }, 5*time.Second, time.Millisecond)
+	text := takeTicket(t, url)
 	res, _ := call(t, "POST", url, "order", HeaderTicket, text, HeaderTimeout, "60000")
 	require.Equal(t, 503, res.StatusCode)
 	require.Equal(t, "no", res.Header.Get(HeaderRun))
 	require.NotEmpty(t, res.Header.Get("Retry-After"))
-	require.Equal(t, "cancelled", stateOf(t, url, text).State)
+	require.Equal(t, "cancelled", ticketStatusOf(t, url, text).State)
 }
 
 // A caller may repeat a ticket on a connection that a draining agent closes. Its work may have run, so that the farewell
 // must not say that nothing ran: the caller would take another ticket and run the work again.
-func TestFarewellOfADrainingAgentDoesNotDenyEarlierWork(t *testing.T) {
-	g := newGate()
-	g.leave <- struct{}{}
+func TestIdleRefusalDoesNotDenyEarlierWork(t *testing.T) {
+	g := newBlockingTarget()
+	g.release <- struct{}{}
 	s, url := newTestServer(t, g, nil)
-	text := take(t, url)
+	text := takeTicket(t, url)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	require.NoError(t, err)
 	defer conn.Close()
@@ -250,7 +250,7 @@
 
 func TestOneCallerCanNotTakeAllTickets(t *testing.T) {
 	now := time.Now()
-	_, url := newTestServer(t, newGate(), func(o *Options) { o.Now = func() time.Time { return now } })
+	_, url := newTestServer(t, newBlockingTarget(), func(o *Options) { o.Now = func() time.Time { return now } })
 	ask := url + "/.well-known/auburnwood/tickets?n=64"
 	for range ticketBurst / maxTickets {
 		res, _ := call(t, "POST", ask, "")
@@ -261,27 +261,27 @@
 	require.Equal(t, "1", res.Header.Get("Retry-After"))
 }
 
-func TestStalledAnswerDoesNotKeepItsSlotForever(t *testing.T) {
+func TestStalledResponseReleasesItsSlot(t *testing.T) {
 	target := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 	s, url := newFaultServer(t, target.addr(), nil)
-	text := take(t, url)
-	gone := submitAndForget(t, url, text)
+	text := takeTicket(t, url)
+	gone := submitAsync(t, url, text)
 	require.Eventually(t, func() bool { return s.Load().Busy == 1 }, 5*time.Second, time.Millisecond)
 	gone()
-	require.Eventually(t, func() bool { return stateOf(t, url, text).State == "lost" }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, text).State == "lost" }, 5*time.Second, time.Millisecond)
 	require.Zero(t, s.Load().Busy)
 }
 
-// brokenBook fails at the start of work.
-type brokenBook struct{ ticketBook }
+// panickingBook fails at the start of work.
+type panickingBook struct{ ticketBook }
 
-func (brokenBook) Start(ticket.Ticket) bool { panic(http.ErrAbortHandler) }
+func (panickingBook) Start(ticket.Ticket) bool { panic(http.ErrAbortHandler) }
 
-func TestTicketEndsWithAPanic(t *testing.T) {
-	s, url := newTestServer(t, newGate(), nil)
-	s.book = brokenBook{s.book}
-	text := take(t, url)
+func TestPanicEndsTicket(t *testing.T) {
+	s, url := newTestServer(t, newBlockingTarget(), nil)
+	s.book = panickingBook{s.book}
+	text := takeTicket(t, url)
 	_, err := http.DefaultClient.Do(newTicketRequest(url, text))
 	require.Error(t, err)
-	require.Eventually(t, func() bool { return stateOf(t, url, text).State == "cancelled" }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return ticketStatusOf(t, url, text).State == "cancelled" }, 5*time.Second, time.Millisecond)
 }
--- a/pkg/request/target.go
+++ b/pkg/request/transport.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	dialTimeout       = time.Second
-	idleTimeout       = 5 * time.Second
-	copyBufferSize    = 32 << 10
-	maxAnswerHeaders  = 64 << 10
-	maxIdleConns      = 64
-	continueTimeout   = time.Minute
-	peerIdleConns     = 16
-	peerResponseLimit = 64 << 10
+	dialTimeout        = time.Second
+	idleTimeout        = 5 * time.Second
+	copyBufferSize     = 32 << 10
+	maxResponseHeaders = 64 << 10
+	maxIdleConns       = 64
+	continueTimeout    = time.Minute
+	peerIdleConns      = 16
+	peerResponseLimit  = 64 << 10
 )
 
 // countingConn counts the bytes that were given to the kernel, so that a request that never left is known.
@@ -46,7 +46,7 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    idle,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeaders,
+		MaxResponseHeaderBytes: maxResponseHeaders,
 		WriteBufferSize:        copyBufferSize,
 		ReadBufferSize:         copyBufferSize,
 		ExpectContinueTimeout:  continueTimeout,
--- a/pkg/request/no_replay.go
+++ b/pkg/request/transport_retry.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// NoReplay keeps http.Transport from sending a request a second time by itself after a lost connection: it would hide
+// DisableTransportRetry keeps http.Transport from sending a request a second time by itself after a lost connection: it would hide
 // that the first one may have run. The transport repeats requests without a body that are idempotent by their method
 // or by an idempotency header. On the wire the names of headers have no case, and a body that turns out to be empty is
 // not sent.
-func NoReplay(r *http.Request) {
+func DisableTransportRetry(r *http.Request) {
 	r.GetBody = nil
 	for _, name := range []string{HeaderKey, "X-Idempotency-Key"} {
 		values, ok := r.Header[name]
