--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -32,7 +32,7 @@
 // cancellation cancels the work where the service still can. Do returns no error: every end is an outcome.
 func (c *Client) Do(ctx context.Context, r Request) Result {
 	f := &fold{c: c, r: r, backoff: firstBackoff}
-	for f.result.Submissions < c.o.MaxSubmissions {
+	for f.result.Submissions < c.o.Submissions {
 		if !f.ready(ctx) {
 			break
 		}
--- a/pkg/caller/client_test.go
+++ b/pkg/caller/client_test.go
@@ -112,7 +112,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &scriptedTransport{steps: tt.steps}
-			c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 3,
+			c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, Submissions: 3,
 				Sleep: func(context.Context, time.Duration) error { return nil }})
 			r := c.Do(context.Background(), Request{Method: tt.method, Path: "/", Protection: tt.promise, Key: "0123456789abcdef"})
 			require.Equal(t, tt.want.String(), r.Outcome.String())
@@ -124,7 +124,7 @@
 func TestGivenUpTicketIsCancelled(t *testing.T) {
 	for _, stopped := range []bool{true, false} {
 		s := &scriptedTransport{steps: []transportStep{{broken: true}}, stopped: stopped}
-		c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 1,
+		c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, Submissions: 1,
 			Sleep: func(context.Context, time.Duration) error { return nil }})
 		r := c.Do(context.Background(), Request{Method: "POST", Path: "/", Protection: ProtectionTicket})
 		want := OutcomeUnknown
@@ -142,7 +142,7 @@
 	now := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(time.Hour))
 	defer cancel()
-	c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, MaxSubmissions: 100, Now: func() time.Time { return now },
+	c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, Submissions: 100, Now: func() time.Time { return now },
 		Sleep: func(_ context.Context, d time.Duration) error {
 			slept += d
 			now = now.Add(50 * time.Minute)
--- a/pkg/caller/options.go
+++ b/pkg/caller/options.go
@@ -11,8 +11,8 @@
 
 // Defaults of Options.
 const (
-	DefaultTicketBatch    = 8
-	DefaultMaxSubmissions = 6
+	DefaultTicketBatch = 8
+	DefaultSubmissions = 6
 	// DefaultGrace is longer than the agents' grace, so that their last word arrives.
 	DefaultGrace = 750 * time.Millisecond
 	// firstBackoff is the first pause after a failure that names no time; it doubles up to maxBackoff.
@@ -28,8 +28,8 @@
 	Transport http.RoundTripper
 	// TicketBatch is the number of tickets that are taken at once; 0 means DefaultAhead.
 	TicketBatch int
-	// MaxSubmissions is the highest number of submissions of one request; 0 means DefaultSubmissions.
-	MaxSubmissions int
+	// Submissions is the highest number of submissions of one request; 0 means DefaultSubmissions.
+	Submissions int
 	// Grace is how long after the deadline a submission that was sent is still listened to; 0 means DefaultGrace.
 	Grace time.Duration
 	// Now is the clock; nil means time.Now.
@@ -44,8 +44,8 @@
 	if o.TicketBatch == 0 {
 		o.TicketBatch = DefaultTicketBatch
 	}
-	if o.MaxSubmissions == 0 {
-		o.MaxSubmissions = DefaultMaxSubmissions
+	if o.Submissions == 0 {
+		o.Submissions = DefaultSubmissions
 	}
 	if o.Grace == 0 {
 		o.Grace = DefaultGrace
--- a/pkg/request/attempt.go
+++ b/pkg/request/attempt.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// attempt is one try to send a request; it knows whether a byte of it may have left.
+// attempt is one try to send a request. It records whether any byte of the request may have been sent.
 type attempt struct {
 	mu            sync.Mutex
 	conn          *countingConn
@@ -15,7 +15,7 @@
 	wrote         bool
 }
 
-// withTrace returns a context that observes which connection the request gets.
+// withTrace returns a context that records which connection the request uses.
 func (a *attempt) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConn})
 }
@@ -38,7 +38,7 @@
 	return a.conn != nil && a.conn.written.Load() != a.writtenBefore
 }
 
-// maybeSent is false only when no byte of the request left this process.
+// maybeSent returns false only when no byte of the request left this process.
 func (a *attempt) maybeSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/request/benchmark_test.go
+++ b/pkg/request/benchmark_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// benchServer returns the URLs of a target and of a server before it.
+// benchServer returns the URL of a target, a Server in front of it, and the URL of that Server.
 func benchServer(b *testing.B, h http.Handler, change func(*Options)) (string, *Server, string) {
 	ts := httptest.NewServer(h)
 	b.Cleanup(ts.Close)
@@ -89,7 +89,7 @@
 	})
 }
 
-// BenchmarkOpenRequests measures the memory of a request that waits for a slot, with its connection.
+// BenchmarkOpenRequests measures the memory of a request that waits for a slot, including its connection.
 func BenchmarkOpenRequests(b *testing.B) {
 	const open = 2000
 	block := make(chan struct{})
--- a/pkg/request/cached_response.go
+++ b/pkg/request/cached_response.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// maxCachedResponse is the size up to which the answer of a ticket is kept for repeats.
+// maxCachedResponse is the largest body, in bytes, of a ticket's response that is cached for repeats.
 const maxCachedResponse = 4 << 10
 
-// cachedResponse is a copy of a small answer.
+// cachedResponse is a copy of a small response.
 type cachedResponse struct {
 	status     int
 	header     http.Header
@@ -28,10 +28,10 @@
 	return len(p), nil
 }
 
-// isComplete reports whether the copy is the whole answer.
+// isComplete reports whether the copy is the complete response.
 func (a *cachedResponse) isComplete() bool { return a != nil && a.complete && !a.overflowed }
 
-// send answers a repeat.
+// send answers a repeat with the cached response.
 func (a *cachedResponse) send(w http.ResponseWriter) {
 	h := w.Header()
 	for name, values := range a.header {
--- a/pkg/request/claim.go
+++ b/pkg/request/claim.go
@@ -12,11 +12,11 @@
 
 // claim binds a caller's key to a ticket.
 type claim struct {
-	// object is the stored form; zero for an offered claim.
+	// object is the stored form; zero for a claim that is not stored yet.
 	object objectapi.Object
-	// ticket is the only ticket by which the work of the key may run.
+	// ticket is the only ticket with which the key's work may run.
 	ticket ticket.Ticket
-	// attempt is the caller's count of submissions when the claim was made; 0 when the caller doesn't count.
+	// attempt is the caller's attempt number when the claim was made; 0 when the caller doesn't count attempts.
 	attempt uint64
 }
 
@@ -24,7 +24,7 @@
 	return []byte(c.ticket.String() + " " + strconv.FormatUint(c.attempt, 10))
 }
 
-// decodeClaim reads a stored claim, or returns errClaimBroken.
+// decodeClaim parses a stored claim; it returns errClaimMalformed for one that can't be parsed.
 func decodeClaim(o objectapi.Object) (claim, error) {
 	text, count, _ := strings.Cut(string(o.Value), " ")
 	t, err := ticket.Parse(text)
--- a/pkg/request/claim_test.go
+++ b/pkg/request/claim_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// After a refusal the claim may be stored; its ticket never runs, and the next submission takes its place.
+// A claim may be stored although its request was refused. Its ticket never runs, so the next submission replaces it.
 func TestRefusedClaimIsReplaced(t *testing.T) {
 	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore(faultLostAfter, faultDown, faultDown, faultDown)
@@ -60,7 +60,7 @@
 	require.EqualValues(t, 1, target.hits.Load())
 }
 
-// A submission that was made before the refused one must not start after its caller was told that nothing ran.
+// A submission with a lower attempt number must not start after a later one was refused as not run.
 func TestOlderSubmissionNeverStartsAfterARefusal(t *testing.T) {
 	target := newScriptedTarget(t, responseShed, responseOK)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.Store = newMemoryStore() })
@@ -108,7 +108,7 @@
 	require.Len(t, store.objects, 1)
 }
 
-// Claims that are saved up stay when the rate changes, and new ones come at the new rate.
+// A change of the claim rate keeps accumulated claims and applies the new rate from then on.
 func TestClaimRateFollowsTheFleet(t *testing.T) {
 	target := newScriptedTarget(t, responseOK)
 	store := newMemoryStore()
--- a/pkg/request/claims.go
+++ b/pkg/request/claims.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// claimTimeout bounds one call of the object API for a claim.
+	// claimTimeout bounds the object API calls of one claim operation.
 	claimTimeout = 500 * time.Millisecond
-	// claimReadBacks bounds the reads after a lost answer.
+	// claimReadBacks bounds the reads after a create or update with a conflict or an unknown outcome.
 	claimReadBacks = 3
-	// eraChecks bounds the tries to make a claim in a known era; an agent learns of the era by its first call.
+	// eraChecks bounds the attempts to make a claim in a known era; an agent learns of a new era only from the response
+	// to a call.
 	eraChecks = 2
 )
 
-// Errors of a claim.
 var (
 	errNoStore        = errors.New("no object API is configured")
 	errClaimRate      = errors.New("the agent's share of the object API's writes is used up")
 	errClaimMalformed = errors.New("the stored claim is malformed")
 )
 
-// claims binds callers' keys to tickets by create-if-absent, so that every agent finds the one ticket of a key.
+// claims binds callers' keys to tickets by create-if-absent, so that every agent finds the same ticket for a key.
 type claims struct {
 	store        objectapi.Store
-	guard        *restoreGuard
+	restoreGuard *restoreGuard
 	writeLimiter *rate.Limiter
 	service      string
 	now          func() time.Time
@@ -41,18 +41,18 @@
 
 func newClaims(o Options) *claims {
 	writeLimiter := rate.NewLimiter(rate.Limit(o.ClaimRate), o.ClaimBurst)
-	guard := &restoreGuard{store: o.Store, eras: o.Eras, now: o.Now}
-	return &claims{store: o.Store, guard: guard, writeLimiter: writeLimiter, service: o.Service, now: o.Now}
+	restoreGuard := &restoreGuard{store: o.Store, eras: o.Eras, now: o.Now}
+	return &claims{store: o.Store, restoreGuard: restoreGuard, writeLimiter: writeLimiter, service: o.Service, now: o.Now}
 }
 
-// name returns the object name of a key: keys are the callers' own text, and of one service.
+// name returns the object name of a key, a hash: keys are arbitrary text from callers and scoped to one service.
 func (c *claims) name(key string) string {
 	sum := sha256.Sum256([]byte(c.service + "\x00" + key))
 	return hex.EncodeToString(sum[:])
 }
 
 // claim binds the key to the offered ticket unless it is bound already, and returns the stored claim. After an error
-// the offered ticket may be stored; it must be cancelled.
+// the offered claim may be stored, so its ticket must be cancelled.
 func (c *claims) claim(ctx context.Context, name string, offered claim) (claim, error) {
 	ctx, cancel, err := c.beginWrite(ctx)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	defer cancel()
 	for range eraChecks {
-		era, err := c.guard.check(ctx, offered.attempt)
+		era, err := c.restoreGuard.check(ctx, offered.attempt)
 		if err != nil {
 			return c.find(ctx, name, err)
 		}
@@ -68,7 +68,7 @@
 		if err != nil || held.ticket != offered.ticket || objectapi.EraOf(held.object.Version) == era {
 			return held, err
 		}
-		// The era is later than the one that was asked about, so that the claim proves nothing.
+		// The claim was stored in a later era than the one checked, so an earlier claim may be missing.
 		if err := c.store.Delete(ctx, resource.KindClaim, name, held.object.Version); err != nil {
 			return claim{}, trace.NewAggregate(errClaimsRestored, err)
 		}
@@ -76,7 +76,7 @@
 	return claim{}, errClaimsRestored
 }
 
-// create stores the claim unless there is one, and returns the stored one.
+// create stores the claim unless one exists, and returns the stored claim.
 func (c *claims) create(ctx context.Context, name string, offered claim) (claim, error) {
 	o, err := c.store.Create(ctx, resource.KindClaim, name, offered.encode())
 	switch {
@@ -89,7 +89,7 @@
 	return claim{}, trace.Wrap(err, "create claim")
 }
 
-// find returns the stored claim, or the cause for which none may be created.
+// find returns the stored claim; if there is none, it returns cause, the reason why none may be created.
 func (c *claims) find(ctx context.Context, name string, cause error) (claim, error) {
 	o, err := c.store.Get(ctx, resource.KindClaim, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -101,8 +101,8 @@
 	return decodeClaim(o)
 }
 
-// replace binds the key to another ticket, if the stored claim is still the given one. The caller has made sure that the
-// stored ticket never runs.
+// replace binds the key to another ticket if the stored claim is still old. The caller must have made sure that the old
+// ticket never runs.
 func (c *claims) replace(ctx context.Context, old, offered claim) (claim, error) {
 	ctx, cancel, err := c.beginWrite(ctx)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return ctx, cancel, nil
 }
 
-// readBack reads which ticket is stored. When no claim is found it is written again, which is safe: it creates the same
-// claim or none.
+// readBack reads the stored claim after a conflict or an unknown outcome. When there is none, it creates the claim
+// again, which is safe: create either stores this same claim or nothing.
 func (c *claims) readBack(ctx context.Context, name string, offered claim) (claim, error) {
 	var err error
 	for range claimReadBacks {
--- a/pkg/request/completed_work.go
+++ b/pkg/request/completed_work.go
@@ -9,22 +9,22 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// RunYes is the run state of a repeat whose work has run and whose answer is no longer kept.
+// RunYes is the run state of a repeat whose work has run and whose response is no longer cached.
 const RunYes refusal.Run = "yes"
 
-// CompletedWork is the document for a repeat whose work has run and whose answer is no longer kept. It is no refusal.
+// CompletedWork is the document for a repeat whose work has run and whose response is no longer cached. It is not a
+// refusal.
 type CompletedWork struct {
-	// Title is a sentence for people.
-	Title string `json:"title"`
-	// Ticket is the ticket.
+	// Title is a human-readable summary.
+	Title  string `json:"title"`
 	Ticket string `json:"ticket"`
 	// Run is RunYes.
 	Run refusal.Run `json:"run"`
-	// Outcome is the HTTP status of the target's answer.
+	// Outcome is the HTTP status of the target's response.
 	Outcome int `json:"outcome"`
 }
 
-// sendCompleted tells a repeat that the work has run.
+// sendCompleted responds to a repeat whose work has run.
 func (s *Server) sendCompleted(u *submission, status int) {
 	body, err := json.Marshal(CompletedWork{Title: fmt.Sprintf("the work has run and was answered with %d", status),
 		Ticket: u.ticket.String(), Run: RunYes, Outcome: status})
--- a/pkg/request/counts_test.go
+++ b/pkg/request/counts_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireCounts waits until the server has requireCounts the requests.
+// requireCounts waits until the server has counted the requests.
 func requireCounts(t *testing.T, s *Server, requests, failures uint64) {
 	t.Helper()
 	ok := func() bool {
--- a/pkg/request/doc.go
+++ b/pkg/request/doc.go
@@ -1,6 +1,6 @@
-// Package request ends the callers' HTTP at an agent and passes each request to the agent's target.
+// Package request terminates callers' HTTP connections at an agent and proxies each request to the agent's target.
 //
-// The server admits a request by the decisions of package limit, runs the work of a ticket or claim at most once by
-// the states of package ticket, and answers everything that it does not run with a problem document. The lock
-// order is: open submissions, then ticket book; every other lock is held alone, and none during input or output.
+// The server admits requests by the decisions of package limit, runs the work of a ticket or claim at most once by
+// the states of package ticket, and responds with a problem document to every request that it does not run. The lock
+// order is: inflightTable, then ticketBook; every other lock is held alone, and none is held during I/O.
 package request
--- a/pkg/request/drain_connections.go
+++ b/pkg/request/drain_connections.go
@@ -10,18 +10,18 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// idleCloseDelay is how long a connection of a draining server must be idle before it is closed: longer than a caller takes
-// to send a request that it had begun, and short in relation to the few seconds in which a target leaves.
+// idleCloseDelay is how long a connection of a draining server must be idle before it is closed: longer than a caller
+// takes to send a request that it has begun, and short compared with the few seconds of a drain.
 const idleCloseDelay = time.Second
 
-// drainConnections moves the callers away from a draining server, until its life ends.
+// drainConnections moves callers off this draining server, until the server closes.
 func (s *Server) drainConnections() {
 	old := s.http2.Swap(newEndpoint(s.newHTTP2Server(idleCloseDelay)))
-	go old.drain(s.ctx, idleCloseDelay)
-	go s.closeIdleConns(s.ctx)
+	go old.drainConnections(s.serverCtx, idleCloseDelay)
+	go s.closeIdleConns(s.serverCtx)
 }
 
-// closeIdleConns closes the HTTP/1.1 connections that are idle, until ctx ends.
+// closeIdleConns closes idle HTTP/1.1 connections until ctx ends.
 func (s *Server) closeIdleConns(ctx context.Context) {
 	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
@@ -39,9 +39,9 @@
 	}
 }
 
-// sendIdleRefusal closes an idle connection. The caller may have sent a request that has not arrived yet, so that it is
-// told that nothing more was run: 408 is the status of a server that gives an idle connection up, and callers may repeat
-// their request after it (RFC 9110, section 15.5.9).
+// sendIdleRefusal closes an idle connection with a 408 response. A request may be in transit from the caller, so the
+// response says that it was not run: 408 is the status for closing an idle connection, and callers may repeat the
+// request after it (RFC 9110, section 15.5.9).
 func (s *Server) sendIdleRefusal(c *flowConn) {
 	time.AfterFunc(lingerTimeout, func() { _ = c.Conn.Close() })
 	f := idleClosed()
@@ -51,14 +51,14 @@
 }
 
 func idleClosed() *Refusal {
-	// The request that was on its way may be the repeat of a ticket or key whose work has run: only this submission is
-	// known not to have run.
+	// A request in transit may be the repeat of a ticket or key whose work has run: only this submission is known
+	// not to have run.
 	return &Refusal{Reason: refusal.ReasonDraining, Status: http.StatusRequestTimeout, Run: refusal.RunUnknown,
 		Submission: refusal.RunNo, RetryAfter: defaultRetryAfter,
 		Detail: "the target leaves, and its idle connection was closed; a request that was on its way was not run"}
 }
 
-// writeProblem writes the last answer of an HTTP/1.1 connection to which net/http writes no more.
+// writeProblem writes the final response on an HTTP/1.1 connection to which net/http writes no more.
 func writeProblem(w io.Writer, f *Refusal, by, record string) error {
 	res := &http.Response{StatusCode: f.Status, ProtoMajor: 1, ProtoMinor: 1, Header: make(http.Header), Close: true}
 	body, err := encodeProblem(res.Header, f, by, record)
--- a/pkg/request/drain_response_writer.go
+++ b/pkg/request/drain_response_writer.go
@@ -2,15 +2,14 @@
 
 import "net/http"
 
-// drainResponseWriter adds "Connection: close" to the answers of a draining server: HTTP/1.1 callers then open a new connection
-// for their next request, and net/http sends GOAWAY to HTTP/2 callers.
+// drainResponseWriter adds "Connection: close" to the responses of a draining server: HTTP/1.1 callers then open a new
+// connection for their next request, and net/http sends GOAWAY to HTTP/2 callers.
 type drainResponseWriter struct {
 	http.ResponseWriter
 	s             *Server
 	headerWritten bool
 }
 
-// WriteHeader sends the status.
 func (w *drainResponseWriter) WriteHeader(status int) {
 	final := status >= http.StatusOK
 	if final && !w.headerWritten && w.s.draining.Load() {
@@ -20,7 +19,6 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends a part of the body.
 func (w *drainResponseWriter) Write(b []byte) (int, error) {
 	if !w.headerWritten {
 		w.WriteHeader(http.StatusOK)
@@ -28,5 +26,5 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (w *drainResponseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/pkg/request/endpoint.go
+++ b/pkg/request/endpoint.go
@@ -12,16 +12,16 @@
 	listener *connListener
 }
 
-// newEndpoint returns a running endpoint.
+// newEndpoint starts server on a new connListener.
 func newEndpoint(server *http.Server) *endpoint {
 	e := &endpoint{server: server, listener: newConnListener()}
 	go func() { _ = server.Serve(e.listener) }()
 	return e
 }
 
-// drain tells the callers of HTTP/2 to send their further requests elsewhere (GOAWAY), and returns when the last
-// connection has ended or ctx ends. A connection that was opened during a round is told in the next one.
-func (e *endpoint) drain(ctx context.Context, interval time.Duration) {
+// drainConnections asks HTTP/2 callers to send further requests on other connections (GOAWAY), and returns when the
+// last connection has ended or ctx is done. A connection that opens during one interval gets its GOAWAY in the next.
+func (e *endpoint) drainConnections(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, interval)
 		err := e.server.Shutdown(limited)
--- a/pkg/request/fault_test.go
+++ b/pkg/request/fault_test.go
@@ -18,18 +18,18 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// scriptedTarget answers the n-th request by the n-th step, and all further ones by the last.
+// scriptedTarget responds to the n-th request with the n-th step, and to all further requests with the last step.
 type scriptedTarget struct {
 	listener net.Listener
 	hits     atomic.Int32
 	steps    []string
 }
 
-// Steps of a scriptedTarget; any other text is sent as it is.
+// Steps of a scriptedTarget; any other text is sent verbatim.
 const (
-	stepCloseConn = "break" // closes the connection without an answer
+	stepCloseConn = "break" // closes the connection without a response
 	stepStop      = "stop"  // also stops listening
-	stepHang      = "hang"  // never answers
+	stepHang      = "hang"  // never responds
 	responseOK    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	responseShed  = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nRetry-After: 0\r\n\r\n"
 )
@@ -96,7 +96,7 @@
 	return s, listen(t, s)
 }
 
-// call sends one request and returns the whole answer.
+// call sends one request and reads the complete response.
 func call(t *testing.T, method, url, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -165,8 +165,8 @@
 	require.Less(t, time.Since(begin), 10*time.Second)
 }
 
-// A transport repeats requests that it takes for idempotent after a lost connection, when it has used the connection
-// before. Here the second of the transport's own tries would be shed, and the caller told that nothing ran.
+// http.Transport resends idempotent requests that fail on a reused connection. Here the second attempt would be shed,
+// and the caller would get run "no" although the first may have run.
 func TestGetIsNotRepeatedByTheTransport(t *testing.T) {
 	target := newScriptedTarget(t, responseOK, stepCloseConn, responseShed)
 	_, url := newFaultServer(t, target.addr(), func(o *Options) { o.RetryRatio = 1e-9 })
@@ -175,7 +175,7 @@
 	require.Equal(t, "unknown", res.Header.Get(HeaderRun))
 }
 
-// The same holds for a request with an idempotency header.
+// http.Transport also resends requests with an idempotency header.
 func TestKeyIsNotRepeatedByTheTransport(t *testing.T) {
 	for _, name := range []string{HeaderKey, "X-Idempotency-Key"} {
 		target := newScriptedTarget(t, responseOK, stepCloseConn, responseOK)
@@ -267,7 +267,7 @@
 func TestCancelReachesTheTarget(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	_, url := newTestServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // net/http sees the end of a connection only after the body
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body was read
 		close(began)
 		<-r.Context().Done()
 		close(ended)
--- a/pkg/request/flow_conn.go
+++ b/pkg/request/flow_conn.go
@@ -11,26 +11,25 @@
 )
 
 const (
-	// lingerTimeout is how long a closing connection goes on reading what its caller still sends. A connection that is
-	// closed with unread bytes is reset, and a reset destroys the part of an answer that is still on its way.
-	lingerTimeout = time.Second
-	// discardBufferSize is the size of the buffer for bytes that nobody reads.
+	// lingerTimeout is how long a closing connection continues to read what its caller sends. Closing a connection with
+	// unread bytes resets it, and a reset discards the part of the response that is still in transit.
+	lingerTimeout     = time.Second
 	discardBufferSize = 1 << 10
 )
 
-// flowConn is a caller's connection with the key of its flow; closed is closed with it.
+// flowConn is a caller's connection with its flow key; the channel closed is closed together with it.
 type flowConn struct {
 	net.Conn
 	key    flow.Key
 	closed chan struct{}
 	once   sync.Once
-	// serverCtx ends with the server; there is no lingering after that.
+	// serverCtx ends when the server closes, which ends lingering.
 	serverCtx context.Context
-	// sniffed is what was read to tell the protocol; only readers use it.
+	// sniffed holds the bytes read for protocol detection; only readers use it.
 	sniffed []byte
 
 	mu sync.Mutex
-	// idleSince is zero while a request is under way.
+	// idleSince is zero while a request is in progress.
 	idleSince time.Time
 	retired   bool
 }
@@ -39,7 +38,7 @@
 	return &flowConn{Conn: c, key: key, closed: make(chan struct{}), serverCtx: serverCtx, idleSince: now}
 }
 
-// Read reads what the caller sends. After retire it discards everything until the caller closes, and reports the end.
+// Read reads what the caller sends. After retire it discards everything until the caller closes, and returns io.EOF.
 func (c *flowConn) Read(b []byte) (int, error) {
 	n, err := c.read(b)
 	if !c.markActive(n) {
@@ -60,7 +59,7 @@
 	return n, nil
 }
 
-// markActive notes that a request is under way, and reports whether the connection was retired before.
+// markActive records that a request is in progress, and reports whether the connection was already retired.
 func (c *flowConn) markActive(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,15 +69,15 @@
 	return c.retired
 }
 
-// markIdle notes that no request is under way.
+// markIdle records that no request is in progress.
 func (c *flowConn) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = now
 }
 
-// retire takes the connection from its reader when it has been idle for the quiet time. From then on no request of it is
-// read, so that its last answer may be sent.
+// retire stops reading requests from a connection that has been idle for at least idleFor, so that a final response can
+// be sent on it. It reports whether it retired the connection.
 func (c *flowConn) retire(now time.Time, idleFor time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +88,7 @@
 	return true
 }
 
-// CloseWrite ends the sending side; net/http uses it too.
+// CloseWrite closes the sending side; net/http calls it too.
 func (c *flowConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -97,8 +96,8 @@
 	return net.ErrClosed
 }
 
-// Close ends the sending side at once, and the connection when the caller has closed too or the linger time is over. It
-// wakes up ServeFlow then.
+// Close closes the sending side at once, and the connection when the caller has closed too or the linger timeout has
+// passed. Then ServeFlow returns.
 func (c *flowConn) Close() error {
 	c.once.Do(func() { go c.linger() })
 	return nil
--- a/pkg/request/forward_ticket.go
+++ b/pkg/request/forward_ticket.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// forwardTicket passes a submission to the issuer of its ticket.
+// forwardTicket forwards a submission to the issuer of its ticket.
 func (s *Server) forwardTicket(u *submission) {
 	if u.hops > 0 {
 		s.refuseTicket(u, issuerUnavailable(refusal.RunNo, "the ticket belongs to another agent"))
@@ -29,7 +29,8 @@
 	s.forwardIssuerResponse(u, res)
 }
 
-// sendToIssuer sends the submission. Sending it again is safe as long as the issuer's memory decides.
+// sendToIssuer sends the submission to the issuer. Sending it again is safe because the issuer runs a ticket at most
+// once.
 func (s *Server) sendToIssuer(ctx context.Context, u *submission) (*http.Response, *Refusal) {
 	maybeSent := false
 	for range issuerAttempts {
@@ -40,7 +41,7 @@
 		s.logPlacement(u.r, "forward", p.Agent, "issuer of the ticket")
 		res, sent, err := send(s.peers, s.peerRequest(ctx, u, p, hopTicket))
 		if err == nil {
-			s.updatePeerLoad(p, res)
+			s.updateLoad(p, res)
 			return res, nil
 		}
 		s.loads.markUnreachable(s.o.Now(), p.Agent)
@@ -65,7 +66,8 @@
 	return issuerUnavailable(submission, "the issuing agent can't be reached")
 }
 
-// forwardIssuerResponse passes the issuer's answer on, whole, or cut so that the caller sees it.
+// forwardIssuerResponse copies the issuer's response to the caller. If the response is truncated, the caller's
+// connection is aborted so that the caller can see it.
 func (s *Server) forwardIssuerResponse(u *submission, res *http.Response) {
 	if runOf(res) != "" {
 		readRelayed(res).send(u.w)
@@ -79,7 +81,7 @@
 	}
 }
 
-// discardWriter is an io.Writer that wants no answer.
+// discardWriter is an io.Writer for responses that are not cached.
 type discardWriter struct{}
 
 func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/pkg/request/headers.go
+++ b/pkg/request/headers.go
@@ -6,25 +6,27 @@
 	"strings"
 )
 
-// Headers of callers and targets.
+// Headers exchanged with callers and targets.
 const (
-	// HeaderTimeout is the time in milliseconds that a caller gives to a request, and that a target has left.
+	// HeaderTimeout is the time limit of a request in milliseconds: from a caller, the time it allows; to a target, the
+	// time that is left.
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderTicket carries a ticket to spend.
+	// HeaderTicket carries the ticket to spend.
 	HeaderTicket = "Auburnwood-Ticket"
-	// HeaderKey carries a caller's own key.
+	// HeaderKey carries the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderAttempt counts a caller's submissions of the same key, from 1.
+	// HeaderAttempt is the caller's attempt number for the same key, from 1.
 	HeaderAttempt = "Auburnwood-Attempt"
-	// HeaderRun is on every refusal: "no" or "unknown".
+	// HeaderRun is set on every refusal: "no" or "unknown"; "yes" is set when the work ran but its response is no
+	// longer cached.
 	HeaderRun = "Auburnwood-Run"
-	// HeaderReason is on every refusal.
+	// HeaderReason is the refusal reason, set on every refusal.
 	HeaderReason = "Auburnwood-Reason"
-	// HeaderRecord is on every refusal: the record's ID.
+	// HeaderRecord is the ID of the refusal record, set on every refusal.
 	HeaderRecord = "Auburnwood-Record"
-	// HeaderSubmission is "no" on a refusal with run unknown when this one submission was not run.
+	// HeaderSubmission is "no" on a refusal with run "unknown" when this submission itself was not run.
 	HeaderSubmission = "Auburnwood-Submission"
-	// HeaderRepeated is "true" on an answer that was kept from the run of the same ticket.
+	// HeaderRepeated is "true" on a cached response from an earlier submission of the same ticket.
 	HeaderRepeated = "Auburnwood-Repeated"
 )
 
@@ -40,13 +42,13 @@
 
 const ownPrefix = "Auburnwood-"
 
-// connectionHeaders are those of RFC 9110, section 7.6.1, that belong to one connection.
+// connectionHeaders are the hop-by-hop headers of RFC 9110, section 7.6.1.
 var connectionHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// removeConnectionHeaders deletes the headers that belong to one connection.
+// removeConnectionHeaders deletes hop-by-hop headers, including those listed in Connection.
 func removeConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/pkg/request/history_test.go
+++ b/pkg/request/history_test.go
@@ -19,15 +19,15 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// event is what happened to one piece of work: the target began it, or a caller was told its fate. attempt counts the
-// submissions of a key; those of a ticket all have 1.
+// event is an event in the history of one piece of work: the target began it, or a caller received its result. attempt
+// is the attempt number of a key's submission, and 1 for tickets.
 type event struct {
 	work    string
 	kind    string
 	attempt int
 }
 
-// Kinds of events.
+// Kinds of events. The others than eventBegan are results that callers received.
 const (
 	eventBegan   = "began"
 	eventNo      = "told no"
@@ -35,14 +35,14 @@
 	eventUnknown = "told unknown"
 )
 
-// workState is the state of one piece of work in the model.
+// workState is the model's state of one piece of work.
 type workState struct {
 	runs           int
 	refusedThrough int
 }
 
-// atMostOnceModel is the model: work begins at most once, and never for a submission up to one whose caller was told that
-// nothing ran; a caller is told that work ran only when it did.
+// atMostOnceModel requires that work begins at most once, that no submission begins whose attempt number is at most
+// that of one refused as not run, and that work is reported as run only after it began.
 var atMostOnceModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
@@ -72,7 +72,7 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprint(input) },
 }
 
-// historyRecorder collects the history.
+// historyRecorder records the history of a run, and is the target of it.
 type historyRecorder struct {
 	mu    sync.Mutex
 	begin time.Time
@@ -88,7 +88,7 @@
 	c.ops = append(c.ops, porcupine.Operation{ClientId: client, Input: e, Call: from, Return: to})
 }
 
-// ServeHTTP is the target: it sheds some work, loses some answers and is slow at times.
+// ServeHTTP sheds some requests, drops some responses, and delays others.
 func (c *historyRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	dice := rand.IntN(20)
@@ -114,7 +114,8 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// submit sends work once, drops some submissions, and notes what the caller was told. It returns true when the work ran.
+// submit sends one submission, cancels some of them, and records the result that the caller received. It reports
+// whether the work ran.
 func (c *historyRecorder) submit(client int, url, work string, header, value string, attempt int) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -148,7 +149,7 @@
 	return kind == eventRan
 }
 
-// doubleRunBook runs a ticket for every submission.
+// doubleRunBook is a faulty ticket book that runs a ticket for every submission.
 type doubleRunBook struct{ ticketBook }
 
 func (b doubleRunBook) Spend(now time.Time, t ticket.Ticket, f uint64) ticket.Result {
@@ -162,7 +163,8 @@
 	return true
 }
 
-// prematureRefusalBook lets a refused ticket be submitted again, so that "no" is said before it is final.
+// prematureRefusalBook is a faulty ticket book that accepts a refused ticket again, so that run "no" is reported before
+// it is final.
 type prematureRefusalBook struct {
 	ticketBook
 	mu      sync.Mutex
@@ -192,7 +194,8 @@
 	return true
 }
 
-// checkHistory runs concurrent submissions of the same tickets and keys at two agents, one of which dies on the way.
+// checkHistory runs concurrent submissions of the same tickets and keys at two agents, one of which is closed during
+// the run, and checks the history against the model.
 func checkHistory(t *testing.T, wrap func(ticketBook) ticketBook) porcupine.CheckResult {
 	c := &historyRecorder{begin: time.Now()}
 	faults := make([]storeFault, 400)
@@ -228,7 +231,7 @@
 	}
 	time.AfterFunc(100*time.Millisecond, func() { _ = b.server.Close() })
 	wg.Wait()
-	time.Sleep(20 * time.Millisecond) // work whose caller is gone may still begin
+	time.Sleep(20 * time.Millisecond) // work may still begin after its caller has disconnected
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return porcupine.CheckOperationsTimeout(atMostOnceModel, c.ops, 20*time.Second)
--- a/pkg/request/hop.go
+++ b/pkg/request/hop.go
@@ -1,21 +1,20 @@
 package request
 
-// hopKind says what one agent wants of another.
+// hopKind is what an agent requests of another agent.
 type hopKind string
 
-// Kinds of hops.
 const (
-	// hopSteer asks to run a request if a slot is free now.
+	// hopSteer asks the peer to run a request if a slot is free now.
 	hopSteer hopKind = "steer"
-	// hopTicket submits a request with a ticket to the issuer.
+	// hopTicket submits a request to the issuer of its ticket.
 	hopTicket hopKind = "ticket"
-	// hopIssue asks for tickets of the receiver.
+	// hopIssue asks the peer to issue tickets.
 	hopIssue hopKind = "issue"
-	// hopCancel passes a caller's cancel or question to the issuer.
+	// hopCancel forwards a caller's cancel or status query to the ticket's issuer.
 	hopCancel hopKind = "cancel"
-	// hopLoad asks for the load only.
+	// hopLoad asks only for the peer's load.
 	hopLoad hopKind = "load"
 )
 
-// maxHops is enough for caller's agent, issuer, and the agent that the issuer steers to.
+// maxHops allows for the caller's agent, the issuer, and the agent that the issuer steers to.
 const maxHops = 2
--- a/pkg/request/inflight.go
+++ b/pkg/request/inflight.go
@@ -8,13 +8,13 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// inflight is the one submission that holds a ticket. Repeats wait for done.
+// inflight is the one submission that holds a ticket. Repeats of the ticket wait for done.
 type inflight struct {
-	done     chan struct{}
-	response *cachedResponse
-	// cancel ends the started work for a caller's explicit cancel.
+	done  chan struct{}
+	reply *cachedResponse
+	// cancel cancels started work after the caller cancelled the ticket.
 	cancel context.CancelCauseFunc
-	// cancelRequested is closed by a caller's explicit cancel, which wakes work that waits.
+	// cancelRequested is closed when the caller cancels the ticket; it wakes work that waits for a slot.
 	cancelRequested chan struct{}
 	cancelOnce      sync.Once
 }
@@ -23,7 +23,7 @@
 	return &inflight{done: make(chan struct{}), cancelRequested: make(chan struct{})}
 }
 
-// inflightTable are the submissions that hold a ticket of this agent.
+// inflightTable holds the submissions that hold a ticket of this agent, by ticket sequence number.
 type inflightTable struct {
 	mu   sync.Mutex
 	open map[uint64]*inflight
@@ -31,7 +31,8 @@
 
 func newInflightTable() *inflightTable { return &inflightTable{open: make(map[uint64]*inflight)} }
 
-// spend submits a ticket. It returns the flight of the submission that holds the ticket, if any.
+// spend submits a ticket. It returns the submission that holds the ticket: own if the ticket was free, otherwise the
+// earlier one, or nil if that has finished.
 func (f *inflightTable) spend(b ticketBook, now time.Time, t ticket.Ticket, fingerprint uint64, own *inflight) (ticket.Result, *inflight) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,7 +44,7 @@
 	return res, f.open[t.Sequence]
 }
 
-// finish ends a flight and wakes the repeats.
+// finish removes a submission and wakes the repeats that wait for it.
 func (f *inflightTable) finish(seq uint64) {
 	f.mu.Lock()
 	own := f.open[seq]
@@ -61,7 +62,7 @@
 	own.cancel = cancel
 }
 
-// cancel ends the started work of a ticket, if it runs.
+// cancel cancels the started work of a ticket, if it is running.
 func (f *inflightTable) cancel(seq uint64) {
 	f.mu.Lock()
 	own := f.open[seq]
@@ -75,7 +76,7 @@
 	}
 }
 
-// wakeCancelled wakes the holder of a waiting ticket after a cancel.
+// wakeCancelled wakes the submission that holds a ticket after the ticket was cancelled.
 func (f *inflightTable) wakeCancelled(seq uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/request/listener.go
+++ b/pkg/request/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// connListener is a net.Listener over connections that are handed to it.
+// connListener is a net.Listener whose connections come from deliver.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -16,7 +16,7 @@
 	return &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// deliver hands over one connection; false means that the listener is closed.
+// deliver passes one connection to Accept; false means that the listener is closed.
 func (l *connListener) deliver(c net.Conn) bool {
 	select {
 	case l.conns <- c:
@@ -36,7 +36,7 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept and deliver return.
 func (l *connListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
--- a/pkg/request/load.go
+++ b/pkg/request/load.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/limit"
 )
 
-// encodeLoad writes a load as the value of headerLoad.
+// encodeLoad formats a load as the value of headerLoad.
 func encodeLoad(l limit.Load) string {
 	v := url.Values{}
 	v.Set("busy", strconv.Itoa(l.Busy))
@@ -18,7 +18,7 @@
 	return v.Encode()
 }
 
-// decodeLoad reads a load; false means that the text is none.
+// decodeLoad parses the value of headerLoad; false means that it is malformed.
 func decodeLoad(text string) (limit.Load, bool) {
 	v, err := url.ParseQuery(text)
 	if err != nil {
--- a/pkg/request/options.go
+++ b/pkg/request/options.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultDeadline        = 10 * time.Second
 	DefaultMaxTimeout      = 10 * time.Minute
@@ -31,7 +31,7 @@
 
 // Options configures a Server.
 type Options struct {
-	// Agent is the name of this agent; it is the issuer of its tickets.
+	// Agent is the name of this agent, and the issuer of its tickets.
 	Agent string
 	// Incarnation is unique for each start of the agent.
 	Incarnation uint64
@@ -39,56 +39,55 @@
 	Service string
 	// Target is the address of the target.
 	Target netip.AddrPort
-	// Slots is the number of requests that the target runs at once; 0 means DefaultSlots.
+	// Slots is the number of requests that the target runs concurrently; 0 means DefaultSlots.
 	Slots int
-	// Queue is the highest number of waiting requests; 0 means limit.DefaultQueue.
+	// Queue is the maximum number of waiting requests; 0 means limit.DefaultQueue.
 	Queue int
 	// Cold is true when the target has just started.
 	Cold bool
-	// Unbounded lets every request wait, whatever its deadline; it is for measured comparisons only.
+	// Unbounded queues every request whatever its deadline; it is only for comparison measurements.
 	Unbounded bool
-	// Deadline is the time that a request gets when it names none; 0 means DefaultDeadline.
+	// Deadline is the time limit of a request that names none; 0 means DefaultDeadline.
 	Deadline time.Duration
-	// MaxTimeout is the longest time that a request may ask for; 0 means DefaultMaxTimeout.
+	// MaxTimeout is the longest time limit that a request may ask for; 0 means DefaultMaxTimeout.
 	MaxTimeout time.Duration
-	// Grace is how long after its deadline a started request may still answer; 0 means DefaultGrace.
+	// Grace is how long after its deadline a started request may still be answered; 0 means DefaultGrace.
 	Grace time.Duration
-	// TicketLifetime is the time in which a ticket must be submitted; 0 means ticket.DefaultLife.
+	// TicketLifetime is how long after its issue a ticket may be submitted; 0 means ticket.DefaultLife.
 	TicketLifetime time.Duration
-	// TicketRetention is how long after its expiry the fate of a ticket is remembered; 0 means
-	// ticket.DefaultRetention.
+	// TicketRetention is how long after its expiry the state of a ticket is kept; 0 means ticket.DefaultRetention.
 	TicketRetention time.Duration
-	// TicketMax bounds the remembered tickets; 0 means ticket.DefaultMax.
+	// TicketMax is the maximum number of tickets in memory; 0 means ticket.DefaultMax.
 	TicketMax int
-	// CachedResponses is the number of small answers that are kept for repeats of a ticket; 0 means DefaultAnswers.
+	// CachedResponses is the number of small responses cached for repeats of a ticket; 0 means DefaultCachedResponses.
 	CachedResponses int
-	// Store keeps the claims; nil refuses requests that need one.
+	// Store holds the claims; with nil, requests that need a claim are refused.
 	Store objectapi.Store
-	// Eras are those of the object API behind Store; nil means that it names none.
+	// Eras tracks the eras of the object API behind Store; nil means that it has none.
 	Eras *objectapi.Eras
-	// ClaimRate is the highest number of claims a second of this agent; 0 means DefaultClaimRate.
+	// ClaimRate is the maximum number of claims per second of this agent; 0 means DefaultClaimRate.
 	ClaimRate float64
-	// ClaimBurst is the number of claims that may be made at once; 0 means as many as a second allows, at least one.
+	// ClaimBurst is the maximum number of claims at once; 0 means the claims of one second, but at least one.
 	ClaimBurst int
-	// RetryRatio is the number of retries that one request pays for; 0 means limit.DefaultRetryRatio.
+	// RetryRatio is the number of retries that each request adds to the retry budget; 0 means limit.DefaultRetryRatio.
 	RetryRatio float64
-	// Peers are the other agents of the service; nil means none.
+	// Peers is the view of the other agents of the service; nil means none.
 	Peers Peers
 	// DialTarget opens connections to the target; nil means net.Dialer.
 	DialTarget DialFunc
-	// DialPeer opens connections to the control addresses of peers; nil means net.Dialer.
+	// DialPeer opens connections to peers' control addresses; nil means net.Dialer.
 	DialPeer DialFunc
 	// Revision returns the configuration revision in force; nil means 0.
 	Revision func() uint64
-	// Recorder takes the refusal records.
+	// Recorder receives the refusal records.
 	Recorder refusal.Recorder
-	// Log takes a line for each placement decision and refusal.
+	// Log gets one line for each placement decision and each refusal.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil means none.
+	// Metrics receives the counters; nil means none.
 	Metrics tally.Scope
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Seed makes the secrets of tickets; nil takes it from the operating system.
+	// Seed seeds the secrets of tickets; nil means a random seed from the operating system.
 	Seed *[32]byte
 }
 
@@ -126,7 +125,7 @@
 	return o
 }
 
-// newRand returns a cryptographic generator, for secrets that callers can't guess.
+// newRand returns a cryptographically secure generator: callers must not be able to guess ticket secrets.
 func (o Options) newRand() *rand.Rand {
 	if o.Seed != nil {
 		return rand.New(rand.NewChaCha8(*o.Seed))
--- a/pkg/request/outcome.go
+++ b/pkg/request/outcome.go
@@ -4,25 +4,25 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// outcome is the end of a submission.
+// outcome is the result of a submission.
 type outcome struct {
-	// refusal is set when the agent refuses.
+	// refusal is set when this agent refuses the request.
 	refusal *Refusal
-	// relayed is a refusal that a peer has recorded; it is passed on as it is.
+	// relayed is a refusal that a peer has recorded and that is forwarded unchanged.
 	relayed *relayedResponse
-	// run is set with relayed.
+	// run is the run state of relayed.
 	run refusal.Run
-	// status is the HTTP status of a target's answer.
+	// status is the HTTP status of the target's response.
 	status int
-	// truncated is true when the caller doesn't have the whole answer.
+	// truncated is true when the caller did not get the complete response.
 	truncated bool
-	// incomplete is true when the target did not give its whole answer.
+	// incomplete is true when the target did not send its complete response.
 	incomplete bool
 }
 
 func refused(f *Refusal) *outcome { return &outcome{refusal: f} }
 
-// runState returns what the outcome says about the work; empty for an answer.
+// runState returns the run state that the outcome implies; empty when the target sent its complete response.
 func (o *outcome) runState() refusal.Run {
 	switch {
 	case o.refusal != nil:
--- a/pkg/request/outgoing.go
+++ b/pkg/request/outgoing.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// outgoingRequest returns the request as the target gets it.
+// outgoingRequest returns the request to send to a target or a peer at host.
 func (s *Server) outgoingRequest(ctx context.Context, u *submission, host string) *http.Request {
 	out := u.r.Clone(ctx)
 	out.RequestURI = ""
@@ -25,7 +25,7 @@
 	return out
 }
 
-// peerRequest returns the request as another agent gets it.
+// peerRequest returns the request to send to another agent.
 func (s *Server) peerRequest(ctx context.Context, u *submission, p Peer, kind hopKind) *http.Request {
 	out := s.outgoingRequest(ctx, u, p.Control.String())
 	s.setHopHeaders(out.Header, u.r.Context(), kind, u.hops+1)
@@ -47,7 +47,7 @@
 	h.Set(headerDestination, key.Destination.String())
 }
 
-// milliseconds writes a duration for HeaderTimeout; a duration that is over is 0.
+// milliseconds formats a duration for HeaderTimeout; a negative duration is 0.
 func milliseconds(d time.Duration) string {
 	return strconv.FormatInt(max(d, 0).Milliseconds(), 10)
 }
--- a/pkg/request/peer_loads.go
+++ b/pkg/request/peer_loads.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// loadMaxAge is how long the load of a peer is believed.
+	// loadMaxAge is how long the reported load of a peer is used.
 	loadMaxAge = 250 * time.Millisecond
-	// sampleSize is the number of peers that are compared for one decision, whatever the size of the service.
+	// sampleSize is the number of peers compared for one decision, whatever the size of the service.
 	sampleSize = 8
 )
 
-// peerLoad is what a peer last told, and the work that this agent sent it since.
+// peerLoad is the load that a peer last reported, and the work sent to it since.
 type peerLoad struct {
 	load limit.Load
 	sent int
 	at   time.Time
 }
 
-// freeSlots returns the number of slots that seem freeSlots; 0 when there is none or something waits.
+// freeSlots returns the estimated number of free slots; 0 when requests wait at the peer.
 func (p peerLoad) freeSlots() int {
 	if p.load.Waiting > 0 {
 		return 0
@@ -30,7 +30,7 @@
 	return max(p.load.Limit-p.load.Busy-p.sent, 0)
 }
 
-// ratio is the busy part of the slots.
+// ratio returns the work at the peer as a fraction of its slots.
 func (p peerLoad) ratio() float64 {
 	if p.load.Limit == 0 {
 		return float64(1 << 20)
@@ -38,11 +38,11 @@
 	return float64(p.load.Busy+p.load.Waiting+p.sent) / float64(p.load.Limit)
 }
 
-// peerLoads keeps the latest load of each peer.
+// peerLoads holds the last reported load of each peer.
 type peerLoads struct {
 	mu    sync.Mutex
 	loads map[string]peerLoad
-	// maybeFreeUntil is until when some peer may still seem free; without it nobody needs to look.
+	// maybeFreeUntil is when the last report of free slots expires; after it no peer needs to be considered.
 	maybeFreeUntil time.Time
 }
 
@@ -50,8 +50,8 @@
 	return &peerLoads{loads: make(map[string]peerLoad)}
 }
 
-// update takes a load that a peer told.
-func (p *peerLoads) update(now time.Time, agent string, l limit.Load) {
+// updateLoad stores a load that a peer reported.
+func (p *peerLoads) updateLoad(now time.Time, agent string, l limit.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := peerLoad{load: l, at: now}
@@ -68,10 +68,12 @@
 	return !now.After(p.maybeFreeUntil)
 }
 
-// markUnreachable notes that a peer can't be reached.
-func (p *peerLoads) markUnreachable(now time.Time, agent string) { p.update(now, agent, limit.Load{}) }
+// markUnreachable treats a peer as having no slots until its load expires.
+func (p *peerLoads) markUnreachable(now time.Time, agent string) {
+	p.updateLoad(now, agent, limit.Load{})
+}
 
-// addSent counts work that is sent to a peer, until it tells its load again.
+// addSent counts work sent to a peer since its last reported load.
 func (p *peerLoads) addSent(agent string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +85,7 @@
 	p.loads[agent] = l
 }
 
-// fresh returns the load of a peer when it is young enough.
+// fresh returns the load of a peer, and whether it is no older than loadMaxAge.
 func (p *peerLoads) fresh(now time.Time, agent string) (peerLoad, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +93,7 @@
 	return l, ok && now.Sub(l.at) <= loadMaxAge
 }
 
-// prune forgets the peers that are no longer in the service.
+// prune removes peers that have left the service, once there are many more loads than peers.
 func (p *peerLoads) prune(peers []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/request/peer_test.go
+++ b/pkg/request/peer_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// testPeers is a changeable view.
+// testPeers is a mutable Peers.
 type testPeers struct {
 	mu    sync.Mutex
 	peers []Peer
@@ -42,10 +42,10 @@
 	return Peer{}, false
 }
 
-// testAgent is one agent of a test, with its target.
+// testAgent is an agent with its target.
 type testAgent struct {
 	server *Server
-	target *blockingTarget
+	gate   *gate
 	url    string
 	peer   Peer
 	peers  *testPeers
@@ -53,8 +53,8 @@
 
 func newTestAgent(t *testing.T, name string, change func(*Options)) *testAgent {
 	t.Helper()
-	m := &testAgent{target: newBlockingTarget(), peers: &testPeers{}}
-	m.server, m.url = newTestServer(t, m.target, func(o *Options) {
+	m := &testAgent{gate: newGate(), peers: &testPeers{}}
+	m.server, m.url = newTestServer(t, m.gate, func(o *Options) {
 		o.Agent = name
 		o.Peers = m.peers
 		if change != nil {
@@ -84,15 +84,15 @@
 func TestTicketRunsAtItsIssuerWhicheverAgentGetsIt(t *testing.T) {
 	a, b := newAgentPair(t)
 	issued := b.server.issue(1)[0].String()
-	b.target.release <- struct{}{}
+	b.gate.release <- struct{}{}
 	for range 2 {
 		res, body := call(t, "POST", a.url+"/orders", "order", HeaderTicket, issued)
 		require.Equal(t, 200, res.StatusCode, body)
 		require.Equal(t, "aaaaaaaaaa", body)
 		require.Empty(t, res.Header.Get(headerLoad))
 	}
-	require.EqualValues(t, 1, b.target.hits.Load())
-	require.Zero(t, a.target.hits.Load())
+	require.EqualValues(t, 1, b.gate.hits.Load())
+	require.Zero(t, a.gate.hits.Load())
 	require.Equal(t, RunYes, ticketStatusOf(t, a.url, issued).Run)
 }
 
@@ -104,7 +104,7 @@
 	require.Equal(t, "unknown", res.Header.Get(HeaderRun))
 	require.Equal(t, "no", res.Header.Get(HeaderSubmission))
 	require.Equal(t, string(refusal.ReasonTicketGone), res.Header.Get(HeaderReason))
-	require.Zero(t, a.target.hits.Load())
+	require.Zero(t, a.gate.hits.Load())
 }
 
 func TestWaitingRequestIsSteeredToAFreeTarget(t *testing.T) {
@@ -112,16 +112,16 @@
 		t.Run(kind, func(t *testing.T) {
 			a, b := newAgentPair(t)
 			submitAsync(t, a.url, a.server.issue(1)[0].String())
-			<-a.target.started
-			b.target.release <- struct{}{}
+			<-a.gate.started
+			b.gate.release <- struct{}{}
 			var headers []string
 			if kind == "ticket" {
 				headers = []string{HeaderTicket, a.server.issue(1)[0].String()}
 			}
 			res, _ := call(t, "POST", a.url, "order", headers...)
 			require.Equal(t, 200, res.StatusCode)
-			require.EqualValues(t, 1, a.target.hits.Load())
-			require.EqualValues(t, 1, b.target.hits.Load())
+			require.EqualValues(t, 1, a.gate.hits.Load())
+			require.EqualValues(t, 1, b.gate.hits.Load())
 		})
 	}
 }
@@ -130,72 +130,72 @@
 	a, b := newAgentPair(t)
 	submitAsync(t, a.url, a.server.issue(1)[0].String())
 	submitAsync(t, b.url, b.server.issue(1)[0].String())
-	<-a.target.started
-	<-b.target.started
-	a.server.loads.update(time.Now(), "agent-b", limit.Load{Limit: 1})
+	<-a.gate.started
+	<-b.gate.started
+	a.server.loads.updateLoad(time.Now(), "agent-b", limit.Load{Limit: 1})
 	text := a.server.issue(1)[0].String()
 	submitAsync(t, a.url, text)
 	require.Eventually(t, func() bool { return ticketStatusOf(t, a.url, text).State == "waiting" }, 5*time.Second, time.Millisecond)
-	a.target.release <- struct{}{}
-	<-a.target.started
-	a.target.release <- struct{}{}
+	a.gate.release <- struct{}{}
+	<-a.gate.started
+	a.gate.release <- struct{}{}
 	require.Eventually(t, func() bool { return ticketStatusOf(t, a.url, text).Run == RunYes }, 5*time.Second, time.Millisecond)
-	require.EqualValues(t, 2, a.target.hits.Load())
-	require.EqualValues(t, 1, b.target.hits.Load())
+	require.EqualValues(t, 2, a.gate.hits.Load())
+	require.EqualValues(t, 1, b.gate.hits.Load())
 }
 
 func TestDrainSteersTheWaitingAndEndsTheRunning(t *testing.T) {
 	a, b := newAgentPair(t)
 	running, waiting := a.server.issue(1)[0].String(), a.server.issue(1)[0].String()
 	submitAsync(t, a.url, running)
-	<-a.target.started
-	b.server.draining.Store(true) // so that nothing is steered before
+	<-a.gate.started
+	b.server.draining.Store(true) // prevents steering before Drain
 	b.server.limiter.Close()
 	submitAsync(t, a.url, waiting)
 	require.Eventually(t, func() bool { return ticketStatusOf(t, a.url, waiting).State == "waiting" }, 5*time.Second, time.Millisecond)
 	c := newTestAgent(t, "agent-c", nil)
 	a.peers.set(c.peer)
-	c.target.release <- struct{}{}
+	c.gate.release <- struct{}{}
 	drained := make(chan error, 1)
 	go func() { drained <- a.server.Drain(context.Background()) }()
-	<-c.target.started
-	c.target.release <- struct{}{}
+	<-c.gate.started
+	c.gate.release <- struct{}{}
 	require.Eventually(t, func() bool { return c.server.Load().Busy == 0 }, 5*time.Second, time.Millisecond)
 	res, _ := call(t, "POST", a.url, "order") // new work goes elsewhere
 	require.Equal(t, 200, res.StatusCode)
-	require.EqualValues(t, 2, c.target.hits.Load())
+	require.EqualValues(t, 2, c.gate.hits.Load())
 	a.peers.set()
 	res, _ = call(t, "POST", a.url, "order")
 	require.Equal(t, string(refusal.ReasonDraining), res.Header.Get(HeaderReason))
 	require.Equal(t, "no", res.Header.Get(HeaderRun))
-	a.target.release <- struct{}{}
+	a.gate.release <- struct{}{}
 	require.NoError(t, <-drained)
 	require.Equal(t, RunYes, ticketStatusOf(t, a.url, running).Run)
 	require.Equal(t, RunYes, ticketStatusOf(t, a.url, waiting).Run)
-	require.EqualValues(t, 1, a.target.hits.Load())
+	require.EqualValues(t, 1, a.gate.hits.Load())
 }
 
 func TestRequestsOfAnEvacuatedDataCentreGoToPeers(t *testing.T) {
 	a, b := newAgentPair(t)
 	running := a.server.issue(1)[0].String()
 	submitAsync(t, a.url, running)
-	<-a.target.started
+	<-a.gate.started
 	a.server.SetEvacuated(true)
-	b.target.release <- struct{}{}
+	b.gate.release <- struct{}{}
 	res, _ := call(t, "POST", a.url, "order")
 	require.Equal(t, 200, res.StatusCode)
-	require.EqualValues(t, 1, b.target.hits.Load())
+	require.EqualValues(t, 1, b.gate.hits.Load())
 	a.peers.set()
 	res, _ = call(t, "POST", a.url, "order")
 	require.Equal(t, string(refusal.ReasonEvacuated), res.Header.Get(HeaderReason))
 	require.Equal(t, "no", res.Header.Get(HeaderRun))
-	a.target.release <- struct{}{}
+	a.gate.release <- struct{}{}
 	require.Eventually(t, func() bool { return ticketStatusOf(t, a.url, running).Run == RunYes }, 5*time.Second, time.Millisecond)
 	a.server.SetEvacuated(false)
-	a.target.release <- struct{}{}
+	a.gate.release <- struct{}{}
 	res, _ = call(t, "POST", a.url, "order")
 	require.Equal(t, 200, res.StatusCode)
-	require.EqualValues(t, 2, a.target.hits.Load())
+	require.EqualValues(t, 2, a.gate.hits.Load())
 }
 
 func TestAgentOfAnotherServiceRefuses(t *testing.T) {
@@ -203,22 +203,22 @@
 	other := newTestAgent(t, "agent-b", func(o *Options) { o.Service = "reports-svc" })
 	a.peers.set(other.peer)
 	submitAsync(t, a.url, a.server.issue(1)[0].String())
-	<-a.target.started
-	a.server.loads.update(time.Now(), "agent-b", limit.Load{Limit: 5})
+	<-a.gate.started
+	a.server.loads.updateLoad(time.Now(), "agent-b", limit.Load{Limit: 5})
 	res, _ := call(t, "POST", a.url, "order", HeaderTimeout, "100")
 	require.Equal(t, "no", res.Header.Get(HeaderRun))
-	require.Zero(t, other.target.hits.Load())
+	require.Zero(t, other.gate.hits.Load())
 	text := other.server.issue(1)[0].String()
 	res, _ = call(t, "POST", a.url, "order", HeaderTicket, text)
 	require.Equal(t, string(refusal.ReasonWrongService), res.Header.Get(HeaderReason))
-	require.Zero(t, other.target.hits.Load())
+	require.Zero(t, other.gate.hits.Load())
 }
 
 func TestTicketsAreIssuedWhereSlotsAreFree(t *testing.T) {
 	a, b := newAgentPair(t)
 	submitAsync(t, a.url, a.server.issue(1)[0].String())
-	<-a.target.started
-	a.server.loads.update(time.Now(), "agent-b", limit.Load{Limit: 1})
+	<-a.gate.started
+	a.server.loads.updateLoad(time.Now(), "agent-b", limit.Load{Limit: 1})
 	issuers := make(map[string]int)
 	for _, k := range a.server.placeTickets(context.Background(), 3) {
 		issuers[k.Issuer]++
@@ -238,7 +238,7 @@
 		}
 		done <- res
 	}()
-	<-b.target.started
+	<-b.gate.started
 	require.NoError(t, b.server.Close())
 	res := <-done
 	require.NotNil(t, res)
--- a/pkg/request/peers.go
+++ b/pkg/request/peers.go
@@ -4,17 +4,17 @@
 
 // Peer is another agent of the same service.
 type Peer struct {
-	// Agent is the agent's name.
 	Agent string
-	// Control is the address of its control endpoint.
+	// Control is the address of the agent's control endpoint.
 	Control netip.AddrPort
 }
 
-// Peers is the agent's view of the other agents of its service. It must be quick and safe for concurrent use.
+// Peers is the agent's view of the other agents of its service. Implementations must be fast and safe for concurrent
+// use.
 type Peers interface {
-	// Candidates returns the agents that may be given new work; the caller doesn't change the slice.
+	// Candidates returns the agents that accept new work. The slice must not be modified.
 	Candidates() []Peer
-	// Find returns an agent by name, also one that drains.
+	// Find returns an agent by name, including draining agents.
 	Find(agent string) (Peer, bool)
 }
 
--- a/pkg/request/place_tickets.go
+++ b/pkg/request/place_tickets.go
@@ -13,19 +13,20 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// issueTimeout bounds the wait for another agent's tickets; the own agent issues those that don't come.
+// issueTimeout bounds calls to a peer that issue tickets or query their status. Tickets that a peer doesn't issue in
+// time are issued by this agent.
 const issueTimeout = 300 * time.Millisecond
 
-// ticketShare is the number of tickets that one agent shall issue.
+// ticketShare is the number of tickets that one agent is to issue.
 type ticketShare struct {
-	// peer is nil for the own agent.
+	// peer is nil for this agent.
 	peer  *Peer
 	ratio float64
 	slots float64
 	count int
 }
 
-// placeTickets issues tickets at the agents whose targets have the least busy slots.
+// placeTickets issues tickets at the agents with the lowest ratio of work to slots.
 func (s *Server) placeTickets(ctx context.Context, n int) []ticket.Ticket {
 	shares := s.shareTickets(n)
 	results := make([][]ticket.Ticket, len(shares))
@@ -39,7 +40,7 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // no part returns an error
+	_ = g.Wait() // never returns an error
 	var all []ticket.Ticket
 	for _, part := range results {
 		all = append(all, part...)
@@ -48,8 +49,8 @@
 	return all
 }
 
-// shareTickets deals n tickets out, each to the agent with the lowest ratio of work to slots. A peer of unknown load
-// counts like the own agent.
+// shareTickets distributes n tickets, each to the agent with the lowest ratio of work to slots. A peer of unknown load
+// is given the load of this agent.
 func (s *Server) shareTickets(n int) []ticketShare {
 	now := s.o.Now()
 	own := peerLoad{load: s.Load()}
--- a/pkg/request/probe.go
+++ b/pkg/request/probe.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Probes ask peers for their load while a request waits here.
+// Limits of load probes, which ask peers for their load while a request waits here. probeRate is in probes per second.
 const (
 	probeRate    = 25
 	probeBurst   = 4
@@ -15,7 +15,7 @@
 	probeTimeout = 200 * time.Millisecond
 )
 
-// probe asks one peer of unknown load in the background. The rate is bounded for the whole agent.
+// probe asks one peer of unknown load in the background. The rate is limited for the whole agent.
 func (s *Server) probe() {
 	now := s.o.Now()
 	if s.probing.Load() >= maxProbing || s.probeLimiter.TokensAt(now) < 1 {
@@ -52,14 +52,14 @@
 		return
 	}
 	defer res.Body.Close()
-	s.updatePeerLoad(p, res)
+	s.updateLoad(p, res)
 }
 
-// updatePeerLoad takes the load from a peer's answer and removes it, so that no caller sees it.
-func (s *Server) updatePeerLoad(p Peer, res *http.Response) {
+// updateLoad stores the load from a peer's response and removes the header, so that no caller sees it.
+func (s *Server) updateLoad(p Peer, res *http.Response) {
 	l, ok := decodeLoad(res.Header.Get(headerLoad))
 	res.Header.Del(headerLoad)
 	if ok {
-		s.loads.update(s.o.Now(), p.Agent, l)
+		s.loads.updateLoad(s.o.Now(), p.Agent, l)
 	}
 }
--- a/pkg/request/problem.go
+++ b/pkg/request/problem.go
@@ -15,54 +15,47 @@
 
 const problemURI = "https://auburnwood.example/problems/"
 
-// Problem is the document by which a request is refused (RFC 9457).
+// Problem is the problem document of a refused request (RFC 9457).
 type Problem struct {
 	// Type is a URI that ends with the reason.
-	Type string `json:"type"`
-	// Title is the reason in words.
-	Title string `json:"title"`
-	// Status is the HTTP status.
-	Status int `json:"status"`
-	// Detail says what decided.
+	Type   string `json:"type"`
+	Title  string `json:"title"`
+	Status int    `json:"status"`
+	// Detail says what decided the refusal.
 	Detail string `json:"detail,omitempty"`
 	// Instance is the ID of the refusal record.
-	Instance string `json:"instance"`
-	// Reason says why.
-	Reason refusal.Reason `json:"reason"`
-	// Run says whether the work was run, "no" or "unknown".
+	Instance string         `json:"instance"`
+	Reason   refusal.Reason `json:"reason"`
+	// Run is "no" or "unknown".
 	Run refusal.Run `json:"run"`
-	// Submission is "no" when run is "unknown" but this submission itself was not run.
+	// Submission is "no" when Run is "unknown" but this submission itself was not run.
 	Submission refusal.Run `json:"submission,omitempty"`
 	// DecidedBy names the agent, or the target that shed the request.
 	DecidedBy string `json:"decidedBy"`
-	// RetryAfterMS is when to come back, in milliseconds; 0 when it is of no use.
+	// RetryAfterMS is the time in milliseconds after which a retry may succeed; 0 when a retry is of no use.
 	RetryAfterMS int64 `json:"retryAfterMs,omitempty"`
 }
 
-// Refusal is a decision not to run a request, or not to know whether it ran.
+// Refusal is the decision not to run a request, or the report that it is unknown whether it ran.
 type Refusal struct {
-	// Reason says why.
 	Reason refusal.Reason
-	// Status is the HTTP status.
 	Status int
-	// Detail says what decided, in one sentence.
+	// Detail says in one sentence what decided the refusal.
 	Detail string
-	// Run says whether the work was run.
-	Run refusal.Run
-	// Submission is refusal.RunNo when Run is unknown but this submission was not run.
+	Run    refusal.Run
+	// Submission is refusal.RunNo when Run is unknown but this submission itself was not run.
 	Submission refusal.Run
-	// DecidedBy is empty for the agent itself.
+	// DecidedBy is the target that shed the request; empty for this agent.
 	DecidedBy string
-	// RetryAfter is when to come back; 0 when it is of no use.
+	// RetryAfter is the time after which a retry may succeed; 0 when a retry is of no use.
 	RetryAfter time.Duration
-	// Request is the ticket or key; it may be empty.
+	// Request is the ticket ID or the claim's object name; it may be empty.
 	Request string
 }
 
-// Error returns the reason and the detail.
 func (r *Refusal) Error() string { return string(r.Reason) + ": " + r.Detail }
 
-// refuse records the refusal and answers with its problem document.
+// refuse records the refusal and responds with its problem document.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, f *Refusal) {
 	by := f.DecidedBy
 	if by == "" {
@@ -76,7 +69,7 @@
 	_, _ = w.Write(body)
 }
 
-// encodeProblem sets the headers of a refusal and returns its document.
+// encodeProblem sets the headers of a refusal and returns its problem document.
 func encodeProblem(h http.Header, f *Refusal, by, record string) ([]byte, error) {
 	p := Problem{
 		Type: problemURI + string(f.Reason), Title: string(f.Reason), Status: f.Status, Detail: f.Detail, Instance: record,
@@ -101,12 +94,12 @@
 	return body, nil
 }
 
-// wholeSeconds rounds up, as Retry-After has no parts of a second.
+// wholeSeconds rounds up, because Retry-After is in whole seconds.
 func wholeSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// refuseEarly refuses before the ticket or key was looked at: an earlier submission of it may have run.
+// refuseEarly refuses a request before its ticket or key was checked: an earlier submission of it may have run.
 func (s *Server) refuseEarly(w http.ResponseWriter, r *http.Request, f *Refusal) {
 	if f.Run == refusal.RunNo && (r.Header.Get(HeaderTicket) != "" || attemptOf(r) > 1) {
 		f.Run = refusal.RunUnknown
--- a/pkg/request/protocol.go
+++ b/pkg/request/protocol.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// http2PrefaceStart begins the connection preface of HTTP/2 (RFC 9113, section 3.4); no method of HTTP/1.1 begins so.
+// http2PrefaceStart is the start of the HTTP/2 connection preface (RFC 9113, section 3.4); no HTTP/1.1 method starts
+// with it.
 const http2PrefaceStart = "PRI"
 
-// detectHTTP2 waits for the first bytes of the caller and tells the protocol by them. An error means that none came.
+// detectHTTP2 waits for the first bytes from the caller and reports whether they start the HTTP/2 preface. It returns
+// an error when the connection fails before the first byte.
 func (c *flowConn) detectHTTP2() (bool, error) {
 	_ = c.SetReadDeadline(time.Now().Add(readHeaderTimeout))
 	b := make([]byte, len(http2PrefaceStart))
--- a/pkg/request/query_ticket_status.go
+++ b/pkg/request/query_ticket_status.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// queryTicketStatus asks another agent for the state of its ticket; false means that it could not tell.
+// queryTicketStatus asks a ticket's issuer for the ticket's status; false means that the status could not be obtained.
 func (s *Server) queryTicketStatus(ctx context.Context, p Peer, t ticket.Ticket) (TicketStatus, bool) {
 	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
 	defer cancel()
--- a/pkg/request/refusals.go
+++ b/pkg/request/refusals.go
@@ -9,13 +9,13 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// statusClientClosed is the status in the record of a caller that went away; nobody reads the answer.
+// statusClientClosed is the status recorded when the caller closed the connection; the response is not read.
 const statusClientClosed = 499
 
-// defaultRetryAfter is what callers are told when nothing better is known.
+// defaultRetryAfter is the retry time when there is no better estimate.
 const defaultRetryAfter = time.Second
 
-// Causes of the end of a started request's context.
+// Causes with which the context of a started request is cancelled.
 var (
 	errDeadline  = errors.New("the deadline is over")
 	errClosed    = errors.New("the agent ended")
--- a/pkg/request/relayed_response.go
+++ b/pkg/request/relayed_response.go
@@ -6,14 +6,15 @@
 	"strconv"
 )
 
-// relayedResponse is a small answer of a peer that is passed on as it is.
+// relayedResponse is a small response of a peer that is forwarded unchanged.
 type relayedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readRelayed reads a peer's refusal; one that is cut is passed on without its document, as the headers say all.
+// readRelayed reads a peer's refusal. If the body is truncated, the refusal is forwarded without it, because the
+// headers carry the decision.
 func readRelayed(res *http.Response) *relayedResponse {
 	removeConnectionHeaders(res.Header)
 	res.Header.Del(headerLoad)
--- a/pkg/request/request_body.go
+++ b/pkg/request/request_body.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 )
 
-// maxBufferedBody is the size up to which a body of known length is read before its request waits, so that it can be sent
-// again and so that net/http notices a caller that goes away.
+// maxBufferedBody is the largest body, in bytes, that is buffered before its request waits. A buffered body can be sent
+// again, and net/http detects a caller that disconnects only after the body was read.
 const maxBufferedBody = 64 << 10
 
-// requestBody is the body of a caller's request: whole in memory, or a stream that can be read once.
+// requestBody is the body of a caller's request: buffered in memory, or a stream that can be read once.
 type requestBody struct {
 	request     *http.Request
 	content     []byte
@@ -19,7 +19,7 @@
 	readStarted atomic.Bool
 }
 
-// newRequestBody reads a small body.
+// newRequestBody buffers the body if its length is known and at most maxBufferedBody.
 func newRequestBody(r *http.Request) (*requestBody, error) {
 	b := &requestBody{request: r}
 	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
@@ -34,10 +34,10 @@
 	return b, nil
 }
 
-// isReplayable reports whether the request can be sent once more.
+// isReplayable reports whether the request can be sent again.
 func (b *requestBody) isReplayable() bool { return b.buffered || !b.readStarted.Load() }
 
-// attach gives the body, its length and its trailers to an outgoing request.
+// attach sets the body, its length and its trailers on an outgoing request.
 func (b *requestBody) attach(out *http.Request) {
 	if !b.buffered {
 		out.Trailer = b.request.Trailer
@@ -53,7 +53,7 @@
 	}
 }
 
-// Read reads the stream and notes that it is used up by this attempt.
+// Read reads the stream; after the first call the body can't be sent again.
 func (b *requestBody) Read(p []byte) (int, error) {
 	b.readStarted.Store(true)
 	return b.request.Body.Read(p)
--- a/pkg/request/response.go
+++ b/pkg/request/response.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// closeDelimited reports whether the end of the answer is told only by the end of its connection, so that a cut answer
-// looks like a whole one.
+// closeDelimited reports whether only the end of the connection marks the end of the response, so that a truncated
+// response can't be told from a complete one.
 func closeDelimited(res *http.Response) bool {
 	if res.ContentLength >= 0 || res.ProtoMajor != 1 || res.Request.Method == http.MethodHead {
 		return false
@@ -15,7 +15,7 @@
 	return !slices.Contains(res.TransferEncoding, "chunked")
 }
 
-// copyHeader writes the answer's headers and status.
+// copyHeader writes the response's headers and status.
 func copyHeader(w http.ResponseWriter, res *http.Response) {
 	removeConnectionHeaders(res.Header)
 	h := w.Header()
@@ -28,8 +28,8 @@
 	w.WriteHeader(res.StatusCode)
 }
 
-// copyBody streams the answer's body and trailers and flushes each part. After a failed write it goes on reading while
-// keep still wants the answer. The errors say which side ended early.
+// copyBody streams the response's body and trailers and flushes after each read. After a failed write to the caller it
+// continues to read for as long as cache wants more. The errors tell which side ended early.
 func copyBody(w http.ResponseWriter, res *http.Response, cache io.Writer) (fromTarget, toCaller error) {
 	declared := len(res.Trailer)
 	out := &flushWriter{w: w, c: http.NewResponseController(w)}
@@ -56,13 +56,13 @@
 	}
 }
 
-// wantsMore reports whether keep takes more of the answer.
+// wantsMore reports whether cache stores more of the response.
 func wantsMore(cache io.Writer) bool {
 	k, ok := cache.(*cachedResponse)
 	return ok && !k.overflowed
 }
 
-// flushWriter writes and flushes parts of an answer.
+// flushWriter writes parts of a response and flushes each.
 type flushWriter struct {
 	w http.ResponseWriter
 	c *http.ResponseController
@@ -75,7 +75,7 @@
 	return p.c.Flush()
 }
 
-// copyTrailers sets the trailers; those that were not announced need the prefix of net/http.
+// copyTrailers sets the trailers. Trailers that were not declared before the body need http.TrailerPrefix.
 func copyTrailers(w http.ResponseWriter, res *http.Response, declared int) {
 	prefix := ""
 	if len(res.Trailer) != declared {
--- a/pkg/request/response_cache.go
+++ b/pkg/request/response_cache.go
@@ -2,12 +2,12 @@
 
 import lru "github.com/hashicorp/golang-lru/v2"
 
-// responseCache keeps the latest small responseCache of tickets.
+// responseCache is an LRU cache of small responses, by ticket sequence number.
 type responseCache struct {
 	cache *lru.Cache[uint64, *cachedResponse]
 }
 
-// newResponseCache returns an empty cache of at least one answer.
+// newResponseCache returns an empty cache with room for at least one response.
 func newResponseCache(size int) responseCache {
 	cache, err := lru.New[uint64, *cachedResponse](max(size, 1))
 	if err != nil {
--- a/pkg/request/restore_guard.go
+++ b/pkg/request/restore_guard.go
@@ -12,34 +12,37 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// Times after the object API came back from an older copy in which a key without a claim may have been claimed before.
+// Periods after a restore of the object API from an older copy in which a key without a claim may have been claimed
+// before the restore.
 const (
-	// restoreQuarantine is as long as a ticket may be submitted.
+	// restoreQuarantine is the longest time for which a ticket may be submitted.
 	restoreQuarantine = time.Minute
-	// firstAttemptQuarantine is for submissions that their callers count as the first ones: a later one may have run while the first was under way, which
-	// takes no longer than a deadline as a rule.
+	// firstAttemptQuarantine applies to submissions that callers count as their first. A later submission may have run
+	// while the first was in progress, which normally takes no longer than a deadline.
 	firstAttemptQuarantine = 10 * time.Second
-	// firstAttempt is the count of a submission before which the caller has made none.
+	// firstAttempt is the attempt number of a caller's first submission of a key.
 	firstAttempt = 1
 )
 
-// errClaimsRestored refuses a key whose claim may be lost.
+// errClaimsRestored refuses a key whose claim may have been lost in a restore.
 var errClaimsRestored = errors.New("the object API came back from an older copy, and the claim of this key may be lost")
 
-// restoreGuard tells whether a key that has no claim was never claimed. It is safe for concurrent use.
+// restoreGuard decides whether a key without a claim was never claimed, or may have lost its claim in a restore of the
+// object API. It is safe for concurrent use.
 type restoreGuard struct {
 	store objectapi.Store
 	eras  *objectapi.Eras
 	now   func() time.Time
 
 	mu sync.Mutex
-	// era is the newest era whose start is known, since when the object API is in it; zero when nothing was lost at its start.
+	// era is the newest era whose start is known, and since its start; since is zero when nothing was lost at that
+	// start.
 	era   uint64
 	since time.Time
 }
 
-// check returns nil when a key without a claim was never claimed, as far as the era goes that it returns. An object API that names no era loses
-// nothing.
+// check returns nil and the era for which it holds when a key without a claim was never claimed. An object API that
+// names no era never loses claims.
 func (a *restoreGuard) check(ctx context.Context, attempt uint64) (uint64, error) {
 	if a.eras.Newest() == 0 {
 		return 0, nil
@@ -62,7 +65,7 @@
 	return a.era, nil
 }
 
-// refreshEra reads since when the object API is in its era. The call also tells when there is a later one.
+// refreshEra reads the start of the object API's era. As a side effect, the call shows whether there is a later era.
 func (a *restoreGuard) refreshEra(ctx context.Context) error {
 	stored, err := objectapi.GetTyped[resource.Era](ctx, a.store, resource.KindEra, resource.EraName)
 	if errors.Is(err, objectapi.ErrNotFound) {
--- a/pkg/request/restored_test.go
+++ b/pkg/request/restored_test.go
@@ -15,13 +15,13 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// restoredClaims is an object API that can come back older, and what an agent needs to make claims in it.
+// restoredClaims is an object API that can be restored from an older copy, with a client for agents that make claims.
 type restoredClaims struct {
 	*testing.T
 	store  *store.Store
 	eras   *objectapi.Eras
 	client objectapi.Store
-	// clockOffset is the time by which the agents' clock is ahead.
+	// clockOffset is how far the agents' clock is ahead, in nanoseconds.
 	clockOffset atomic.Int64
 }
 
@@ -37,14 +37,14 @@
 // now is the agents' clock.
 func (r *restoredClaims) now() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) }
 
-// options are those of an agent.
+// options sets the options of an agent that uses the object API.
 func (r *restoredClaims) options(o *Options) {
 	o.Store, o.Eras = r.client, r.eras
 	o.Now = r.now
 	o.TicketLifetime = time.Hour
 }
 
-// publishEra writes since when the object API is in its era, as the holder of the compile lease does.
+// publishEra stores the start of the object API's era, as the holder of the compile lease does.
 func (r *restoredClaims) publishEra(since time.Time) {
 	b, err := json.Marshal(resource.Era{Era: r.store.Era(), Since: since})
 	require.NoError(r, err)
--- a/pkg/request/run_local.go
+++ b/pkg/request/run_local.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// runLocal sends the work to the agent's own target; the submission has a slot. A nil outcome means that the work has
-// not run, or may run again, and needs another slot.
+// runLocal sends the work to the agent's own target; the submission holds a slot. A nil outcome means that the work has
+// not run, or may be repeated, and needs another slot.
 func (u *submission) runLocal() *outcome {
 	if u.r.Context().Err() != nil || !u.startWork() {
 		u.releaseSlot(limit.Outcome{Result: limit.ResultIgnored})
@@ -43,23 +43,23 @@
 	late.Stop()
 	defer u.limitOrphan(cancel)()
 	removeOwnHeaders(res.Header)
-	o := u.forwardResponse(res)
+	o := u.reply(res)
 	u.releaseSlot(limit.Outcome{Result: limit.ResultAnswered, Lead: lead})
 	return o
 }
 
-func (u *submission) localFailure(ctx context.Context, err error, sent bool, lead time.Duration) *outcome {
-	if !sent {
+func (u *submission) localFailure(ctx context.Context, err error, afterSend bool, lead time.Duration) *outcome {
+	if !afterSend {
 		u.releaseSlot(limit.Outcome{Result: limit.ResultFailed})
 		u.returnToWaiting()
 		u.failure = connectFailed(err)
 		return u.unsentOutcome(ctx)
 	}
 	u.releaseSlot(limit.Outcome{Result: failureResult(ctx), Lead: lead})
-	return u.classifySentFailure(ctx, err)
+	return u.afterSend(ctx, err)
 }
 
-// unsentOutcome returns nil while somebody waits for work that was not sent.
+// unsentOutcome returns nil, so that unsent work is tried again, unless its deadline has passed or its caller is gone.
 func (u *submission) unsentOutcome(ctx context.Context) *outcome {
 	switch {
 	case context.Cause(ctx) == nil:
@@ -70,7 +70,8 @@
 	return refused(callerGone())
 }
 
-// failureResult says what the limiter learns: a late target is slow, a cancelled request says nothing.
+// failureResult returns the result for the limiter: a target that exceeds the deadline counts as slow, a cancelled
+// request is ignored.
 func failureResult(ctx context.Context) limit.Result {
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
@@ -81,7 +82,7 @@
 	return limit.ResultIgnored
 }
 
-// localShed handles a target that did not run the work. Only idempotent work is tried again.
+// localShed handles a target that shed the request without running it. Only idempotent requests are retried.
 func (u *submission) localShed(after time.Duration) *outcome {
 	u.releaseSlot(limit.Outcome{Result: limit.ResultShed, RetryAfter: after})
 	u.failure = shedByTarget(u.s.o.Target.String(), after)
@@ -91,7 +92,8 @@
 	return refused(u.failure)
 }
 
-// parseShed reports whether a target refused to run the work: 503 with Retry-After (RFC 9110, section 10.2.3).
+// parseShed returns the Retry-After time of a target that shed the request: 503 with Retry-After (RFC 9110, section
+// 10.2.3).
 func parseShed(res *http.Response) (time.Duration, bool) {
 	text := res.Header.Get("Retry-After")
 	if res.StatusCode != http.StatusServiceUnavailable || text == "" {
@@ -107,26 +109,26 @@
 	return max(time.Until(at), 0), true
 }
 
-// forwardResponse passes a target's forwardResponse to the caller.
-func (u *submission) forwardResponse(res *http.Response) *outcome {
+// reply copies a response to the caller and, for a ticket, into the cached response.
+func (u *submission) reply(res *http.Response) *outcome {
 	o := &outcome{status: res.StatusCode}
 	var cache io.Writer = io.Discard
 	if u.inflight != nil {
-		u.inflight.response = &cachedResponse{status: res.StatusCode}
-		cache = u.inflight.response
+		u.inflight.reply = &cachedResponse{status: res.StatusCode}
+		cache = u.inflight.reply
 	}
 	copyHeader(u.w, res)
 	if u.inflight != nil {
-		u.inflight.response.header = u.w.Header().Clone()
+		u.inflight.reply.header = u.w.Header().Clone()
 	}
 	fromTarget, toCaller := copyBody(u.w, res, cache)
 	o.incomplete = fromTarget != nil
 	o.truncated = o.incomplete || toCaller != nil
 	if u.inflight != nil {
-		u.inflight.response.complete = !o.incomplete && len(res.Trailer) == 0
+		u.inflight.reply.complete = !o.incomplete && len(res.Trailer) == 0
 	}
 	return o
 }
 
-// runOf reads the run state of a peer's refusal; empty for a target's answer.
+// runOf returns the run state of a peer's refusal; empty for a target's response.
 func runOf(res *http.Response) refusal.Run { return refusal.Run(res.Header.Get(HeaderRun)) }
--- a/pkg/request/serve_caller.go
+++ b/pkg/request/serve_caller.go
@@ -10,10 +10,10 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// wellKnown is the path of the endpoints for callers (RFC 8615).
+// wellKnown is the path prefix of the endpoints for callers (RFC 8615).
 const wellKnown = "/.well-known/auburnwood/"
 
-// serveCaller handles one request on a caller's connection.
+// serveCaller serves one request on a caller's connection.
 func (s *Server) serveCaller(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
@@ -39,7 +39,7 @@
 	s.serve(u)
 }
 
-// newSubmission reads the deadline and a small body.
+// newSubmission parses the deadline and buffers a small body.
 func (s *Server) newSubmission(w http.ResponseWriter, r *http.Request) (*submission, *Refusal) {
 	deadline, err := s.deadline(r)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return u, nil
 }
 
-// deadline returns when the answer of a request must have begun.
+// deadline returns the time by which the response of a request must have begun.
 func (s *Server) deadline(r *http.Request) (time.Time, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -65,7 +65,7 @@
 	return s.o.Now().Add(min(time.Duration(ms)*time.Millisecond, s.o.MaxTimeout)), nil
 }
 
-// serve chooses among a ticket, a claim and a plain submission.
+// serve runs the request by its ticket, by a claim on its key, or plainly.
 func (s *Server) serve(u *submission) {
 	if text := u.r.Header.Get(HeaderTicket); text != "" {
 		t, err := ticket.Parse(text)
@@ -83,7 +83,8 @@
 	s.finish(u, u.run())
 }
 
-// finish tells the caller. An answer that is not whole is cut visibly.
+// finish records the outcome and completes the response to the caller. A truncated response aborts the connection, so
+// that the caller can see it.
 func (s *Server) finish(u *submission, o *outcome) {
 	o = u.correctRunState(o)
 	u.recordOutcome(o)
@@ -101,7 +102,7 @@
 	}
 }
 
-// recordIncomplete leaves a record of an answer that the target did not finish.
+// recordIncomplete records a refusal for a response that the target did not complete.
 func (s *Server) recordIncomplete(u *submission, o *outcome) {
 	if !o.incomplete {
 		return
--- a/pkg/request/serve_claim.go
+++ b/pkg/request/serve_claim.go
@@ -10,11 +10,11 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// Bounds of a caller's key. A short key would meet the key of another caller.
+// Limits of an idempotency key, in bytes. Short keys of different callers might collide.
 const (
 	minKeyLength = 16
 	maxKeyLength = 255
-	// maxReplaces bounds how often one submission replaces tickets that never run.
+	// maxReplaces bounds how often one submission replaces a claim whose ticket never runs.
 	maxReplaces = 2
 )
 
@@ -42,8 +42,8 @@
 	s.serveTicket(u, held.ticket)
 }
 
-// bind returns the claim of the key: the offered one, an earlier one, or the offered one in place of one that never
-// runs.
+// bind returns the claim of the key: the offered claim, or an earlier one. An earlier claim whose ticket never runs is
+// replaced by the offered claim.
 func (s *Server) bind(u *submission, name string, offered claim) (claim, error) {
 	ctx := u.r.Context()
 	held, err := s.claims.claim(ctx, name, offered)
@@ -56,7 +56,7 @@
 	return held, err
 }
 
-// attemptOf returns the caller's count of submissions; 0 when it doesn't count.
+// attemptOf returns the caller's attempt number; 0 when the caller doesn't count attempts.
 func attemptOf(r *http.Request) uint64 {
 	n, err := strconv.ParseUint(r.Header.Get(HeaderAttempt), 10, 31)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return n
 }
 
-// claimFailed cancels the offered ticket before it refuses: the claim may be stored, but its ticket never runs.
+// claimFailed cancels the offered ticket before it refuses: the claim may be stored, but its ticket must never run.
 func (s *Server) claimFailed(u *submission, name string, offered claim, err error) {
 	if s.book.Cancel(s.o.Now(), offered.ticket).NeverRuns() {
 		s.refuseClaim(u, name, err)
@@ -75,7 +75,8 @@
 	s.serveTicket(u, offered.ticket)
 }
 
-// refuseClaim refuses without knowledge of earlier submissions: only a first one is known not to have run.
+// refuseClaim refuses a request whose earlier submissions are unknown: only a first submission is known not to have
+// run.
 func (s *Server) refuseClaim(u *submission, name string, err error) {
 	run := refusal.RunNo
 	if attemptOf(u.r) > 1 {
@@ -86,8 +87,9 @@
 	s.refuse(u.w, u.r, f)
 }
 
-// canReplace reports whether the stored claim never runs and may make way for the offered one. A caller may have been
-// told that its work did not run: a submission that it made before must not start after that.
+// canReplace reports whether the ticket of the stored claim never runs and the offered claim may replace it. The caller
+// may already have the answer that its work did not run, so a submission made before that answer must not start
+// afterwards.
 func (s *Server) canReplace(u *submission, held, offered claim) bool {
 	status, ok := s.claimedStatus(u.r.Context(), held.ticket)
 	if !ok || status.Run != refusal.RunNo {
--- a/pkg/request/serve_control.go
+++ b/pkg/request/serve_control.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// serveControl handles one request of another agent. Each answer carries the load.
+// serveControl serves one request of another agent. Every response carries the load.
 func (s *Server) serveControl(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
@@ -38,7 +38,7 @@
 	s.serveHop(w, r, kind, int(hops))
 }
 
-// serveHop runs a request that another agent passed on.
+// serveHop runs a request that another agent forwarded.
 func (s *Server) serveHop(w http.ResponseWriter, r *http.Request, kind hopKind, hops int) {
 	if kind == hopSteer && s.Load().Busy >= s.Load().Limit {
 		s.refuseUnrecorded(w, refusal.ReasonAllFull)
@@ -58,7 +58,7 @@
 	s.serve(u)
 }
 
-// finishSteered declines without a record: the agent that asked still has the request, and records its end.
+// finishSteered declines without a record: the agent that steered the request still holds it, and records its outcome.
 func (s *Server) finishSteered(u *submission) {
 	o := u.correctRunState(u.run())
 	if o.refusal != nil && o.refusal.Run == refusal.RunNo && o.refusal.Reason != refusal.ReasonTargetShed {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// hopCaller reads the caller's flow key as the first agent wrote it.
+// hopCaller returns the caller's flow key that the first agent set.
 func hopCaller(r *http.Request) flow.Key {
 	source, err := netip.ParseAddrPort(r.Header.Get(headerCaller))
 	if err != nil {
--- a/pkg/request/serve_ticket.go
+++ b/pkg/request/serve_ticket.go
@@ -10,10 +10,11 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// issuerAttempts bounds how often a ticket is sent to its issuer; each is safe, as the issuer runs it once.
+// issuerAttempts bounds how often a submission is sent to its ticket's issuer. Repeats are safe because the issuer runs
+// a ticket at most once.
 const issuerAttempts = 2
 
-// serveTicket runs the work of a ticket at its issuer.
+// serveTicket runs the work of a ticket, or forwards it to the ticket's issuer.
 func (s *Server) serveTicket(u *submission, t ticket.Ticket) {
 	u.ticket = &t
 	if t.Issuer != s.o.Agent {
@@ -25,7 +26,7 @@
 		return
 	}
 	own := newInflight()
-	res, holder := s.inflight.spend(s.book, s.o.Now(), t, fingerprint(u.r), own)
+	res, holder := s.inflightTable.spend(s.book, s.o.Now(), t, fingerprint(u.r), own)
 	if res.Won {
 		u.inflight = own
 		defer s.releaseTicket(t)
@@ -35,14 +36,14 @@
 	s.serveRepeat(u, res, holder)
 }
 
-// releaseTicket ends a ticket whose submission did not come to its own end, because of a panic. Otherwise it does nothing.
+// releaseTicket ends a ticket whose submission panicked. After a normal end it has no effect.
 func (s *Server) releaseTicket(t ticket.Ticket) {
 	s.book.Lose(t)
 	s.book.Withdraw(s.o.Now(), t)
-	s.inflight.finish(t.Sequence)
+	s.inflightTable.finish(t.Sequence)
 }
 
-// serveRepeat answers a submission of a ticket that another one holds or held.
+// serveRepeat responds to a submission of a ticket that another submission holds or held.
 func (s *Server) serveRepeat(u *submission, res ticket.Result, holder *inflight) {
 	if res.Other {
 		s.refuseTicket(u, &Refusal{Reason: refusal.ReasonTicketSpent, Status: http.StatusUnprocessableEntity,
@@ -55,11 +56,11 @@
 			RetryAfter: defaultRetryAfter})
 		return
 	}
-	if holder != nil && holder.response.isComplete() {
-		holder.response.send(u.w)
+	if holder != nil && holder.reply.isComplete() {
+		holder.reply.send(u.w)
 		return
 	}
-	if kept := s.responses.get(u.ticket.Sequence); kept != nil {
+	if kept := s.responseCache.get(u.ticket.Sequence); kept != nil {
 		kept.send(u.w)
 		return
 	}
@@ -71,7 +72,8 @@
 	s.refuseTicket(u, stateRefusal(res.State))
 }
 
-// waitForHolder waits until the holder of the ticket has ended; false when the deadline or the caller comes first.
+// waitForHolder waits until the ticket's holder has finished; false means that the deadline passed or the caller
+// disconnected first.
 func (u *submission) waitForHolder(holder *inflight) bool {
 	timer := time.NewTimer(u.deadline.Sub(u.s.o.Now()))
 	defer timer.Stop()
@@ -84,7 +86,7 @@
 	return false
 }
 
-// stateRefusal says why a ticket can't be run.
+// stateRefusal returns the refusal for a ticket whose state does not let it run.
 func stateRefusal(state ticket.State) *Refusal {
 	f := &Refusal{Status: http.StatusConflict, Run: refusal.RunUnknown, Detail: "the ticket is " + state.String()}
 	if state.NeverRuns() {
@@ -116,7 +118,7 @@
 	s.refuse(u.w, u.r, f)
 }
 
-// fingerprint tells requests apart that use the same ticket.
+// fingerprint distinguishes requests that use the same ticket. It is never 0.
 func fingerprint(r *http.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.URL.RequestURI(), r.Header.Get("Authorization")} {
--- a/pkg/request/serve_well_known.go
+++ b/pkg/request/serve_well_known.go
@@ -13,11 +13,11 @@
 
 const (
 	ticketsPath = wellKnown + "tickets"
-	// maxTickets is the highest number of tickets of one call.
+	// maxTickets is the maximum number of tickets per call.
 	maxTickets = 64
 )
 
-// serveWellKnown handles the endpoints for callers.
+// serveWellKnown serves the endpoints for callers.
 func (s *Server) serveWellKnown(w http.ResponseWriter, r *http.Request) {
 	if text, ok := strings.CutPrefix(r.URL.Path, ticketsPath+"/"); ok {
 		s.serveTicketStatus(w, r, text, false)
@@ -39,7 +39,7 @@
 	s.sendTickets(w, r, s.placeTickets(r.Context(), n))
 }
 
-// serveHopWellKnown handles the same endpoints for another agent: it answers from its own memory only.
+// serveHopWellKnown serves the same endpoints for another agent, from this agent's own state only.
 func (s *Server) serveHopWellKnown(w http.ResponseWriter, r *http.Request, kind hopKind) {
 	if text, ok := strings.CutPrefix(r.URL.Path, ticketsPath+"/"); ok && kind == hopCancel {
 		s.serveTicketStatus(w, r, text, true)
@@ -65,7 +65,7 @@
 	return int(n), nil
 }
 
-// issue makes tickets of this agent; none when the book is full or the target leaves.
+// issue issues tickets of this agent; none when the ticket book is full or the server drains.
 func (s *Server) issue(n int) []ticket.Ticket {
 	if s.draining.Load() {
 		return nil
@@ -92,7 +92,7 @@
 	sendJSON(w, list)
 }
 
-// serveTicketStatus tells the state of a ticket, and cancels it for DELETE.
+// serveTicketStatus responds with the status of a ticket; DELETE cancels the ticket first.
 func (s *Server) serveTicketStatus(w http.ResponseWriter, r *http.Request, text string, hop bool) {
 	t, err := ticket.Parse(text)
 	if err != nil {
@@ -119,12 +119,12 @@
 	sendJSON(w, s.ticketStatus(t))
 }
 
-// cancelTicket makes the ticket unusable, or asks its target to stop when it has started.
+// cancelTicket makes the ticket unusable, or cancels its request to the target when the work has started.
 func (s *Server) cancelTicket(t ticket.Ticket) {
 	if s.book.Cancel(s.o.Now(), t) == ticket.StateRunning {
-		s.inflight.cancel(t.Sequence)
+		s.inflightTable.cancel(t.Sequence)
 	}
-	s.inflight.wakeCancelled(t.Sequence)
+	s.inflightTable.wakeCancelled(t.Sequence)
 }
 
 func (s *Server) ticketStatus(t ticket.Ticket) TicketStatus {
@@ -144,7 +144,7 @@
 	return status
 }
 
-// passTicketStatus asks the issuer.
+// passTicketStatus forwards the request to the ticket's issuer.
 func (s *Server) passTicketStatus(w http.ResponseWriter, r *http.Request, t ticket.Ticket) {
 	f := issuerUnavailable("", "the issuing agent can't be reached")
 	f.Request = t.ID()
@@ -162,7 +162,7 @@
 	readRelayed(res).send(w)
 }
 
-// callPeer calls an endpoint of another agent.
+// callPeer calls an endpoint of another agent and stores the load in the response.
 func (s *Server) callPeer(ctx context.Context, p Peer, method, path string, kind hopKind) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Control.String()+path, nil)
 	if err != nil {
@@ -174,7 +174,7 @@
 		s.loads.markUnreachable(s.o.Now(), p.Agent)
 		return nil, err
 	}
-	s.updatePeerLoad(p, res)
+	s.updateLoad(p, res)
 	return res, nil
 }
 
--- a/pkg/request/server.go
+++ b/pkg/request/server.go
@@ -22,7 +22,7 @@
 	drainInterval     = 20 * time.Millisecond
 )
 
-// Server serves the callers' requests of one target. It has two endpoints: ServeFlow takes callers' connections, and
+// Server serves callers' requests to one target. It has two entry points: ServeFlow takes callers' connections, and
 // ServeControl takes connections of other agents.
 type Server struct {
 	o               Options
@@ -35,8 +35,8 @@
 	limiter         *limit.Limiter
 	budget          *limit.Budget
 	book            ticketBook
-	inflight        *inflightTable
-	responses       responseCache
+	inflightTable   *inflightTable
+	responseCache   responseCache
 	loads           *peerLoads
 	claims          *claims
 	rates           ticketRates
@@ -46,11 +46,11 @@
 	counts          counts
 	draining        atomic.Bool
 	defaultDeadline atomic.Int64
-	ctx             context.Context
+	serverCtx       context.Context
 	cancel          context.CancelFunc
 }
 
-// New returns a running Server; end it with Drain and Close.
+// New returns a running Server; stop it with Drain and Close.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{
@@ -63,15 +63,15 @@
 		budget: limit.NewBudget(o.RetryRatio, limit.DefaultRetryBurst),
 		book: ticket.NewBook(ticket.Options{Issuer: o.Agent, Incarnation: o.Incarnation, Life: o.TicketLifetime,
 			Retention: o.TicketRetention, Max: o.TicketMax, Rand: o.newRand()}),
-		inflight:     newInflightTable(),
-		responses:    newResponseCache(o.CachedResponses),
-		loads:        newPeerLoads(),
-		claims:       newClaims(o),
-		rates:        newTicketRates(),
-		probeLimiter: rate.NewLimiter(probeRate, probeBurst),
+		inflightTable: newInflightTable(),
+		responseCache: newResponseCache(o.CachedResponses),
+		loads:         newPeerLoads(),
+		claims:        newClaims(o),
+		rates:         newTicketRates(),
+		probeLimiter:  rate.NewLimiter(probeRate, probeBurst),
 	}
 	s.defaultDeadline.Store(int64(o.Deadline))
-	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.serverCtx, s.cancel = context.WithCancel(context.Background())
 	s.control = newHTTPServer(http.HandlerFunc(s.serveControl))
 	s.control.Protocols.SetHTTP1(true)
 	s.control.Protocols.SetUnencryptedHTTP2(true)
@@ -80,7 +80,7 @@
 	return s
 }
 
-// newHTTP1Server returns the server of callers' HTTP/1.1, which notes when their connections are idle.
+// newHTTP1Server returns the server for callers' HTTP/1.1, which records when their connections are idle.
 func (s *Server) newHTTP1Server() *http.Server {
 	h := newHTTPServer(http.HandlerFunc(s.serveCaller))
 	h.Protocols.SetHTTP1(true)
@@ -92,7 +92,7 @@
 	return h
 }
 
-// newHTTP2Server returns a server of callers' HTTP/2.
+// newHTTP2Server returns a server for callers' HTTP/2.
 func (s *Server) newHTTP2Server(idle time.Duration) *http.Server {
 	h := newHTTPServer(http.HandlerFunc(s.serveCaller))
 	h.Protocols.SetUnencryptedHTTP2(true)
@@ -100,7 +100,7 @@
 	return h
 }
 
-// newHTTPServer returns a server without protocols.
+// newHTTPServer returns a server with no protocols enabled.
 func newHTTPServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -112,27 +112,28 @@
 	}
 }
 
-// ServeFlow serves HTTP on a caller's connection and returns when the connection is closed. The end of ctx closes it.
+// ServeFlow serves HTTP on a caller's connection and returns when the connection is closed. The connection is closed
+// when ctx is done.
 func (s *Server) ServeFlow(ctx context.Context, conn net.Conn, key flow.Key) {
-	c := newFlowConn(s.ctx, conn, key, s.o.Now())
+	c := newFlowConn(s.serverCtx, conn, key, s.o.Now())
 	s.conns.add(c)
 	defer s.conns.remove(c)
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	isHTTP2, err := c.detectHTTP2()
-	if err != nil || !s.dispatch(c, isHTTP2) {
+	if err != nil || !s.deliver(c, isHTTP2) {
 		return
 	}
 	<-c.closed
 }
 
-// dispatch hands a connection to the server of its protocol; false means that the server has ended.
-func (s *Server) dispatch(c *flowConn, isHTTP2 bool) bool {
+// deliver passes a connection to the server of its protocol; false means that the server is closed.
+func (s *Server) deliver(c *flowConn, isHTTP2 bool) bool {
 	if !isHTTP2 {
 		return s.http1.listener.deliver(c)
 	}
-	for s.ctx.Err() == nil {
+	for s.serverCtx.Err() == nil {
 		if s.http2.Load().listener.deliver(c) {
 			return true
 		}
@@ -140,29 +141,29 @@
 	return false
 }
 
-// ServeControl serves other agents on the control address until Close. Only agents may be able to reach it.
+// ServeControl serves other agents on the control address until Close. The address must be reachable by agents only.
 func (s *Server) ServeControl(l net.Listener) error { return s.control.Serve(l) }
 
-// Load returns what the agent observes of its target.
+// Load returns the current load of the target as this agent observes it.
 func (s *Server) Load() limit.Load { return s.limiter.Load(s.o.Now()) }
 
-// SetLimits takes a change of the service's limits: the slots of the target, and the time of a request that names none.
+// SetLimits changes the target's slots and the deadline of requests that name none; 0 means DefaultSlots and
+// DefaultDeadline.
 func (s *Server) SetLimits(slots int, deadline time.Duration) {
 	s.defaultDeadline.Store(int64(cmp.Or(deadline, DefaultDeadline)))
 	s.wake(s.limiter.SetSlots(s.o.Now(), cmp.Or(slots, DefaultSlots)))
 }
 
-// SetQueue takes a change of the highest number of waiting requests; 0 means limit.DefaultQueue.
+// SetQueue changes the maximum number of waiting requests; 0 means limit.DefaultQueue.
 func (s *Server) SetQueue(queue int) { s.limiter.SetQueue(queue) }
 
-// SetClaimRate takes a change of the highest number of claims a second; 0 means DefaultClaimRate. Claims that were saved
-// up stay.
+// SetClaimRate changes the maximum number of claims per second; 0 means DefaultClaimRate. Accumulated claims are kept.
 func (s *Server) SetClaimRate(perSecond float64) {
 	s.claims.writeLimiter.SetLimitAt(s.o.Now(), rate.Limit(cmp.Or(perSecond, DefaultClaimRate)))
 }
 
-// SetEvacuated says whether the target's data centre is evacuated. New and waiting requests then go to peers, or are refused as not run;
-// those that run are answered.
+// SetEvacuated sets whether the target's data centre is evacuated. New and waiting requests then go to peers or are
+// refused as not run; running requests are completed.
 func (s *Server) SetEvacuated(on bool) {
 	if !on {
 		s.limiter.Resume()
@@ -171,8 +172,8 @@
 	s.wake(nil, s.limiter.Pause())
 }
 
-// Drain stops new work: waiting requests go to peers or are refused as not run. It returns when everything that had
-// started is answered, or with the error of ctx.
+// Drain stops starting work at this target: new and waiting requests go to peers or are refused as not run. It returns
+// when all started requests are answered, or with the error of ctx.
 func (s *Server) Drain(ctx context.Context) error {
 	if !s.draining.Swap(true) {
 		s.drainConnections()
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// Close cuts everything at once.
+// Close closes all connections at once.
 func (s *Server) Close() error {
 	s.cancel()
 	s.target.CloseIdleConnections()
@@ -202,7 +203,7 @@
 	return err
 }
 
-// wake tells waiting submissions that the limiter decided about them.
+// wake notifies waiting submissions that the limiter has decided about them.
 func (s *Server) wake(lists ...[]*limit.Work) {
 	for _, list := range lists {
 		for _, w := range list {
--- a/pkg/request/server_test.go
+++ b/pkg/request/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// memoryRecorder keeps the records of a test.
+// memoryRecorder keeps refusal records in memory.
 type memoryRecorder struct {
 	mu      sync.Mutex
 	records []refusal.Record
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("test-%d", len(m.records))
 }
 
-// listen gives the server a loopback listener and returns the base URL.
+// listen serves the server's flows on a loopback listener and returns the base URL.
 func listen(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/pkg/request/steer.go
+++ b/pkg/request/steer.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// steer tries to give a submission without a slot to a peer whose target is free. It returns an outcome when the peer
-// took it, a new decision when the submission stays here, or neither when there is no such peer.
+// steer offers a submission without a slot to a peer whose target is free. It returns an outcome when the peer accepted
+// the submission, a new decision when the submission remains here, or neither when there is no such peer.
 func (u *submission) steer(d limit.Decision) (*limit.Decision, *outcome) {
 	if u.steered || u.hops >= maxHops || u.steers >= maxSteers || !u.body.isReplayable() {
 		return nil, nil
@@ -33,13 +33,14 @@
 	return &next, nil
 }
 
-// isTargetUnavailable reports whether the own target is of no use, so that a peer of unknown load is worth a try.
+// isTargetUnavailable reports whether this agent's target can't run the submission, so that a peer of unknown load is
+// worth a try.
 func (u *submission) isTargetUnavailable(d limit.Decision) bool {
 	leaves := d.Reason == refusal.ReasonDraining || d.Reason == refusal.ReasonEvacuated
 	return d.Verdict == limit.VerdictRefuse && (leaves || u.failure != nil)
 }
 
-// readmit puts the submission back to where it was: to the front of the queue when it had waited.
+// readmit admits the submission again: at the front of the queue if it had waited.
 func (u *submission) readmit(d limit.Decision) limit.Decision {
 	if d.Verdict == limit.VerdictWait {
 		return u.s.limiter.Return(u.s.o.Now(), u.newWork())
@@ -47,7 +48,8 @@
 	return u.s.limiter.Admit(u.s.o.Now(), u.newWork())
 }
 
-// pickPeer returns the least busy of a few peers that have a free slot. With blind set, any peer of unknown load will do.
+// pickPeer returns the least loaded of a sample of peers with a free slot. With allowUnknown, it otherwise returns any
+// peer of unknown load.
 func (s *Server) pickPeer(allowUnknown bool) (Peer, bool) {
 	now := s.o.Now()
 	if !allowUnknown && !s.loads.mayHaveFreePeer(now) {
@@ -77,8 +79,8 @@
 	return unknown, allowUnknown && unknownSeen > 0
 }
 
-// runPeer offers the work to a peer, which starts it now or not at all. A nil outcome means that it was not run there,
-// or may run again.
+// runPeer offers the work to a peer, which starts it at once or declines it. A nil outcome means that the work was not
+// run there, or may be repeated.
 func (u *submission) runPeer(p Peer) *outcome {
 	if !u.startWork() {
 		return refused(callerGone())
@@ -97,7 +99,7 @@
 	defer res.Body.Close()
 	late.Stop()
 	defer u.limitOrphan(cancel)()
-	u.s.updatePeerLoad(p, res)
+	u.s.updateLoad(p, res)
 	run := runOf(res)
 	if run == refusal.RunNo && u.canTryElsewhere(res) {
 		u.returnToWaiting()
@@ -108,11 +110,11 @@
 	}
 	removeOwnHeaders(res.Header)
 	u.attempts++
-	return u.forwardResponse(res)
+	return u.reply(res)
 }
 
-// canTryElsewhere reports whether the submission may go on elsewhere: a target that shed it may have seen it, so that only
-// idempotent work does.
+// canTryElsewhere reports whether a submission that a peer declined may be tried elsewhere. A target that shed the
+// request may have seen it, so then only idempotent requests may.
 func (u *submission) canTryElsewhere(res *http.Response) bool {
 	if refusal.Reason(res.Header.Get(HeaderReason)) != refusal.ReasonTargetShed {
 		return true
@@ -120,20 +122,20 @@
 	return u.isRepeatable() && u.s.budget.Withdraw()
 }
 
-func (u *submission) peerFailure(ctx context.Context, p Peer, err error, sent bool) *outcome {
+func (u *submission) peerFailure(ctx context.Context, p Peer, err error, afterSend bool) *outcome {
 	u.s.loads.markUnreachable(u.s.o.Now(), p.Agent)
-	if !sent {
+	if !afterSend {
 		u.returnToWaiting()
 		return u.unsentOutcome(ctx)
 	}
-	o := u.classifySentFailure(ctx, err)
+	o := u.afterSend(ctx, err)
 	if o == nil {
 		u.returnToWaiting()
 	}
 	return o
 }
 
-// relayRefusal passes a refusal on that the peer has recorded.
+// relayRefusal forwards a refusal that the peer has recorded.
 func (u *submission) relayRefusal(res *http.Response, run refusal.Run) *outcome {
 	return &outcome{relayed: readRelayed(res), run: run}
 }
--- a/pkg/request/store_test.go
+++ b/pkg/request/store_test.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// storeFault says what goes wrong with one call of a memoryStore.
+// storeFault is the fault of one call of a memoryStore.
 type storeFault string
 
 const (
@@ -19,7 +19,7 @@
 	faultLostBefore storeFault = "answer lost before the write"
 )
 
-// memoryStore has the methods of the object API that claims use. faults apply to the next calls in order.
+// memoryStore implements the methods of the object API that claims use. faults apply to the next calls in order.
 type memoryStore struct {
 	objectapi.Store
 	mu      sync.Mutex
--- a/pkg/request/submission.go
+++ b/pkg/request/submission.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// pollInterval is how often a waiting request looks for a free peer and at its deadline.
+	// pollInterval is how often a waiting request checks for a free peer and for its deadline.
 	pollInterval = 20 * time.Millisecond
-	// maxSteers bounds the peers that one request is offered to.
+	// maxSteers bounds the number of peers to which one request is offered.
 	maxSteers = 4
-	// maxAttempts bounds how often an idempotent request is sent.
+	// maxAttempts bounds how often an idempotent request is sent to a target.
 	maxAttempts = 3
 )
 
-// submission is one request on its way to a slot.
+// submission is one request, from its arrival to its outcome.
 type submission struct {
 	s        *Server
 	w        http.ResponseWriter
@@ -27,10 +27,10 @@
 	arrived  time.Time
 	deadline time.Time
 	hops     int
-	// steered is true at the receiver of hopSteer: start now or refuse.
+	// steered is true at the receiver of hopSteer, which must start the request at once or decline it.
 	steered bool
 	body    *requestBody
-	// ticket and flight are nil for a plain submission.
+	// ticket and inflight are nil for a plain submission.
 	ticket   *ticket.Ticket
 	inflight *inflight
 
@@ -69,7 +69,7 @@
 	return u.s.limiter.Admit(now, u.newWork())
 }
 
-// run carries the submission to its end.
+// run waits for a slot, here or at a peer, and runs the submission.
 func (u *submission) run() *outcome {
 	u.s.budget.Deposit()
 	d := u.admit()
@@ -101,7 +101,8 @@
 	}
 }
 
-// refuseUnstarted refuses; a failure of the target explains more than the estimate that followed from it.
+// refuseUnstarted refuses the submission. A failure of the target takes precedence over the limiter's reason, which is
+// only its consequence.
 func (u *submission) refuseUnstarted(d limit.Decision) *outcome {
 	if u.failure == nil {
 		return refused(notAdmitted(d))
@@ -110,7 +111,7 @@
 	return refused(u.failure)
 }
 
-// countRefused counts a refusal, unless another agent asked and so still has the request.
+// countRefused counts a refusal, unless another agent steered the request here and still holds it.
 func (u *submission) countRefused(o *outcome) *outcome {
 	if !u.steered {
 		u.s.counts.add(o)
@@ -118,7 +119,7 @@
 	return o
 }
 
-// abandon ends a submission whose caller is gone; it has not started.
+// abandon ends a submission that has not started and whose caller is gone.
 func (u *submission) abandon() *outcome {
 	if !u.s.limiter.Leave(u.work) {
 		u.releaseSlot(limit.Outcome{Result: limit.ResultIgnored})
@@ -126,7 +127,7 @@
 	return refused(callerGone())
 }
 
-// wait returns when the limiter decided, the caller is gone, or it is time to look again.
+// wait returns when the limiter has decided, the caller is gone, or the poll interval has passed.
 func (u *submission) wait() {
 	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
@@ -138,7 +139,7 @@
 	}
 }
 
-// cancelRequested is closed when the caller cancelled the ticket; it is nil for a plain submission.
+// cancelRequested is closed when the caller cancels the ticket; it is nil for a plain submission.
 func (u *submission) cancelRequested() <-chan struct{} {
 	if u.inflight == nil {
 		return nil
@@ -155,13 +156,13 @@
 	}
 }
 
-// releaseSlot gives the slot back.
+// releaseSlot returns the slot to the limiter.
 func (u *submission) releaseSlot(o limit.Outcome) {
 	u.s.wake(u.s.limiter.Done(u.s.o.Now(), u.work, o), nil)
 }
 
-// enableFullDuplex lets a body that is not whole in memory flow while the answer does. After that net/http can't use an HTTP/1.1
-// connection again: it panics when a handler returns before it has read such a body.
+// enableFullDuplex lets a body that is not buffered be read while the response is written. The HTTP/1.1 connection is
+// closed afterwards: net/http would panic if the handler returned before it has read such a body.
 func (u *submission) enableFullDuplex() {
 	if u.body.buffered || u.r.ProtoMajor != 1 {
 		return
@@ -170,51 +171,52 @@
 	_ = http.NewResponseController(u.w).EnableFullDuplex()
 }
 
-// startWork makes the work running; false means that a cancel came first.
+// startWork marks the ticket's work as running; false means that it was cancelled first.
 func (u *submission) startWork() bool {
 	return u.ticket == nil || u.s.book.Start(*u.ticket)
 }
 
-// returnToWaiting makes the work waiting again after it was proved not to have begun.
+// returnToWaiting marks the ticket's work as waiting again, once it is certain that it did not begin.
 func (u *submission) returnToWaiting() {
 	if u.ticket != nil {
 		u.s.book.Return(*u.ticket)
 	}
 }
 
-// workContext returns the context of started work. Work with a ticket goes on when its caller is gone, so that a
-// repeat learns its outcome; an explicit cancel ends it.
+// workContext returns the context of started work. Work with a ticket continues after its caller is gone, so that a
+// repeat gets its outcome, until the ticket is cancelled or the server closes.
 func (u *submission) workContext() (context.Context, context.CancelCauseFunc) {
 	if u.ticket == nil {
 		return context.WithCancelCause(u.r.Context())
 	}
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(u.r.Context()))
-	u.s.inflight.setCancel(u.inflight, cancel)
-	unlink := context.AfterFunc(u.s.ctx, func() { cancel(errClosed) })
+	u.s.inflightTable.setCancel(u.inflight, cancel)
+	unlink := context.AfterFunc(u.s.serverCtx, func() { cancel(errClosed) })
 	return ctx, func(cause error) {
 		unlink()
 		cancel(cause)
 	}
 }
 
-// orphanGraceFactor is how many times Options.Grace the answer of a ticket may go on when nobody reads it.
+// orphanGraceFactor times Options.Grace is how long the response of a ticket may continue after its caller is gone.
 const orphanGraceFactor = 10
 
-// limitOrphan ends an answer that stalls after its caller is gone: it would keep its slot for ever. The work of a plain
-// submission ends with its caller anyway.
+// limitOrphan cancels a response that stalls after its caller is gone, which would otherwise hold its slot forever. The
+// work of a plain submission ends with its caller anyway.
 func (u *submission) limitOrphan(cancel context.CancelCauseFunc) (stop func() bool) {
 	return context.AfterFunc(u.r.Context(), func() {
 		time.AfterFunc(orphanGraceFactor*u.s.o.Grace, func() { cancel(errOrphaned) })
 	})
 }
 
-// isRepeatable reports whether the work may be sent once more after it may have reached a target.
+// isRepeatable reports whether the work may be sent again after it may have reached a target.
 func (u *submission) isRepeatable() bool {
 	return u.isIdempotent() && u.body.isReplayable() && !u.steered && u.attempts < maxAttempts
 }
 
-// classifySentFailure classifies a request that may have reached its target but got no answer.
-func (u *submission) classifySentFailure(ctx context.Context, err error) *outcome {
+// afterSend returns the outcome of a request that may have reached its target but got no response; nil means that it is
+// retried.
+func (u *submission) afterSend(ctx context.Context, err error) *outcome {
 	u.mayHaveRun = true
 	cause := context.Cause(ctx)
 	if cause == errDeadline {
@@ -233,7 +235,8 @@
 	return nil
 }
 
-// correctRunState corrects a refusal that speaks only of the last attempt.
+// correctRunState changes the run state of a refusal that covers only the last attempt to unknown, when an earlier
+// attempt may have run.
 func (u *submission) correctRunState(o *outcome) *outcome {
 	if !u.mayHaveRun || o.runState() != refusal.RunNo {
 		return o
@@ -247,12 +250,12 @@
 	return refused(f)
 }
 
-// recordOutcome puts the outcome into the book before anybody is told.
+// recordOutcome records the outcome in the ticket book before a refusal is sent and before repeats are woken.
 func (u *submission) recordOutcome(o *outcome) {
 	if u.ticket == nil {
 		return
 	}
-	defer u.s.inflight.finish(u.ticket.Sequence)
+	defer u.s.inflightTable.finish(u.ticket.Sequence)
 	switch o.runState() {
 	case refusal.RunNo:
 		u.s.book.Withdraw(u.s.o.Now(), *u.ticket)
@@ -260,6 +263,6 @@
 		u.s.book.Lose(*u.ticket)
 	default:
 		u.s.book.Finish(*u.ticket, o.status)
-		u.s.responses.put(u.ticket.Sequence, u.inflight.response)
+		u.s.responseCache.put(u.ticket.Sequence, u.inflight.reply)
 	}
 }
--- a/pkg/request/sweep_claims.go
+++ b/pkg/request/sweep_claims.go
@@ -15,8 +15,8 @@
 // that runs again.
 const DefaultClaimRetention = 24 * time.Hour
 
-// SweepClaims deletes up to limit claims whose retention is over, and malformed ones, and returns their number. Run it
-// as a duty under a lease, with a limit that fits the object API's writes; a second run at the same time does no harm.
+// SweepClaims deletes up to limit claims that are malformed or past their retention, and returns their number. Run it
+// as a duty under a lease, with a limit that fits the object API's write rate; concurrent runs do no harm.
 func SweepClaims(ctx context.Context, store objectapi.Store, now time.Time, retention time.Duration, limit int) (int, error) {
 	objects, _, err := store.List(ctx, resource.KindClaim)
 	if err != nil {
--- a/pkg/request/ticket_book.go
+++ b/pkg/request/ticket_book.go
@@ -6,7 +6,7 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// ticketBook is the truth about the tickets of this agent: a *ticket.Book.
+// ticketBook is the authoritative state of this agent's tickets; *ticket.Book implements it.
 type ticketBook interface {
 	Issue(now time.Time, n int) ([]ticket.Ticket, error)
 	Spend(now time.Time, t ticket.Ticket, fingerprint uint64) ticket.Result
--- a/pkg/request/ticket_list.go
+++ b/pkg/request/ticket_list.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// TicketList is the answer to a caller that takes tickets ahead.
+// TicketList is the response to a caller that requests tickets.
 type TicketList struct {
-	// Tickets are good for one piece of work each.
+	// Tickets are each good for one piece of work.
 	Tickets []string `json:"tickets"`
-	// Expires is when the first of them can no longer be used.
+	// Expires is the earliest expiry of the tickets.
 	Expires time.Time `json:"expires"`
 }
--- a/pkg/request/ticket_rates.go
+++ b/pkg/request/ticket_rates.go
@@ -8,15 +8,16 @@
 	"golang.org/x/time/rate"
 )
 
-// A caller's tickets are limited, so that one caller can't fill the memory that all share.
+// Limits of the tickets issued to one caller, so that no caller can fill the memory that all callers share. ticketRate
+// is in tickets per second.
 const (
 	ticketRate  = 200
 	ticketBurst = 4 * maxTickets
-	// ticketCallers is the number of callers whose rate is remembered.
+	// ticketCallers is the number of callers whose rate is tracked.
 	ticketCallers = 4096
 )
 
-// ticketRates limits the tickets of each caller.
+// ticketRates limits the rate of tickets for each caller.
 type ticketRates struct {
 	callers *lru.Cache[netip.Addr, *rate.Limiter]
 }
@@ -29,7 +30,7 @@
 	return ticketRates{callers: callers}
 }
 
-// allow takes n tickets of a caller's share; otherwise it returns when n will be there.
+// allow takes n tickets of a caller's rate; otherwise it returns how long until n are available.
 func (t ticketRates) allow(now time.Time, caller netip.Addr, n int) (time.Duration, bool) {
 	fresh := rate.NewLimiter(ticketRate, ticketBurst)
 	l, known, _ := t.callers.PeekOrAdd(caller, fresh)
--- a/pkg/request/ticket_status.go
+++ b/pkg/request/ticket_status.go
@@ -2,16 +2,15 @@
 
 import "github.com/auburnwood/auburnwood/pkg/refusal"
 
-// TicketStatus is the answer to a caller that asks for a ticket or cancels it.
+// TicketStatus is the response to a caller that queries or cancels a ticket.
 type TicketStatus struct {
-	// Ticket is the ticket.
 	Ticket string `json:"ticket"`
 	// State is the name of the ticket's state.
 	State string `json:"state"`
-	// Run is "no" when the work never runs, "yes" when a target answered it, and "unknown" otherwise.
+	// Run is "no" when the work never runs, "yes" when the target responded, and "unknown" otherwise.
 	Run refusal.Run `json:"run"`
-	// Outcome is the HTTP status of the target's answer when Run is "yes".
+	// Outcome is the HTTP status of the target's response when Run is "yes".
 	Outcome int `json:"outcome,omitempty"`
-	// EndedMS is how many milliseconds ago a cancelled ticket was cancelled.
+	// EndedMS is the number of milliseconds since the ticket was cancelled, if it was.
 	EndedMS int64 `json:"endedMs,omitempty"`
 }
--- a/pkg/request/ticket_test.go
+++ b/pkg/request/ticket_test.go
@@ -19,19 +19,19 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// blockingTarget is a target that counts its requests and holds each until it is let go.
-type blockingTarget struct {
+// gate is a target that counts its requests and holds each until it is released.
+type gate struct {
 	hits    atomic.Int32
 	started chan struct{}
 	release chan struct{}
 	size    int
 }
 
-func newBlockingTarget() *blockingTarget {
-	return &blockingTarget{started: make(chan struct{}, 100), release: make(chan struct{}, 100), size: 10}
+func newGate() *gate {
+	return &gate{started: make(chan struct{}, 100), release: make(chan struct{}, 100), size: 10}
 }
 
-func (g *blockingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.hits.Add(1)
 	_, _ = io.Copy(io.Discard, r.Body)
 	g.started <- struct{}{}
@@ -54,7 +54,7 @@
 }
 
 func TestRepeatsOfATicketShareOneResponse(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	_, url := newTestServer(t, g, nil)
 	text := takeTicket(t, url)
 	var repeated atomic.Int32
@@ -78,7 +78,7 @@
 }
 
 func TestRepeatOfALargeResponseReportsCompletedWork(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	g.size = maxCachedResponse + 1
 	g.release <- struct{}{}
 	_, url := newTestServer(t, g, nil)
@@ -94,7 +94,7 @@
 }
 
 func TestTicketRefusals(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	s, url := newTestServer(t, g, nil)
 	state := func(change func(text string)) string {
 		text := takeTicket(t, url)
@@ -165,12 +165,12 @@
 }
 
 func TestStartedWorkOfATicketOutlivesItsCaller(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	_, url := newTestServer(t, g, nil)
 	text := takeTicket(t, url)
-	gone := submitAsync(t, url, text)
+	disconnect := submitAsync(t, url, text)
 	<-g.started
-	gone()
+	disconnect()
 	g.release <- struct{}{}
 	res, _ := call(t, "POST", url, "order", HeaderTicket, text)
 	require.Equal(t, 200, res.StatusCode)
@@ -179,14 +179,14 @@
 }
 
 func TestWaitingWorkOfAGoneCallerIsNotStarted(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	_, url := newTestServer(t, g, nil)
 	first, second := takeTicket(t, url), takeTicket(t, url)
 	submitAsync(t, url, first)
 	<-g.started
-	gone := submitAsync(t, url, second)
+	disconnect := submitAsync(t, url, second)
 	require.Eventually(t, func() bool { return ticketStatusOf(t, url, second).State == "waiting" }, 5*time.Second, time.Millisecond)
-	gone()
+	disconnect()
 	require.Eventually(t, func() bool { return ticketStatusOf(t, url, second).State == "cancelled" }, 5*time.Second, time.Millisecond)
 	g.release <- struct{}{}
 	require.Eventually(t, func() bool { return ticketStatusOf(t, url, first).Run == RunYes }, 5*time.Second, time.Millisecond)
@@ -194,7 +194,7 @@
 }
 
 func TestCancelOfStartedWorkReachesTheTarget(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	_, url := newTestServer(t, g, nil)
 	text := takeTicket(t, url)
 	submitAsync(t, url, text)
@@ -207,7 +207,7 @@
 }
 
 func TestOverloadIsRefusedWithRetryAfter(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	_, url := newTestServer(t, g, func(o *Options) { o.Queue = 1 })
 	submitAsync(t, url, takeTicket(t, url))
 	<-g.started
@@ -222,10 +222,10 @@
 	require.Equal(t, "cancelled", ticketStatusOf(t, url, text).State)
 }
 
-// A caller may repeat a ticket on a connection that a draining agent closes. Its work may have run, so that the farewell
-// must not say that nothing ran: the caller would take another ticket and run the work again.
+// A draining agent closes an idle connection on which the caller may be repeating a ticket. The refusal must not report
+// run "no": the caller would take another ticket and run the work again.
 func TestIdleRefusalDoesNotDenyEarlierWork(t *testing.T) {
-	g := newBlockingTarget()
+	g := newGate()
 	g.release <- struct{}{}
 	s, url := newTestServer(t, g, nil)
 	text := takeTicket(t, url)
@@ -250,7 +250,7 @@
 
 func TestOneCallerCanNotTakeAllTickets(t *testing.T) {
 	now := time.Now()
-	_, url := newTestServer(t, newBlockingTarget(), func(o *Options) { o.Now = func() time.Time { return now } })
+	_, url := newTestServer(t, newGate(), func(o *Options) { o.Now = func() time.Time { return now } })
 	ask := url + "/.well-known/auburnwood/tickets?n=64"
 	for range ticketBurst / maxTickets {
 		res, _ := call(t, "POST", ask, "")
@@ -265,20 +265,20 @@
 	target := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 	s, url := newFaultServer(t, target.addr(), nil)
 	text := takeTicket(t, url)
-	gone := submitAsync(t, url, text)
+	disconnect := submitAsync(t, url, text)
 	require.Eventually(t, func() bool { return s.Load().Busy == 1 }, 5*time.Second, time.Millisecond)
-	gone()
+	disconnect()
 	require.Eventually(t, func() bool { return ticketStatusOf(t, url, text).State == "lost" }, 5*time.Second, time.Millisecond)
 	require.Zero(t, s.Load().Busy)
 }
 
-// panickingBook fails at the start of work.
+// panickingBook panics at the start of work.
 type panickingBook struct{ ticketBook }
 
 func (panickingBook) Start(ticket.Ticket) bool { panic(http.ErrAbortHandler) }
 
 func TestPanicEndsTicket(t *testing.T) {
-	s, url := newTestServer(t, newBlockingTarget(), nil)
+	s, url := newTestServer(t, newGate(), nil)
 	s.book = panickingBook{s.book}
 	text := takeTicket(t, url)
 	_, err := http.DefaultClient.Do(newTicketRequest(url, text))
--- a/pkg/request/transport.go
+++ b/pkg/request/transport.go
@@ -19,20 +19,20 @@
 	peerResponseLimit  = 64 << 10
 )
 
-// countingConn counts the bytes that were given to the kernel, so that a request that never left is known.
+// countingConn counts the bytes passed to the kernel, which shows whether any byte of a request may have been sent.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write counts an attempt as written even when it fails: a part may have left.
+// Write counts at least one byte even when it fails: a part may have been sent.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(max(n, 1)))
 	return n, err
 }
 
-// newTransport returns a transport that follows no proxy settings and asks for no compression.
+// newTransport returns a transport that ignores proxy settings and requests no compression.
 func newTransport(dial DialFunc, idle int) *http.Transport {
 	counted := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
--- a/pkg/request/transport_retry.go
+++ b/pkg/request/transport_retry.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// DisableTransportRetry keeps http.Transport from sending a request a second time by itself after a lost connection: it would hide
-// that the first one may have run. The transport repeats requests without a body that are idempotent by their method
-// or by an idempotency header. On the wire the names of headers have no case, and a body that turns out to be empty is
-// not sent.
+// DisableTransportRetry prevents http.Transport from resending a request after a lost connection, which would hide that
+// the first attempt may have run. The transport resends requests without a body whose method is idempotent or that have
+// an idempotency header. Such headers are renamed to lower case, which is equivalent on the wire but not recognised by
+// the transport; requests with such a method get an empty body, which is not sent.
 func DisableTransportRetry(r *http.Request) {
 	r.GetBody = nil
 	for _, name := range []string{HeaderKey, "X-Idempotency-Key"} {
