--- a/pkg/refusal/adoption.go
+++ b/pkg/refusal/adoption.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// adoptionKey names the peer that handed records over and the life of the process that decided them: the peer itself,
-// or one that has no way to the store and whose records the peer writes.
+// adoptionKey identifies the records that a peer handed over by the incarnation that decided them: the peer's own, or
+// that of a process without a store whose records the peer writes.
 type adoptionKey struct {
 	peer, origin string
 }
 
-// Adopt keeps records that a peer has handed over, until the peer says that they are in the store or is known dead.
-// Records of a new life of the peer mean that the earlier life is dead.
+// Adopt keeps copies of records that a peer has handed over, until the peer reports that they are in the store or
+// PeerDied is called for it. Records of a new incarnation of a process mean that its earlier incarnations have ended.
 func (l *Log) Adopt(peer string, records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,15 +18,15 @@
 			l.release(peer, done)
 			continue
 		}
-		bound(&r, l.cfg.Now())
+		sanitize(&r, l.cfg.Now())
 		e := entryOf(r)
-		l.adoptionOf(adoptionKey{peer, e.stream.origin}).add(e)
+		l.adoptedPool(adoptionKey{peer, e.stream.origin}).add(e)
 		l.counters.adopted.Inc(1)
 	}
 }
 
-// Accept takes records of a process that has no way to the store: they are mirrored and written like own ones. They
-// are as safe as own ones once Sync has returned.
+// Accept takes records of a process that has no store: they are mirrored and written like this process's own records.
+// Once Sync has returned, they are as safe as those.
 func (l *Log) Accept(records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,73 +34,73 @@
 		if r.Count == 0 {
 			continue
 		}
-		bound(&r, l.cfg.Now())
-		l.keep(entryOf(r))
+		sanitize(&r, l.cfg.Now())
+		l.addEntry(entryOf(r))
 	}
 	l.signal()
 }
 
-// release forgets copies of records that are in the store; l.mu is held.
+// release removes copies of records that are in the store; l.mu is held.
 func (l *Log) release(peer string, done receipt) {
 	if p, ok := l.adopted[adoptionKey{peer, done.stream.origin}]; ok {
-		p.drop(done)
+		p.removeWritten(done)
 	}
 }
 
-// adoptionOf finds or opens the pool for a key; l.mu is held.
-func (l *Log) adoptionOf(k adoptionKey) *pool {
+// adoptedPool returns the pool for a key, creating it if needed; l.mu is held.
+func (l *Log) adoptedPool(k adoptionKey) *pool {
 	if p, ok := l.adopted[k]; ok {
 		return p
 	}
-	l.inheritEarlier(k)
+	l.takeOverEarlier(k)
 	p := newPool(l.cfg.MaxAdopted)
 	l.adopted[k] = p
-	l.shareLimit()
+	l.divideLimit()
 	return p
 }
 
-// shareLimit divides the memory for peers' records among them; l.mu is held.
-func (l *Log) shareLimit() {
+// divideLimit divides MaxAdopted evenly among the adopted pools; l.mu is held.
+func (l *Log) divideLimit() {
 	for _, p := range l.adopted {
 		p.limit = max(1, l.cfg.MaxAdopted/len(l.adopted))
 		p.compactAt = min(p.compactAt, max(p.limit, p.len()+1))
 	}
 }
 
-// inheritEarlier takes over the records of other lives of the same process; l.mu is held.
-func (l *Log) inheritEarlier(k adoptionKey) {
+// takeOverEarlier takes over the records of other incarnations of the same process; l.mu is held.
+func (l *Log) takeOverEarlier(k adoptionKey) {
 	for old := range l.adopted {
 		if old.peer == k.peer && old.origin != k.origin && processOf(old.origin) == processOf(k.origin) {
-			l.inherit(old)
+			l.takeOver(old)
 		}
 	}
 }
 
-// processOf is the process of an origin.
+// processOf returns the process name in an origin.
 func processOf(origin string) string {
 	return origin[:max(0, strings.LastIndexByte(origin, '/'))]
 }
 
-// PeerDied takes the records of a dead peer over, so that they are written with the own ones. When the peer turns out
-// to be alive and writes them too, readers count them once.
+// PeerDied takes over the records of a failed peer, so that they are written with this process's own. If the peer is
+// alive after all and writes them too, readers count them once.
 func (l *Log) PeerDied(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.adopted {
 		if k.peer == peer {
-			l.inherit(k)
+			l.takeOver(k)
 		}
 	}
 }
 
-// inherit moves adopted records to the own ones; l.mu is held.
-func (l *Log) inherit(k adoptionKey) {
+// takeOver moves adopted records to this process's own; l.mu is held.
+func (l *Log) takeOver(k adoptionKey) {
 	p := l.adopted[k]
 	delete(l.adopted, k)
 	for _, e := range p.all() {
-		l.keep(e)
+		l.addEntry(e)
 	}
 	l.signal()
 	l.cfg.Logger.Info().Str("op", "inherit-refusals").Str("peer", k.peer).Str("origin", k.origin).
-		Int("records", p.len()).Msg("writing the refusal records of a dead process")
+		Int("records", p.len()).Msg("taking over the refusal records of a failed process")
 }
--- a/pkg/refusal/batch.go
+++ b/pkg/refusal/batch.go
@@ -18,19 +18,19 @@
 
 // Limits of a batch, in bytes.
 const (
-	// targetBatchSize is the compressed size at which a batch is closed. The compressor may hold back some tens of
-	// kilobytes then, so that an object stays well below objectapi.MaxValueSize.
+	// targetBatchSize is the compressed size at which a batch is closed. The compressor may buffer some tens of
+	// kilobytes more, so an object stays well below objectapi.MaxValueSize.
 	targetBatchSize = 256 << 10
-	// maxBatchText is the size before compression at which a batch is closed.
+	// maxBatchText is the uncompressed size at which a batch is closed.
 	maxBatchText = 8 << 20
-	// maxBatchRead bounds what a reader unpacks, with room for the last record.
+	// maxBatchRead bounds the uncompressed size that a reader accepts, with room for the last record.
 	maxBatchRead = maxBatchText + 1<<20
-	// maxDetail and maxField bound the texts of one record, in bytes.
+	// maxDetail and maxField bound the text fields of one record.
 	maxDetail = 1024
 	maxField  = 256
 )
 
-// batchFormat is the version of the form of a batch.
+// batchFormat is the version of the batch format.
 const batchFormat = 1
 
 const kindPrefix = "refusals-"
@@ -43,7 +43,7 @@
 	Sequence    uint64 `json:"sequence"`
 }
 
-// footer is the last line of a batch; a batch without it was cut off.
+// footer is the last line of a batch; a batch without it is truncated.
 type footer struct {
 	Records  int    `json:"records"`
 	Refusals uint64 `json:"refusals"`
@@ -54,7 +54,8 @@
 	return objectapi.Kind(kindPrefix + t.UTC().Format("2006010215"))
 }
 
-// encode packs entries of one bucket from the front, as many as fit, and returns the value and how many it holds.
+// encode packs entries of one bucket, from the front, until the batch is full. It returns the value and the number of
+// entries in it.
 func encode(h header, entries []entry) ([]byte, int, error) {
 	var out bytes.Buffer
 	var f footer
@@ -84,7 +85,7 @@
 	return j.Encode(*f)
 }
 
-// decode unpacks a batch. Records before a fault are returned with the error.
+// decode unpacks a batch. After an error it still returns the records read before it.
 func decode(value []byte) ([]Record, error) {
 	z, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
@@ -94,10 +95,10 @@
 	lines.Buffer(nil, maxBatchRead)
 	var h header
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &h) != nil {
-		return nil, trace.Errorf("op=decode-batch: no header")
+		return nil, trace.Errorf("op=decode-batch: missing or malformed header")
 	}
 	if h.Format != batchFormat {
-		return nil, trace.Errorf("op=decode-batch: format %d is not known", h.Format)
+		return nil, trace.Errorf("op=decode-batch: unsupported format %d", h.Format)
 	}
 	records, err := decodeLines(lines)
 	return records, trace.Wrap(err, "op=decode-batch process=%s sequence=%d", h.Process, h.Sequence)
@@ -121,54 +122,55 @@
 			continue
 		}
 		if line.Records != len(out) || line.Refusals != refusals {
-			return out, fmt.Errorf("holds %d records of %d refusals, the footer says %d of %d", len(out), refusals, line.Records, line.Refusals)
+			return out, fmt.Errorf("batch has %d records with %d refusals, footer says %d with %d", len(out), refusals, line.Records, line.Refusals)
 		}
-		return out, ended(lines)
+		return out, expectEnd(lines)
 	}
 	if err := lines.Err(); err != nil {
 		return out, err
 	}
-	return out, errors.New("cut off before the footer")
+	return out, errors.New("truncated before the footer")
 }
 
-// ended reads past the last line, so that the checksum of the batch is verified.
-func ended(lines *bufio.Scanner) error {
+// expectEnd checks that nothing follows the footer. Reading to the end also verifies the checksum of the compressed
+// data.
+func expectEnd(lines *bufio.Scanner) error {
 	if lines.Scan() {
-		return errors.New("goes on after the footer")
+		return errors.New("data after the footer")
 	}
 	return lines.Err()
 }
 
-// bound shortens the texts of a record, so that no record is larger than a few kilobytes, and replaces a time that
-// cannot be written as text.
-func bound(r *Record, now time.Time) {
-	if r.Time.IsZero() || unwritable(r.Time) {
+// sanitize truncates the text fields of a record, which bounds its size to a few kilobytes, and replaces times that
+// have no RFC 3339 form.
+func sanitize(r *Record, now time.Time) {
+	if r.Time.IsZero() || isUnrepresentable(r.Time) {
 		r.Time = now
 	}
-	if unwritable(r.Last) {
+	if isUnrepresentable(r.Last) {
 		r.Last = r.Time
 	}
-	r.Detail = shorten(r.Detail, maxDetail)
-	r.Request = shorten(r.Request, maxField)
-	r.Service = shorten(r.Service, maxField)
-	r.DecidedBy = shorten(r.DecidedBy, maxField)
+	r.Detail = truncate(r.Detail, maxDetail)
+	r.Request = truncate(r.Request, maxField)
+	r.Service = truncate(r.Service, maxField)
+	r.DecidedBy = truncate(r.DecidedBy, maxField)
 }
 
-// unwritable reports whether RFC 3339 has no text for the time.
-func unwritable(t time.Time) bool {
+// isUnrepresentable reports whether t has no RFC 3339 form.
+func isUnrepresentable(t time.Time) bool {
 	_, err := t.MarshalText()
 	return err != nil
 }
 
-// shorten copies what it keeps, so that the whole text can be freed.
-func shorten(s string, n int) string {
+// truncate returns at most n bytes of s. It copies them, so that the original text can be garbage collected.
+func truncate(s string, n int) string {
 	if len(s) <= n {
 		return s
 	}
 	return strings.ToValidUTF8(strings.Clone(s[:n]), "")
 }
 
-// countingWriter counts the bytes that pass.
+// countingWriter counts the bytes written.
 type countingWriter struct {
 	w io.Writer
 	n int
--- a/pkg/refusal/batch_test.go
+++ b/pkg/refusal/batch_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// TestBatchSize packs records that do not compress and ones that do; each object stays well below the limit.
+// TestBatchSize packs incompressible and compressible records; every object must stay well below the size limit.
 func TestBatchSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	noise := make([]entry, 1200)
@@ -24,7 +24,7 @@
 		}
 		noise[i] = entryOf(Record{ID: "x", Time: time.Unix(1, 0), Detail: base64.StdEncoding.EncodeToString(b)})
 	}
-	for name, entries := range map[string][]entry{"Noise": noise, "Equal": many(20000)} {
+	for name, entries := range map[string][]entry{"Noise": noise, "Equal": sampleEntries(20000)} {
 		t.Run(name, func(t *testing.T) {
 			total, objects := 0, 0
 			for total < len(entries) {
@@ -44,7 +44,7 @@
 }
 
 func TestDecodeSeesCutBatches(t *testing.T) {
-	value, _, err := encode(header{Format: batchFormat}, many(100))
+	value, _, err := encode(header{Format: batchFormat}, sampleEntries(100))
 	require.NoError(t, err)
 	for _, n := range []int{0, 5, len(value) / 2, len(value) - 9} {
 		_, err := decode(value[:n])
@@ -52,9 +52,9 @@
 	}
 }
 
-// FuzzDecode checks that no input breaks the reader, and that what it accepts can be packed again.
+// FuzzDecode checks that decode survives any input, and that the records it accepts can be encoded again.
 func FuzzDecode(f *testing.F) {
-	value, _, err := encode(header{Format: batchFormat}, many(3))
+	value, _, err := encode(header{Format: batchFormat}, sampleEntries(3))
 	require.NoError(f, err)
 	f.Add(value, false)
 	f.Add([]byte("{\"format\":1}\n{\"id\":\"a/1/2.3\",\"count\":2}\n{\"records\":1,\"refusals\":2}\n"), true)
@@ -84,8 +84,8 @@
 	})
 }
 
-// many returns entries as a busy agent records them.
-func many(n int) []entry {
+// sampleEntries returns n entries as a busy agent records them.
+func sampleEntries(n int) []entry {
 	now := time.Unix(1e9, 0)
 	l := NewLog(Config{Process: "agent-1", MaxHeld: 4 * n, Now: func() time.Time { return now }})
 	for i := range n {
--- a/pkg/refusal/class.go
+++ b/pkg/refusal/class.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// bucket is the time that one kind of the object API holds. Records of two buckets are never merged, so that a reader
-// finds every record of a time in the bucket of that time.
+// bucket is the time span whose records one object kind holds. Records of different buckets are never merged, so a
+// reader finds every record in the bucket of its time.
 const bucket = time.Hour
 
-// class is what refusals have in common when they are equal enough to be merged.
+// class holds the fields that refusals must have in common to be merged.
 type class struct {
 	service   string
 	reason    Reason
@@ -19,13 +19,13 @@
 	hour      int64
 }
 
-// width says how many bits of a caller's address tell classes apart.
+// width is the length of the caller prefix that distinguishes classes, in bits.
 type width struct {
 	v4, v6 int
 }
 
-// widths are taken one after the other as memory fills, so that the number of classes falls; the last leaves only
-// service, reason, run state and decider.
+// widths are used one after another as memory fills, to reduce the number of classes. The last one leaves only service,
+// reason, run state, decider, hour and the caller's address family.
 var widths = [...]width{{24, 64}, {16, 32}, {0, 0}}
 
 func classOf(r *Record, w width) class {
@@ -39,7 +39,7 @@
 	}
 }
 
-// prefixOf returns the network of an address; the zero Prefix for an address that is missing.
+// prefixOf returns the network of an address; the zero Prefix if the address is missing.
 func prefixOf(a netip.Addr, w width) netip.Prefix {
 	a = a.Unmap().WithZone("")
 	bits := w.v6
@@ -53,8 +53,8 @@
 	return p
 }
 
-// callersOf is the network that holds all callers of a record.
-func callersOf(r *Record) netip.Prefix {
+// callerPrefix returns the network that contains all callers of a record.
+func callerPrefix(r *Record) netip.Prefix {
 	if r.Callers.IsValid() {
 		return r.Callers
 	}
@@ -62,8 +62,8 @@
 	return netip.PrefixFrom(a, a.BitLen())
 }
 
-// common is the smallest network that holds both; the zero Prefix when there is none.
-func common(a, b netip.Prefix) netip.Prefix {
+// commonPrefix returns the smallest network that contains both; the zero Prefix if there is none.
+func commonPrefix(a, b netip.Prefix) netip.Prefix {
 	if !a.IsValid() || !b.IsValid() || a.Addr().BitLen() != b.Addr().BitLen() {
 		return netip.Prefix{}
 	}
--- a/pkg/refusal/compress.go
+++ b/pkg/refusal/compress.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// compressors are kept for reuse, since each takes some hundred kilobytes.
+// compressors are reused because each takes several hundred kilobytes.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
 // compressTo calls f with a writer that compresses to out.
--- a/pkg/refusal/config.go
+++ b/pkg/refusal/config.go
@@ -16,68 +16,69 @@
 	DefaultMaxHeld = 20000
 	// DefaultMaxAdopted is the number of peers' records in memory.
 	DefaultMaxAdopted = 20000
-	// DefaultMaxQueue is the number of records that wait for the mirror.
+	// DefaultMaxQueue is the number of records queued for the mirror.
 	DefaultMaxQueue = 2000
-	// DefaultMirrorRate is the number of bytes a second that mirroring may send, about half of what a process may spend
-	// for control at the size to design for, and DefaultMirrorBurst what it may send at once.
+	// DefaultMirrorRate is the mirroring rate in bytes per second, about half of a process's budget for control traffic
+	// at the design size, and DefaultMirrorBurst the burst in bytes.
 	DefaultMirrorRate  = 6000
 	DefaultMirrorBurst = 100000
-	// DefaultRetain is how long records that were handed over are kept by a process without a store.
+	// DefaultRetain is how long a process without a store keeps records that it has handed over.
 	DefaultRetain = 30 * time.Second
 	// DefaultMinInterval and DefaultMaxInterval bound the time between two objects.
 	DefaultMinInterval = 2 * time.Second
 	DefaultMaxInterval = time.Minute
-	// DefaultMirrorBatch is the highest number of records in one call of the mirror.
+	// DefaultMirrorBatch is the maximum number of records per mirror call.
 	DefaultMirrorBatch = 256
-	// DefaultMirrorTimeout bounds a call of the mirror.
+	// DefaultMirrorTimeout bounds a mirror call.
 	DefaultMirrorTimeout = 2 * time.Second
-	// keepWritten is how long written objects are kept to be written again, the most that an object API may lose when it comes back from an older
-	// copy, and maxKeptWritten the bytes of them.
-	keepWritten    = time.Minute
-	maxKeptWritten = 4 << 20
-	// DefaultWriteTimeout bounds a call of the store.
+	// rewriteWindow is how long written objects are kept in memory to be written again: the longest period of writes
+	// that a restore of the object API from an older copy may lose. maxRewriteBytes bounds their size.
+	rewriteWindow   = time.Minute
+	maxRewriteBytes = 4 << 20
+	// DefaultWriteTimeout bounds a store call.
 	DefaultWriteTimeout = 10 * time.Second
 )
 
 // Config holds the settings of a Log; zero values mean the defaults.
 type Config struct {
-	// Process names the deciding process, and Incarnation its life; together they make record IDs unique, so that a
-	// process must never start twice with one incarnation.
+	// Process names the deciding process, and Incarnation its incarnation. Together they make record IDs unique, so a
+	// process must never start twice with the same incarnation.
 	Process     string
 	Incarnation uint64
-	// Store takes the batches. A process without it hands its records to a peer by Mirror, which accepts and writes them.
+	// Store receives the batches. A process without a store hands its records by Mirror to a peer, which accepts and
+	// writes them.
 	Store objectapi.Store
-	// Eras are those of the object API behind Store. In a later era what was written shortly before is written again, since it may be lost; nil means
-	// that there are none.
+	// Eras tracks the eras of the object API behind Store; nil means that it has none. When a new era starts, recently
+	// written objects are written again, because they may have been lost.
 	Eras *objectapi.Eras
-	// Mirror takes a copy of each record; without it a death loses the records that are not yet in the store.
+	// Mirror receives a copy of each record; without it, a crash loses the records that are not yet in the store.
 	Mirror Mirror
-	// MaxHeld is the number of own records from which equal ones are merged.
+	// MaxHeld is the number of own records at which equal ones are merged.
 	MaxHeld int
-	// MaxAdopted is the number of peers' records from which equal ones are merged.
+	// MaxAdopted is the number of peers' records at which equal ones are merged.
 	MaxAdopted int
-	// MaxQueue is the number of records that wait for the mirror from which equal ones are merged.
+	// MaxQueue is the number of records queued for the mirror at which equal ones are merged.
 	MaxQueue int
-	// MirrorRate is the number of bytes a second that mirroring may send, after a burst of MirrorBurst.
+	// MirrorRate is the mirroring rate in bytes per second, after a burst of MirrorBurst bytes.
 	MirrorRate  int
 	MirrorBurst int
-	// Retain is how long a process without a store keeps records that were handed over, for MirrorChanged.
+	// Retain is how long a process without a store keeps records that it has handed over, for MirrorChanged.
 	Retain time.Duration
 	// MinInterval and MaxInterval bound the time between two objects that this process writes.
 	MinInterval time.Duration
 	MaxInterval time.Duration
-	// MirrorBatch is the highest number of records in one call of the mirror, and MirrorTimeout bounds the call.
+	// MirrorBatch is the maximum number of records per mirror call, and MirrorTimeout bounds the call.
 	MirrorBatch   int
 	MirrorTimeout time.Duration
-	// WriteTimeout bounds a call of the store.
+	// WriteTimeout bounds a store call.
 	WriteTimeout time.Duration
 	// Now is the clock; the default is time.Now.
 	Now func() time.Time
 	// Rand returns a number in [0, 1) for jitter; the default is math/rand.
 	Rand func() float64
-	// Logger gets a line for each batch, failure, merge and adoption.
+	// Logger gets one line for each batch, failure, and takeover of a peer's records.
 	Logger zerolog.Logger
-	// Scope gets the counters; the default drops them.
+	// Scope receives the counters; nil discards them.
 	Scope tally.Scope
 }
 
--- a/pkg/refusal/coverage.go
+++ b/pkg/refusal/coverage.go
@@ -10,15 +10,15 @@
 	first, last uint64
 }
 
-// coverage is a set of ordinals of a stream: sorted intervals that do not touch.
+// coverage is a set of ordinals of a stream, as sorted intervals that do not touch.
 type coverage struct {
-	parts []interval
+	intervals []interval
 }
 
-// through returns the end of the interval that holds an ordinal; 0 when none does.
+// through returns the end of the interval that contains an ordinal; 0 if there is none.
 func (c *coverage) through(ordinal uint64) uint64 {
-	for i := len(c.parts) - 1; i >= 0; i-- {
-		p := c.parts[i]
+	for i := len(c.intervals) - 1; i >= 0; i-- {
+		p := c.intervals[i]
 		if p.first <= ordinal && ordinal <= p.last {
 			return p.last
 		}
@@ -26,16 +26,16 @@
 	return 0
 }
 
-// add takes an interval in and returns how many of its ordinals are new.
+// add adds an interval and returns how many of its ordinals are new.
 func (c *coverage) add(in interval) uint64 {
-	if n := len(c.parts); n > 0 && c.parts[n-1].last+1 == in.first {
-		c.parts[n-1].last = in.last // The usual case: the stream goes on.
+	if n := len(c.intervals); n > 0 && c.intervals[n-1].last+1 == in.first {
+		c.intervals[n-1].last = in.last // The typical case: in continues the last interval.
 		return in.last - in.first + 1
 	}
 	fresh := in.last - in.first + 1
 	merged := in
 	var out []interval
-	for _, p := range c.parts {
+	for _, p := range c.intervals {
 		if p.last+1 < in.first || in.last+1 < p.first {
 			out = append(out, p)
 			continue
@@ -48,14 +48,14 @@
 	}
 	out = append(out, merged)
 	slices.SortFunc(out, func(a, b interval) int { return cmp.Compare(a.first, b.first) })
-	c.parts = out
+	c.intervals = out
 	return fresh
 }
 
-// remove takes an interval out.
+// remove removes an interval.
 func (c *coverage) remove(out interval) {
 	var kept []interval
-	for _, p := range c.parts {
+	for _, p := range c.intervals {
 		if p.first < out.first {
 			kept = append(kept, interval{p.first, min(p.last, out.first-1)})
 		}
@@ -63,5 +63,5 @@
 			kept = append(kept, interval{max(p.first, out.last+1), p.last})
 		}
 	}
-	c.parts = kept
+	c.intervals = kept
 }
--- a/pkg/refusal/coverage_test.go
+++ b/pkg/refusal/coverage_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestCoverage compares the intervals with a plain set.
+// TestCoverage compares coverage with a plain set.
 func TestCoverage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c coverage
@@ -38,7 +38,8 @@
 	})
 }
 
-// TestPoolKeepsTheCount adds entries of few or many classes, some twice, takes some away and gives some back.
+// TestPoolKeepsTheCount checks that a pool neither loses nor duplicates refusals when entries of few or many classes
+// are added, added twice, taken and put back.
 func TestPoolKeepsTheCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 20).Draw(t, "limit")
@@ -65,7 +66,7 @@
 					continue
 				}
 				taken += sum(out)
-				s.renew()
+				s.reset()
 			}
 		}
 		if p.refusals()+taken != added {
--- a/pkg/refusal/entry.go
+++ b/pkg/refusal/entry.go
@@ -15,20 +15,20 @@
 	return entry{record: r, stream: id.stream, first: id.ordinal}
 }
 
-// end is the last ordinal covered.
+// end returns the last ordinal covered.
 func (e *entry) end() uint64 {
 	return e.first + uint64(e.record.Count) - 1
 }
 
-// joins reports whether next goes on where e ends and the sum of both can be counted.
-func (e *entry) joins(next *entry) bool {
+// canMerge reports whether next continues e in the same stream and the sum of their counts does not overflow.
+func (e *entry) canMerge(next *entry) bool {
 	return e.stream == next.stream && e.end()+1 == next.first &&
 		uint64(e.record.Count)+uint64(next.record.Count) <= math.MaxUint32
 }
 
-// join takes next into e. The details of the first stay.
-func (e *entry) join(next *entry) {
-	e.record.Callers = common(callersOf(&e.record), callersOf(&next.record))
+// merge adds next to e. The details of e are kept.
+func (e *entry) merge(next *entry) {
+	e.record.Callers = commonPrefix(callerPrefix(&e.record), callerPrefix(&next.record))
 	e.record.Count += next.record.Count
 	last := next.record.Time
 	if next.record.Last.After(last) {
@@ -39,14 +39,14 @@
 	}
 }
 
-// has reports whether the refusal with this ID is in the entry.
-func (e *entry) has(id string) bool {
+// contains reports whether the entry covers the refusal with this ID.
+func (e *entry) contains(id string) bool {
 	i := parseID(id)
 	return i.stream == e.stream && e.first <= i.ordinal && i.ordinal <= e.end()
 }
 
-// cutBefore leaves out the ordinals below first; it must be within the interval.
-func (e *entry) cutBefore(first uint64) {
+// trimBefore removes the ordinals below first, which must be within the interval.
+func (e *entry) trimBefore(first uint64) {
 	e.record.Count -= uint32(first - e.first)
 	e.first = first
 	e.record.ID = identity{stream: e.stream, ordinal: first}.format()
--- a/pkg/refusal/generation.go
+++ b/pkg/refusal/generation.go
@@ -7,16 +7,16 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// generation is a closed set of records on its way to the store, in one object or several. No stream goes on from
-// one generation to the next.
+// generation is a closed set of records that is being written to the store, in one or more objects. No stream continues
+// from one generation to the next.
 type generation struct {
-	// entries are those that are not in the store for sure.
+	// entries are those that are not known to be in the store.
 	entries []entry
-	// through is the number of the last own stream in it.
-	through uint64
-	// others are the streams of other processes in what is written, with the last ordinal.
-	others map[stream]uint64
-	// object is the object that is being written, with size entries from the front; nil before it is packed.
+	// lastStream is the number of the last own stream in the generation.
+	lastStream uint64
+	// foreignStreams are the streams of other processes among the written entries, with the last ordinal written.
+	foreignStreams map[stream]uint64
+	// object is the object being written, with size entries from the front; nil before it is packed.
 	object *objectapi.Object
 	size   int
 }
@@ -33,7 +33,7 @@
 	return n
 }
 
-// pack makes the next object from the entries at the front that share a bucket.
+// pack builds the next object from the entries at the front that share a bucket.
 func (g *generation) pack(h header) error {
 	kind := KindAt(g.entries[0].record.Time)
 	n := 1
@@ -49,34 +49,34 @@
 	return nil
 }
 
-// done forgets the entries of the written object.
-func (g *generation) done() []entry {
+// removeWritten removes and returns the entries of the written object.
+func (g *generation) removeWritten() []entry {
 	written := g.entries[:g.size]
 	g.entries = g.entries[g.size:]
 	g.object, g.size = nil, 0
 	return written
 }
 
-// foreign notes the streams of other processes among written entries.
-func (g *generation) foreign(own string, written []entry) {
+// addForeign records the streams of other processes among written entries.
+func (g *generation) addForeign(own string, written []entry) {
 	for i := range written {
 		e := &written[i]
 		if e.stream.origin == own {
 			continue
 		}
-		if g.others == nil {
-			g.others = make(map[stream]uint64)
+		if g.foreignStreams == nil {
+			g.foreignStreams = make(map[stream]uint64)
 		}
-		g.others[e.stream] = max(g.others[e.stream], e.end())
+		g.foreignStreams[e.stream] = max(g.foreignStreams[e.stream], e.end())
 	}
 }
 
-// objectName is the same for every attempt to write a batch, so that an attempt whose answer is lost is found again.
+// objectName is the same for every attempt to write a batch, so an attempt with an unknown outcome can be looked up.
 func objectName(h header) string {
 	return originOf(h.Process, h.Incarnation) + "/" + strconv.FormatUint(h.Sequence, idBase)
 }
 
-// bucketOf is the start of the hour of t.
+// bucketOf returns the start of the hour of t.
 func bucketOf(t time.Time) time.Time {
 	return t.UTC().Truncate(bucket)
 }
--- a/pkg/refusal/identity.go
+++ b/pkg/refusal/identity.go
@@ -8,31 +8,31 @@
 // idBase is the number base of the counters in a record ID.
 const idBase = 36
 
-// maxOrdinal keeps the sum of an ordinal and a count within 64 bits, whatever an ID from outside says.
+// maxOrdinal keeps the sum of an ordinal and a count within 64 bits, whatever ID a peer sends.
 const maxOrdinal = 1 << 62
 
-// stream identifies a row of equal refusals of one life of a process. The refusals of a stream are numbered from 1
-// without gaps, and a record covers a closed interval of them; so equal records can be merged and copies of them
-// recognised without a list of the merged IDs.
+// stream identifies a sequence of equal refusals of one incarnation of a process. Its refusals are numbered from 1
+// without gaps, and a record covers a closed interval of them, so equal records can be merged, and copies recognised,
+// without a list of the merged IDs.
 type stream struct {
 	// origin is the process and its incarnation.
 	origin string
-	// number counts the streams of the origin.
+	// number is the number of the stream within its origin.
 	number uint64
 }
 
-// identity is a record ID taken apart: "origin/number.ordinal".
+// identity is a parsed record ID: "origin/number.ordinal".
 type identity struct {
 	stream  stream
 	ordinal uint64
 }
 
-// originOf is the first part of the IDs of a process's life.
+// originOf returns the part of record IDs that names the process and its incarnation.
 func originOf(process string, incarnation uint64) string {
 	return process + "/" + strconv.FormatUint(incarnation, idBase)
 }
 
-// format returns the text of the identity.
+// format returns the identity as a record ID.
 func (i identity) format() string {
 	b := make([]byte, 0, 64)
 	b = append(b, i.stream.origin...)
@@ -43,7 +43,7 @@
 	return string(b)
 }
 
-// parseID takes an ID apart. An ID of another form is a stream of its own.
+// parseID parses a record ID. An ID in another format is treated as a stream of its own.
 func parseID(id string) identity {
 	i, ok := splitID(id)
 	if !ok || i.ordinal == 0 {
@@ -52,7 +52,7 @@
 	return i
 }
 
-// splitID takes an ID apart; false when it has another form.
+// splitID parses a record ID; false means that it has another format.
 func splitID(id string) (identity, bool) {
 	slash, dot := strings.LastIndexByte(id, '/'), strings.LastIndexByte(id, '.')
 	if slash <= 0 || dot < slash {
--- a/pkg/refusal/log.go
+++ b/pkg/refusal/log.go
@@ -12,47 +12,46 @@
 
 var _ Recorder = (*Log)(nil)
 
-// Log is the Recorder of a process. It holds the records, hands them to a peer and writes them in batches; Run does
-// the input and output. Safe for concurrent use.
+// Log is the Recorder of a process. It holds records in memory, mirrors them to a peer and writes them in batches; Run
+// does the I/O. It is safe for concurrent use.
 type Log struct {
 	cfg      Config
 	origin   string
 	counters counters
-	// wake tells the mirror loop that there are records.
+	// wake signals the mirror loop that there are records.
 	wake chan struct{}
 
-	// writeMu lets one object be written at a time.
+	// writeMu serialises writes of objects.
 	writeMu sync.Mutex
 
 	mu      sync.Mutex
 	streams *streams
 	// held are the own records since the last generation was closed.
 	held *pool
-	// oldest is when the first of held came.
+	// oldest is when the first record of held was added.
 	oldest time.Time
-	// writing is the generation that is on its way to the store; nil when there is none.
+	// writing is the generation that is being written to the store, or nil.
 	writing  *generation
 	sequence uint64
-	pace     pace
-	// queue are the records that the peer does not have yet.
+	pacer    pacer
+	// queue holds the records that the peer does not have yet.
 	queue *pool
-	// inCall is the number of records in the current call of the mirror.
+	// inCall is the number of records in the current mirror call.
 	inCall int
-	// moved is closed and replaced when the mirror took records.
-	moved   chan struct{}
-	adopted map[adoptionKey]*pool
-	// receipts wait to be sent to the peer.
+	// progress is closed and replaced after a successful mirror call and when a generation is written.
+	progress chan struct{}
+	adopted  map[adoptionKey]*pool
+	// receipts are waiting to be sent to the peer.
 	receipts []Record
-	// recent are the objects written lately.
+	// recent are the recently written objects.
 	recent recentObjects
-	// lostTurn is when an object that was lost is written again next; used by Run alone.
-	lostTurn time.Time
-	// retainUntil is when a process without a store forgets the generation that it has handed over.
+	// nextRewrite is when the next lost object is written again; only Run uses it.
+	nextRewrite time.Time
+	// retainUntil is when a process without a store releases the records that it has handed over.
 	retainUntil time.Time
 	stats       Stats
 }
 
-// NewLog returns an empty log.
 func NewLog(cfg Config) *Log {
 	cfg = cfg.withDefaults()
 	if cfg.Eras == nil {
@@ -66,14 +65,14 @@
 		wake:     make(chan struct{}, 1),
 		streams:  newStreams(origin),
 		held:     newPool(poolLimit(cfg.MaxHeld)),
-		pace:     pace{min: cfg.MinInterval, max: cfg.MaxInterval, rand: cfg.Rand},
+		pacer:    pacer{min: cfg.MinInterval, max: cfg.MaxInterval, rand: cfg.Rand},
 		queue:    newPool(cfg.MaxQueue),
-		moved:    make(chan struct{}),
+		progress: make(chan struct{}),
 		adopted:  make(map[adoptionKey]*pool),
 	}
 }
 
-// poolLimit halves the limit, since a generation may be on its way to the store while the next one fills.
+// poolLimit returns half the limit, because one generation may be on its way to the store while the next one fills.
 func poolLimit(n int) int {
 	return max(1, n/2)
 }
@@ -88,18 +87,18 @@
 
 // Record implements Recorder.
 func (l *Log) Record(r Record) string {
-	bound(&r, l.cfg.Now())
+	sanitize(&r, l.cfg.Now())
 	if r.DecidedBy == "" {
 		r.DecidedBy = l.cfg.Process
 	}
 	r.Count = max(r.Count, 1)
-	id := l.hold(r)
+	id := l.addRecord(r)
 	l.counters.recorded.Inc(int64(r.Count))
 	l.signal()
 	return id
 }
 
-// signal tells the mirror loop that there is something to send.
+// signal wakes the mirror loop.
 func (l *Log) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -107,8 +106,8 @@
 	}
 }
 
-// hold puts a complete record into memory and returns its ID.
-func (l *Log) hold(r Record) string {
+// addRecord holds a complete record and returns its ID.
+func (l *Log) addRecord(r Record) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := entry{record: r}
@@ -119,12 +118,12 @@
 		e = entryOf(r)
 	}
 	l.stats.Recorded += uint64(r.Count)
-	l.keep(e)
+	l.addEntry(e)
 	return e.record.ID
 }
 
-// keep adds an entry to the held ones and queues it for the mirror; l.mu is held.
-func (l *Log) keep(e entry) {
+// addEntry holds an entry and queues it for the mirror; l.mu is held.
+func (l *Log) addEntry(e entry) {
 	if l.held.len() == 0 {
 		l.oldest = l.cfg.Now()
 	}
@@ -147,7 +146,7 @@
 	return out
 }
 
-// unwritten are the entries that the store does not have for sure; l.mu is held.
+// unwritten returns the entries that are not known to be in the store; l.mu is held.
 func (l *Log) unwritten() []entry {
 	var out []entry
 	if l.writing != nil {
@@ -156,7 +155,7 @@
 	return append(out, l.held.all()...)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/refusal/log_bench_test.go
+++ b/pkg/refusal/log_bench_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// BenchmarkRecord is the cost of a refusal for the deciding process, before and after memory is full.
+// BenchmarkRecord measures Record before and after memory is full.
 func BenchmarkRecord(b *testing.B) {
 	for name, limit := range map[string]int{"Room": 1 << 30, "Full": 2000} {
 		b.Run(name, func(b *testing.B) {
 			l := NewLog(Config{Process: "agent-1", MaxHeld: limit})
-			r := many(1)[0].record
+			r := sampleEntries(1)[0].record
 			r.ID = ""
 			b.ReportAllocs()
 			for b.Loop() {
--- a/pkg/refusal/log_mirror.go
+++ b/pkg/refusal/log_mirror.go
@@ -10,21 +10,21 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// Waits after a failed call of the mirror.
+// Backoff after a failed mirror call.
 const (
 	mirrorBackoffMin = 100 * time.Millisecond
 	mirrorBackoffMax = 5 * time.Second
 )
 
-// Estimates of what a call sends, in bytes. EncodeRecords packs one record into about 250 bytes and each further one of
-// a batch into 15 to 20; the transport adds its headers.
+// Estimated cost of a mirror call, in bytes. EncodeRecords packs one record into about 250 bytes and each further one
+// of a batch into 15 to 20; the transport adds its headers.
 const (
 	mirrorCallCost   = 450
 	mirrorRecordCost = 25
 )
 
-// mirrorLoop hands records to the peer as soon as they come; those that come during a call go with the next. Its bytes
-// a second are bounded; records that wait too long are merged.
+// mirrorLoop mirrors records as soon as they are queued; records queued during a call go with the next one. The rate in
+// bytes is limited; when the queue is full, records are merged.
 func (l *Log) mirrorLoop(ctx context.Context) error {
 	backoff := objectapi.Backoff{Min: mirrorBackoffMin, Max: mirrorBackoffMax, Rand: l.cfg.Rand}
 	budget := rate.NewLimiter(rate.Limit(l.cfg.MirrorRate), l.cfg.MirrorBurst)
@@ -34,7 +34,7 @@
 		}
 		records := l.takeQueued()
 		if err := budget.WaitN(ctx, min(l.cfg.MirrorBurst, mirrorCallCost+mirrorRecordCost*len(records))); err != nil {
-			l.giveBack(records, err)
+			l.requeueFailed(records, err)
 			return err
 		}
 		if l.send(ctx, records) == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// awaitRecords returns when there is something to send.
+// awaitRecords returns when there are records or receipts to send.
 func (l *Log) awaitRecords(ctx context.Context) error {
 	for {
 		l.mu.Lock()
@@ -64,12 +64,12 @@
 	}
 }
 
-// send makes one call of the mirror.
+// send makes one mirror call.
 func (l *Log) send(ctx context.Context, records []Record) error {
 	call, cancel := context.WithTimeout(ctx, l.cfg.MirrorTimeout)
 	defer cancel()
 	if err := l.cfg.Mirror.Mirror(call, records); err != nil {
-		l.giveBack(records, err)
+		l.requeueFailed(records, err)
 		return err
 	}
 	l.mu.Lock()
@@ -77,12 +77,12 @@
 	l.inCall = 0
 	l.stats.Mirrored += uint64(len(records))
 	l.counters.mirrored.Inc(int64(len(records)))
-	l.noteMoved()
+	l.notifyProgress()
 	return nil
 }
 
-// giveBack queues the records of a failed call again.
-func (l *Log) giveBack(records []Record, err error) {
+// requeueFailed queues the records of a failed call again.
+func (l *Log) requeueFailed(records []Record, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inCall = 0
@@ -96,8 +96,8 @@
 	}
 }
 
-// takeQueued takes the records of the next call, receipts last. Receipts that do not arrive are not sent again: the
-// next one for the process says the same.
+// takeQueued removes the records of the next call from the queue, receipts last. A lost receipt is not sent again,
+// because the next receipt of the process covers it.
 func (l *Log) takeQueued() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,45 +112,45 @@
 	return out
 }
 
-// requeue queues all unwritten records for the mirror; l.mu is held.
-func (l *Log) requeue() {
+// requeueUnwritten queues all unwritten records for the mirror; l.mu is held.
+func (l *Log) requeueUnwritten() {
 	l.queue = newPool(l.queue.limit)
 	for _, e := range l.unwritten() {
 		l.queue.add(e)
 	}
 }
 
-// MirrorChanged queues all records that the store does not have for the mirror, which now reaches another peer.
+// MirrorChanged queues all records that are not in the store for the mirror, which now reaches another peer.
 func (l *Log) MirrorChanged() {
 	if l.cfg.Mirror == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requeue()
+	l.requeueUnwritten()
 	l.signal()
 }
 
-// Sync waits until a peer or the store has every record so far, or the context ends. A process that must not lose a
-// record with its own death calls it before it answers the refused caller.
+// Sync waits until a peer or the store has all records recorded so far, or the context ends. A process whose crash must
+// not lose a record calls it before it answers the refused caller.
 func (l *Log) Sync(ctx context.Context) error {
 	for {
 		l.mu.Lock()
-		moved, left := l.moved, l.queue.len()+l.inCall
+		progress, left := l.progress, l.queue.len()+l.inCall
 		l.mu.Unlock()
 		if left == 0 || l.cfg.Mirror == nil {
 			return nil
 		}
 		select {
-		case <-moved:
+		case <-progress:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// noteMoved wakes those who wait in Sync; l.mu is held.
-func (l *Log) noteMoved() {
-	close(l.moved)
-	l.moved = make(chan struct{})
+// notifyProgress wakes the callers of Sync; l.mu is held.
+func (l *Log) notifyProgress() {
+	close(l.progress)
+	l.progress = make(chan struct{})
 }
--- a/pkg/refusal/log_test.go
+++ b/pkg/refusal/log_test.go
@@ -17,14 +17,14 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// peerLog is a Mirror that hands records to another log of the test.
-type peerLog struct {
+// logMirror is a Mirror that hands records to another Log.
+type logMirror struct {
 	from string
 	to   *Log
 	down bool
 }
 
-func (p *peerLog) Mirror(_ context.Context, records []Record) error {
+func (p *logMirror) Mirror(_ context.Context, records []Record) error {
 	if p.down {
 		return errors.New("peer is down")
 	}
@@ -32,14 +32,14 @@
 	return nil
 }
 
-// start runs a log until the returned function is called, which ends it without a last write, as a death does.
-func start(t *testing.T, cfg Config) (*Log, func()) {
+// startLog runs a log until the returned function is called, which stops it without a final write, as a crash does.
+func startLog(t *testing.T, cfg Config) (*Log, func()) {
 	l := NewLog(cfg)
-	return l, run(t, l)
+	return l, runLog(t, l)
 }
 
-// run is start for a log that is there already.
-func run(t *testing.T, l *Log) func() {
+// runLog runs an existing log; see startLog.
+func runLog(t *testing.T, l *Log) func() {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -54,7 +54,7 @@
 	return kill
 }
 
-// refuse records one refusal of a caller; the detail tells the refusals apart.
+// refuse records one refusal of a caller; the detail distinguishes the refusals.
 func refuse(l *Log, caller int) string {
 	a := netip.AddrFrom4([4]byte{10, byte(caller >> 8), byte(caller), 7})
 	return l.Record(Record{
@@ -65,7 +65,7 @@
 	})
 }
 
-// find reads all records of the last day.
+// find returns the matching records of the last day.
 func find(t *testing.T, s objectapi.Store, q Query) QueryResult {
 	t.Helper()
 	q.From, q.To = time.Now().Add(-24*time.Hour), time.Now()
@@ -86,7 +86,8 @@
 	require.Equal(t, "given", l.Record(Record{ID: "given"}))
 }
 
-// TestStoreFaults checks that every refusal is in the store once after a fault ends, and in how many objects.
+// TestStoreFaults checks that after a store fault every refusal is stored exactly once, and every object is written
+// once.
 func TestStoreFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -103,7 +104,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New(store.Config{Seed: 1})
 				s.SetFaults(c.faults)
-				l, _ := start(t, Config{Process: "agent-1", Store: s})
+				l, _ := startLog(t, Config{Process: "agent-1", Store: s})
 				ids := make(map[string]bool)
 				for i := range 300 {
 					ids[refuse(l, i)] = true
@@ -125,8 +126,8 @@
 	}
 }
 
-// TestDeath kills a recorder at several moments; nothing that was mirrored may be lost or counted twice.
-func TestDeath(t *testing.T) {
+// TestCrash stops a process at several moments: no mirrored record may be lost or counted twice.
+func TestCrash(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		down     bool
@@ -137,15 +138,15 @@
 		{"BeforeAnyWrite", true, 0, true, 0},
 		{"AfterSomeWrites", false, 10 * time.Second, true, 0},
 		{"AfterAllWrites", false, 3 * time.Minute, true, 0},
-		// The check must see a loss when the peer does not take the records over.
+		// Without PeerDied the records must be missing, which shows that the check detects a loss.
 		{"PeerNotTold", true, 0, false, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New(store.Config{Seed: 1})
 				s.SetFaults(store.Faults{Outage: c.down})
-				heir, _ := start(t, Config{Process: "agent-2", Store: s})
-				l, kill := start(t, Config{Process: "agent-1", Store: s, Mirror: &peerLog{from: "agent-1", to: heir}})
+				adopter, _ := startLog(t, Config{Process: "agent-2", Store: s})
+				l, kill := startLog(t, Config{Process: "agent-1", Store: s, Mirror: &logMirror{from: "agent-1", to: adopter}})
 				for i := range 200 {
 					refuse(l, i)
 					time.Sleep(20 * time.Millisecond)
@@ -154,7 +155,7 @@
 				time.Sleep(c.after)
 				kill()
 				if c.peerDied {
-					heir.PeerDied("agent-1")
+					adopter.PeerDied("agent-1")
 				}
 				s.SetFaults(store.Faults{})
 				time.Sleep(3 * time.Minute)
@@ -164,14 +165,14 @@
 	}
 }
 
-// TestMirrorChanges checks that a second peer gets all unwritten records after the first was lost.
+// TestMirrorChanges checks that a second peer gets all unwritten records after the first peer was lost.
 func TestMirrorChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		s.SetFaults(store.Faults{Outage: true})
 		first, second := NewLog(Config{Process: "agent-2"}), NewLog(Config{Process: "agent-3", Store: s})
-		p := &peerLog{from: "agent-1", to: first}
-		l, kill := start(t, Config{Process: "agent-1", Store: s, Mirror: p})
+		p := &logMirror{from: "agent-1", to: first}
+		l, kill := startLog(t, Config{Process: "agent-1", Store: s, Mirror: p})
 		for i := range 500 {
 			refuse(l, i)
 		}
@@ -192,46 +193,47 @@
 	})
 }
 
-// TestReleaseAndNewLife checks that a peer forgets what is written, and inherits from a life that ended unseen.
-func TestReleaseAndNewLife(t *testing.T) {
+// TestReleaseAndNewIncarnation checks that a peer releases written records, and takes over those of an earlier
+// incarnation.
+func TestReleaseAndNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
-		heir := NewLog(Config{Process: "agent-2", Store: s})
-		p := &peerLog{from: "agent-1", to: heir}
-		l, kill := start(t, Config{Process: "agent-1", Incarnation: 1, Store: s, Mirror: p})
+		adopter := NewLog(Config{Process: "agent-2", Store: s})
+		p := &logMirror{from: "agent-1", to: adopter}
+		l, kill := startLog(t, Config{Process: "agent-1", Incarnation: 1, Store: s, Mirror: p})
 		refuse(l, 1)
 		time.Sleep(time.Minute)
-		require.Zero(t, heir.Stats().Adopted)
+		require.Zero(t, adopter.Stats().Adopted)
 		refuse(l, 2)
 		require.NoError(t, l.Sync(t.Context()))
 		kill()
-		next, _ := start(t, Config{Process: "agent-1", Incarnation: 2, Store: s, Mirror: p})
+		next, _ := startLog(t, Config{Process: "agent-1", Incarnation: 2, Store: s, Mirror: p})
 		refuse(next, 3)
 		require.NoError(t, next.Sync(t.Context()))
-		require.Equal(t, 1, heir.Stats().Held, "the record of the first life")
-		require.NoError(t, heir.Drain(t.Context()))
+		require.Equal(t, 1, adopter.Stats().Held, "the record of the first incarnation")
+		require.NoError(t, adopter.Drain(t.Context()))
 		require.NoError(t, next.Drain(t.Context()))
 		require.EqualValues(t, 3, find(t, s, Query{}).Refusals)
 	})
 }
 
-// TestRelayDies kills a process that took records of one without a store, before it mirrored or wrote them.
+// TestRelayDies stops a process that accepted records from one without a store, before it mirrored or wrote them.
 func TestRelayDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		s.SetFaults(store.Faults{Outage: true})
-		silent := &peerLog{down: true}
-		relay, kill := start(t, Config{Process: "balancer-1", Store: s, Mirror: silent})
-		next, _ := start(t, Config{Process: "balancer-2", Store: s})
+		silent := &logMirror{down: true}
+		relay, kill := startLog(t, Config{Process: "balancer-1", Store: s, Mirror: silent})
+		next, _ := startLog(t, Config{Process: "balancer-2", Store: s})
 		p := &process{name: "agent-1", relay: true, to: &process{log: relay}, rng: rand.New(rand.NewPCG(1, 1))}
 		p.log = NewLog(Config{Process: "agent-1", Mirror: p})
-		run(t, p.log)
+		runLog(t, p.log)
 		for i := range 10 {
 			refuse(p.log, i)
 		}
 		time.Sleep(5 * time.Second)
 		kill()
-		p.turn(&process{log: next})
+		p.setPeer(&process{log: next})
 		s.SetFaults(store.Faults{})
 		time.Sleep(5 * time.Minute)
 		require.EqualValues(t, 10, find(t, s, Query{}).Refusals)
@@ -239,7 +241,7 @@
 	})
 }
 
-// TestSharedIncarnation checks that two processes that wrongly share their identity overwrite nothing.
+// TestSharedIncarnation checks that two processes with the same identity, which is a mistake, overwrite nothing.
 func TestSharedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
@@ -252,13 +254,14 @@
 	})
 }
 
-// TestStormInOutage fills memory over hours of outage: the records stay near the limit and the count stays exact.
+// TestStormInOutage fills memory during an outage of hours: the number of records must stay near the limit and the
+// refusal count exact.
 func TestStormInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 1000
 		s := store.New(store.Config{})
 		s.SetFaults(store.Faults{Outage: true})
-		l, _ := start(t, Config{Process: "agent-1", Store: s, MaxHeld: limit})
+		l, _ := startLog(t, Config{Process: "agent-1", Store: s, MaxHeld: limit})
 		n := 0
 		for range 3 * 60 {
 			for range 500 {
@@ -277,11 +280,11 @@
 	})
 }
 
-// TestObjectsOfALongStorm bounds the objects of a process that refuses steadily for an hour.
+// TestObjectsOfALongStorm bounds the number of objects written during an hour of steady refusals.
 func TestObjectsOfALongStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
-		l, _ := start(t, Config{Process: "agent-1", Store: s})
+		l, _ := startLog(t, Config{Process: "agent-1", Store: s})
 		for i := range 14400 {
 			refuse(l, i%1000)
 			time.Sleep(250 * time.Millisecond)
@@ -294,29 +297,29 @@
 	})
 }
 
-// meter is a Mirror that counts what would be sent.
-type meter struct {
+// meteredMirror is a Mirror that counts the encoded bytes.
+type meteredMirror struct {
 	to    *Log
 	bytes int
 }
 
-func (m *meter) Mirror(_ context.Context, records []Record) error {
+func (m *meteredMirror) Mirror(_ context.Context, records []Record) error {
 	b, err := EncodeRecords(records)
 	m.bytes += len(b)
 	m.to.Adopt("agent-1", records)
 	return err
 }
 
-// TestMirrorBudget refuses callers of ever new networks at two rates: the bytes to the peer stay within
-// the budget, the records that wait stay bounded, and no refusal is missing at the peer when the process dies.
+// TestMirrorBudget refuses callers of ever new networks at two rates: the bytes sent must stay within the budget, the
+// queue bounded, and no refusal may be missing at the peer after a crash.
 func TestMirrorBudget(t *testing.T) {
 	for _, perSecond := range []int{5, 500} {
 		t.Run(strconv.Itoa(perSecond), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const seconds, burst = 60, 20000
 				s := store.New(store.Config{})
-				m := &meter{to: NewLog(Config{Process: "agent-2", Store: s})}
-				l, kill := start(t, Config{Process: "agent-1", Store: s, Mirror: m, MirrorBurst: burst})
+				m := &meteredMirror{to: NewLog(Config{Process: "agent-2", Store: s})}
+				l, kill := startLog(t, Config{Process: "agent-1", Store: s, Mirror: m, MirrorBurst: burst})
 				most := 0
 				for i := range seconds {
 					for j := range perSecond {
--- a/pkg/refusal/log_write.go
+++ b/pkg/refusal/log_write.go
@@ -11,38 +11,38 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// tick is how often a log looks whether an object is due.
-const tick = 250 * time.Millisecond
+// tickInterval is how often a log checks whether an object is due.
+const tickInterval = 250 * time.Millisecond
 
-// tickLoop writes objects at the pace that the store and the number of records allow, or forgets what was handed over.
+// tickLoop writes objects when the pacer allows, or, without a store, releases mirrored records.
 func (l *Log) tickLoop(ctx context.Context) error {
 	for {
-		if err := wait.For(ctx, tick); err != nil {
+		if err := wait.For(ctx, tickInterval); err != nil {
 			return err
 		}
 		if l.cfg.Store == nil {
-			l.forget()
+			l.releaseMirrored()
 			continue
 		}
-		if l.due() {
-			_ = l.writeOnce(ctx) // Counted and logged; the records stay for the next time.
+		if l.isDue() {
+			_ = l.writeOnce(ctx) // Counted and logged; the records are kept and retried.
 		}
-		l.writeLostInTurn(ctx)
+		l.rewriteNextLost(ctx)
 	}
 }
 
-// due says whether an object is to be written now.
-func (l *Log) due() bool {
+// isDue reports whether an object is to be written now.
+func (l *Log) isDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full := l.held.len() >= l.held.limit/2
 	if l.writing != nil {
-		return l.pace.due(l.cfg.Now(), time.Time{}, full)
+		return l.pacer.isDue(l.cfg.Now(), time.Time{}, full)
 	}
-	return l.held.len() > 0 && l.pace.due(l.cfg.Now(), l.oldest, full)
+	return l.held.len() > 0 && l.pacer.isDue(l.cfg.Now(), l.oldest, full)
 }
 
-// Drain writes all own records without the pace, until they are in the store or the context ends.
+// Drain writes all own records without pacing, until they are in the store or the context ends.
 func (l *Log) Drain(ctx context.Context) error {
 	if l.cfg.Store == nil {
 		return nil
@@ -51,7 +51,7 @@
 	for {
 		err := l.writeOnce(ctx)
 		if err == nil && l.Stats().Held == 0 {
-			return l.writeAllLost(ctx)
+			return l.rewriteAllLost(ctx)
 		}
 		if err == nil {
 			backoff.Reset()
@@ -63,8 +63,8 @@
 	}
 }
 
-// writeOnce writes the next object. An object whose outcome is unknown is written again under the same name and found
-// there by its content.
+// writeOnce writes the next object. An object whose outcome is unknown is written again under the same name and, if
+// already stored, recognised by its content.
 func (l *Log) writeOnce(ctx context.Context) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -74,18 +74,18 @@
 	}
 	stored, err := l.store(ctx, *o)
 	if errors.Is(err, objectapi.ErrConflict) {
-		l.rename()
+		l.unpack()
 	}
 	if err != nil {
-		l.writeFailed(o, err)
+		l.recordWriteFailure(o, err)
 		return err
 	}
 	o.Version = stored.Version
-	l.wrote(o)
+	l.recordWrite(o)
 	return nil
 }
 
-// store creates an object, or finds that it is there already: its writer may not have learnt of it.
+// store creates an object, or finds that it is already stored by an earlier attempt with an unknown outcome.
 func (l *Log) store(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.WriteTimeout)
 	defer cancel()
@@ -98,11 +98,11 @@
 		return got, err
 	}
 	return objectapi.Object{}, objectapi.Fail(objectapi.OpCreate, o.Kind, o.Name, l.origin, objectapi.ErrConflict,
-		errors.New("another batch stands under this name; two processes share an incarnation"))
+		errors.New("another batch exists under this name; two processes share an incarnation"))
 }
 
-// rename packs the batch again under the next name.
-func (l *Log) rename() {
+// unpack discards the packed object, so that its entries are packed again under the next name.
+func (l *Log) unpack() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.writing != nil {
@@ -131,7 +131,7 @@
 	return &o, nil
 }
 
-// closeGeneration takes the held records for writing; l.mu is held.
+// closeGeneration moves the held records into a new generation; l.mu is held.
 func (l *Log) closeGeneration() {
 	if l.held.len() == 0 {
 		return
@@ -140,42 +140,42 @@
 	slices.SortStableFunc(entries, func(a, b entry) int {
 		return bucketOf(a.record.Time).Compare(bucketOf(b.record.Time))
 	})
-	l.writing = &generation{entries: entries, through: l.streams.number}
+	l.writing = &generation{entries: entries, lastStream: l.streams.number}
 	l.stats.Merged += l.held.merged
 	l.held = newPool(l.held.limit)
-	l.streams.renew()
+	l.streams.reset()
 }
 
-// wrote notes a written object.
-func (l *Log) wrote(o *objectapi.Object) {
+// recordWrite updates the state after an object was written.
+func (l *Log) recordWrite(o *objectapi.Object) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recent.add(l.cfg.Now(), *o)
-	written := l.writing.done()
+	written := l.writing.removeWritten()
 	l.stats.Batches++
 	l.stats.WrittenRefusals += sum(written)
 	l.counters.batches.Inc(1)
 	l.cfg.Logger.Debug().Str("op", "write-refusals").Str("name", o.Name).Int("records", len(written)).
 		Int("bytes", len(o.Value)).Msg("refusal records written")
 	more := len(l.writing.entries) > 0
-	l.pace.wrote(l.cfg.Now(), more)
-	l.writing.foreign(l.origin, written)
+	l.pacer.recordWrite(l.cfg.Now(), more)
+	l.writing.addForeign(l.origin, written)
 	if more {
 		return
 	}
-	l.acknowledge()
+	l.queueReceipts()
 	l.writing = nil
-	l.noteMoved()
+	l.notifyProgress()
 }
 
-// acknowledge takes a generation that is all in the store out of the queue and prepares receipts for the peer; l.mu is
+// queueReceipts removes a completely written generation from the mirror queue and queues receipts for the peer; l.mu is
 // held.
-func (l *Log) acknowledge() {
+func (l *Log) queueReceipts() {
 	if l.cfg.Mirror == nil {
 		return
 	}
-	done := []receipt{{stream: stream{origin: l.origin, number: l.writing.through}}}
-	for s, ordinal := range l.writing.others {
+	done := []receipt{{stream: stream{origin: l.origin, number: l.writing.lastStream}}}
+	for s, ordinal := range l.writing.foreignStreams {
 		if _, later := l.held.tracks[s]; !later {
 			done = append(done, receipt{stream: s, ordinal: ordinal})
 		}
@@ -183,13 +183,13 @@
 	for _, r := range done {
 		l.receipts = append(l.receipts, r.record())
 	}
-	l.queue.dropAll(done)
+	l.queue.removeAllWritten(done)
 	l.signal()
 }
 
-// forget lets go of records that a process without a store has handed over, after a time in which MirrorChanged can
-// still send them to another peer.
-func (l *Log) forget() {
+// releaseMirrored drops records that a process without a store has handed over, after Config.Retain, during which
+// MirrorChanged can still send them to another peer.
+func (l *Log) releaseMirrored() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cfg.Mirror == nil || l.queue.len()+l.inCall > 0 || l.cfg.Now().Before(l.retainUntil) {
@@ -200,12 +200,12 @@
 	l.retainUntil = l.cfg.Now().Add(l.cfg.Retain)
 }
 
-func (l *Log) writeFailed(o *objectapi.Object, err error) {
+func (l *Log) recordWriteFailure(o *objectapi.Object, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.WriteErrors++
 	l.counters.writeErrors.Inc(1)
-	l.pace.failed(l.cfg.Now())
+	l.pacer.recordFailure(l.cfg.Now())
 	l.cfg.Logger.Warn().Err(err).Str("op", "write-refusals").Str("name", o.Name).
-		Int("held", l.held.len()+len(l.writing.entries)).Msg("refusal records not written, kept")
+		Int("held", l.held.len()+len(l.writing.entries)).Msg("writing refusal records failed; records kept")
 }
--- a/pkg/refusal/pool.go
+++ b/pkg/refusal/pool.go
@@ -1,14 +1,14 @@
 package refusal
 
-// widthSteps is the number of steps above a limit, as parts of the limit, at which merging is tried again and classes
-// get wider.
+// widthSteps is the divisor of the limit that gives the step above it at which merging is tried again and classes get
+// wider.
 const widthSteps = 8
 
-// slackEntries is the number of taken entries from which a pool moves the rest to the front.
+// slackEntries is the minimum number of taken entries before a pool reallocates the remaining ones.
 const slackEntries = 1024
 
-// pool holds entries in the order of arrival and merges those of equal streams when it reaches its limit. It never
-// drops one: with more streams than the limit it grows, and the streams get wider instead.
+// pool holds entries in order of arrival and merges those of the same stream when it reaches its limit. It never drops
+// an entry: with more streams than the limit it grows, and classes get wider instead.
 type pool struct {
 	limit int
 	// entries are held from head on; those before were taken.
@@ -17,11 +17,11 @@
 	tracks  map[stream]*track
 	// compactAt is the length at which merging is tried again.
 	compactAt int
-	// merged is the number of records that were taken into others.
+	// merged is the number of records merged into others.
 	merged uint64
 }
 
-// track is what a pool knows of a stream.
+// track is the state of one stream in a pool.
 type track struct {
 	// last is the index of the stream's last entry.
 	last int
@@ -38,10 +38,10 @@
 // all returns the entries; they are valid until the pool changes.
 func (p *pool) all() []entry { return p.entries[p.head:] }
 
-// refusals is the sum of the counts.
+// refusals returns the sum of the counts.
 func (p *pool) refusals() uint64 { return sum(p.all()) }
 
-// add takes an entry and leaves out what the pool holds already.
+// add adds the part of an entry that the pool does not hold yet.
 func (p *pool) add(e entry) {
 	t, ok := p.tracks[e.stream]
 	if !ok {
@@ -53,12 +53,12 @@
 		return
 	}
 	if held >= e.first {
-		e.cutBefore(held + 1)
+		e.trimBefore(held + 1)
 	}
 	prev := &p.entries[t.last]
-	if p.len() >= p.limit && prev.joins(&e) {
+	if p.len() >= p.limit && prev.canMerge(&e) {
 		t.held.add(interval{e.first, e.end()})
-		prev.join(&e)
+		prev.merge(&e)
 		p.merged++
 		return
 	}
@@ -83,17 +83,17 @@
 	p.entries = append(p.entries, e)
 }
 
-// compact merges all neighbours of equal streams. The next try waits until the pool grew by a part of the limit, so
-// that its cost is spread over many records.
+// compact merges all neighbouring entries of the same stream. It runs again only after the pool has grown by a fraction
+// of the limit, which amortises its cost.
 func (p *pool) compact() {
 	old := p.all()
 	p.reset(len(old))
 	for i := range old {
 		e := &old[i]
 		t, ok := p.tracks[e.stream]
-		if ok && p.entries[t.last].joins(e) {
+		if ok && p.entries[t.last].canMerge(e) {
 			t.held.add(interval{e.first, e.end()})
-			p.entries[t.last].join(e)
+			p.entries[t.last].merge(e)
 			p.merged++
 			continue
 		}
@@ -123,13 +123,14 @@
 	return out
 }
 
-// drop removes what the store has.
-func (p *pool) drop(r receipt) {
-	p.dropAll([]receipt{r})
+// removeWritten removes the records that a receipt confirms.
+func (p *pool) removeWritten(r receipt) {
+	p.removeAllWritten([]receipt{r})
 }
 
-// dropAll removes what the store has; the first receipt may be for an origin, the others are for streams.
-func (p *pool) dropAll(receipts []receipt) {
+// removeAllWritten removes the records that receipts confirm. The first receipt may be for an origin, the others are
+// for streams.
+func (p *pool) removeAllWritten(receipts []receipt) {
 	byStream := make(map[stream]receipt, len(receipts))
 	for _, r := range receipts[1:] {
 		byStream[r.stream] = r
@@ -143,8 +144,8 @@
 		if r.covers(&e) {
 			continue
 		}
-		if r.cuts(&e) {
-			e.cutBefore(r.ordinal + 1)
+		if r.coversStart(&e) {
+			e.trimBefore(r.ordinal + 1)
 		}
 		kept = append(kept, e)
 	}
--- a/pkg/refusal/reader.go
+++ b/pkg/refusal/reader.go
@@ -12,35 +12,35 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// MaxQuerySpan bounds the time of a query, since each hour costs a list call.
+// MaxQuerySpan bounds the time range of a query, because each hour costs a list call.
 const MaxQuerySpan = 31 * 24 * time.Hour
 
 // Query selects records; zero fields other than the times select all.
 type Query struct {
-	// From and To bound the time of the refusal, both included.
+	// From and To bound the time of the refusal, inclusive.
 	From, To time.Time
-	// Caller selects refusals of the callers of a network. A merged record matches when its network of callers overlaps
-	// this one, so that it may have been for other callers of that network only.
+	// Caller selects refusals by the caller's network. A merged record matches when its network of callers overlaps
+	// this one, so its refusals may all be of other callers.
 	Caller netip.Prefix
 	// Service selects refusals of a service.
 	Service string
-	// Reason selects refusals for a reason.
+	// Reason selects refusals by reason.
 	Reason Reason
-	// ID selects the one record that holds this refusal, with the most details when there are copies.
+	// ID selects the one record that covers this refusal; of several copies, the most detailed.
 	ID string
-	// Flow selects refusals of the flow with this hash, as log lines name it; 0 selects all. A merged record names no flow.
+	// Flow selects refusals by flow hash, as in log lines; 0 selects all. A merged record matches no flow.
 	Flow uint64
 }
 
-// QueryResult is what a query found.
+// QueryResult is the result of a query.
 type QueryResult struct {
-	// Records are sorted by time; copies are left out.
+	// Records are sorted by time, without copies.
 	Records []Record
-	// Refusals is the number of refusals that the records stand for.
+	// Refusals is the number of refusals that the records cover.
 	Refusals uint64
-	// Batches is the number of objects that were read.
+	// Batches is the number of objects read.
 	Batches int
-	// Unreadable has an error for each object that could not be read whole; records may be missing.
+	// Unreadable has an error for each object that could not be read completely; records may be missing.
 	Unreadable []error
 }
 
@@ -49,7 +49,6 @@
 	store objectapi.Store
 }
 
-// NewReader returns a reader of a store.
 func NewReader(store objectapi.Store) *Reader {
 	return &Reader{store: store}
 }
@@ -57,7 +56,7 @@
 // Find returns the records that a query selects.
 func (r *Reader) Find(ctx context.Context, q Query) (QueryResult, error) {
 	if q.To.Before(q.From) || q.To.Sub(q.From) > MaxQuerySpan {
-		return QueryResult{}, trace.BadParameter("op=find-refusals: the time must be from 0 to %s long", MaxQuerySpan)
+		return QueryResult{}, trace.BadParameter("op=find-refusals: the time range must be from 0 to %s", MaxQuerySpan)
 	}
 	var a QueryResult
 	var found []entry
@@ -69,10 +68,10 @@
 		found = append(found, entries...)
 	}
 	if q.ID != "" {
-		found = finest(found, q.ID)
+		found = mostDetailed(found, q.ID)
 	}
-	for _, e := range unique(found) {
-		if !q.selects(&e) {
+	for _, e := range deduplicate(found) {
+		if !q.matches(&e) {
 			continue
 		}
 		a.Records = append(a.Records, e.record)
@@ -104,9 +103,9 @@
 	return out, nil
 }
 
-// unique leaves out copies. Of a merged record and a single one of the same refusal the single one stays, with its
-// details, and the merged one stands for the rest.
-func unique(entries []entry) []entry {
+// deduplicate removes copies. If a refusal is in both a single and a merged record, the single record is kept with its
+// details, and the merged one counts only the rest.
+func deduplicate(entries []entry) []entry {
 	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.record.Count, b.record.Count) })
 	seen := make(map[stream]*coverage)
 	out := entries[:0]
@@ -126,11 +125,11 @@
 	return out
 }
 
-// finest returns the record with the fewest refusals that holds the one with this ID.
-func finest(entries []entry, id string) []entry {
+// mostDetailed returns the record with the fewest refusals that covers the one with this ID.
+func mostDetailed(entries []entry, id string) []entry {
 	var out []entry
 	for _, e := range entries {
-		if !e.has(id) {
+		if !e.contains(id) {
 			continue
 		}
 		if len(out) == 0 || e.record.Count < out[0].record.Count {
@@ -140,8 +139,8 @@
 	return out
 }
 
-// selects reports whether the query selects an entry.
-func (q *Query) selects(e *entry) bool {
+// matches reports whether the query selects an entry.
+func (q *Query) matches(e *entry) bool {
 	r := &e.record
 	last := r.Time
 	if r.Last.After(last) {
@@ -165,6 +164,6 @@
 	if r.Count > 1 && !r.Callers.IsValid() {
 		return network.Contains(r.Caller.Addr().Unmap()) || !r.Caller.IsValid()
 	}
-	callers := callersOf(r)
+	callers := callerPrefix(r)
 	return callers.IsValid() && callers.Overlaps(network.Masked())
 }
--- a/pkg/refusal/reader_test.go
+++ b/pkg/refusal/reader_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// TestFindMerged checks that a refusal is found by the caller and the ID it was given, after it was merged.
+// TestFindMerged checks that a merged refusal is found by its caller and by the ID it was given.
 func TestFindMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
--- a/pkg/refusal/receipt.go
+++ b/pkg/refusal/receipt.go
@@ -1,19 +1,19 @@
 package refusal
 
-// receipt says that records are in the store, so that copies of them may be forgotten. It travels with mirrored records
-// as a Record with Count 0 and only an ID: of ordinal 0 for all streams of the origin up to the number, otherwise for
-// the stream up to the ordinal.
+// receipt confirms that records are in the store, so that copies of them can be removed. It is sent with mirrored
+// records as a Record with Count 0 and only an ID: with ordinal 0 it covers all streams of the origin up to the number,
+// otherwise the stream up to the ordinal.
 type receipt struct {
 	stream  stream
 	ordinal uint64
 }
 
-// record is the receipt's form among mirrored records.
+// record returns the receipt as a mirrored record.
 func (r receipt) record() Record {
 	return Record{ID: identity(r).format()}
 }
 
-// receiptOf reads a receipt; false when the record is none.
+// receiptOf returns the receipt in a mirrored record; false if the record is not a receipt.
 func receiptOf(r *Record) (receipt, bool) {
 	if r.Count != 0 {
 		return receipt{}, false
@@ -30,7 +30,7 @@
 	return e.stream == r.stream && e.end() <= r.ordinal
 }
 
-// cuts reports whether the first part of the entry, but not all, is in the store.
-func (r receipt) cuts(e *entry) bool {
+// coversStart reports whether the first part of the entry, but not all of it, is in the store.
+func (r receipt) coversStart(e *entry) bool {
 	return r.ordinal != 0 && e.stream == r.stream && e.first <= r.ordinal && r.ordinal < e.end()
 }
--- a/pkg/refusal/record.go
+++ b/pkg/refusal/record.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Reason says why a flow or request was refused. Each value is explained in docs/OPERATIONS.md.
+// Reason is why a flow or request was refused. Each value is explained in docs/OPERATIONS.md.
 type Reason string
 
-// Reasons.
 const (
 	ReasonUnknownAddress  Reason = "unknown-address"
 	ReasonNoTarget        Reason = "no-target"
@@ -38,10 +37,9 @@
 	ReasonRegion          Reason = "no-target-in-allowed-region"
 )
 
-// Run says whether the refused work was run.
+// Run is whether the refused work was run.
 type Run string
 
-// Run states.
 const (
 	// RunNo means that the work was not run and never will be.
 	RunNo Run = "no"
@@ -49,43 +47,42 @@
 	RunUnknown Run = "unknown"
 )
 
-// Record is the account of one refusal, or of several equal ones that were merged.
+// Record describes one refusal, or several equal ones that were merged.
 type Record struct {
 	// ID identifies the record: the deciding process, its incarnation and a counter.
 	ID string `json:"id"`
-	// Time is when the refusal was decided; of a merged record, the first.
+	// Time is when the refusal was decided; for a merged record, the first refusal.
 	Time time.Time `json:"time"`
 	// Last is the time of the last refusal of a merged record; zero for a single one.
 	Last time.Time `json:"last,omitzero"`
 	// Count is the number of refusals in the record, at least 1. Only in mirrored records it may be 0: such a record is
-	// no refusal but tells the peer that others are in the store.
+	// not a refusal but a receipt for records that are in the store.
 	Count uint32 `json:"count"`
 	// Service is the service's name; empty for an unknown address.
 	Service string `json:"service,omitempty"`
-	// Caller is the caller's address; of a merged record, the first's.
+	// Caller is the caller's address; for a merged record, that of the first refusal.
 	Caller netip.AddrPort `json:"caller"`
-	// Callers is the smallest network that holds the callers of a merged record; missing for a single one.
+	// Callers is the smallest network that contains the callers of a merged record; missing for a single one.
 	Callers netip.Prefix `json:"callers,omitzero"`
-	// Destination is the address that the caller used.
+	// Destination is the address to which the caller connected.
 	Destination netip.AddrPort `json:"destination"`
-	// Flow is the hash of the flow key; 0 when there is none.
+	// Flow is the hash of the flow key; 0 if there is none.
 	Flow uint64 `json:"flow,omitempty"`
-	// Request is the ticket or key of a request; empty for a flow.
+	// Request is the ticket ID or claim name of a request; empty for a flow.
 	Request string `json:"request,omitempty"`
-	// DecidedBy names the process that decided.
+	// DecidedBy names the process that decided, or the target that shed the request.
 	DecidedBy string `json:"decidedBy"`
 	// Revision is the configuration revision under which it was decided.
 	Revision uint64 `json:"revision"`
-	// Reason says why.
-	Reason Reason `json:"reason"`
-	// Detail is one plain sentence with what decided it, for example the observed load.
+	Reason   Reason `json:"reason"`
+	// Detail is one plain sentence about the cause, for example the observed load.
 	Detail string `json:"detail,omitempty"`
-	// Run says whether the work was run.
+	// Run is whether the work was run.
 	Run Run `json:"run"`
 }
 
-// Recorder takes refusal records. Record fills ID, Time, Count and DecidedBy when they are empty and returns the ID;
-// it never blocks on input or output.
+// Recorder accepts refusal records. Record sets ID, Time, Count and DecidedBy if they are empty, and returns the ID; it
+// never blocks on I/O.
 type Recorder interface {
 	Record(r Record) string
 }
--- a/pkg/refusal/restored_test.go
+++ b/pkg/refusal/restored_test.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// recordsIn returns the number of records that the object API has.
+// recordsIn returns the number of records in the object API.
 func recordsIn(t *testing.T, s objectapi.Store) int {
 	list, _, err := s.List(t.Context(), KindAt(time.Now()))
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	return n
 }
 
-// newRestoredLog returns a log whose records of two objects are written, and a copy of the store before the second one.
+// newRestoredLog returns a log that has written two objects, and a copy of the store from before the second.
 func newRestoredLog(t *testing.T) (*Log, *store.Store, store.Copy, *objectapi.Eras) {
 	s, eras := store.New(store.Config{Era: 1}), objectapi.NewEras()
 	eras.See(1)
@@ -66,15 +66,15 @@
 	require.Equal(t, 2, recordsIn(t, s))
 }
 
-func TestWhatIsKeptToBeWrittenAgainIsBounded(t *testing.T) {
+func TestRecentObjectsAreBounded(t *testing.T) {
 	var r recentObjects
 	now := time.Unix(1000, 0)
 	for range 100 {
-		r.add(now, objectapi.Object{Value: make([]byte, maxKeptWritten/10)})
+		r.add(now, objectapi.Object{Value: make([]byte, maxRewriteBytes/10)})
 	}
-	require.LessOrEqual(t, r.bytes, maxKeptWritten)
+	require.LessOrEqual(t, r.bytes, maxRewriteBytes)
 	require.LessOrEqual(t, len(r.list), 10)
-	r.add(now.Add(keepWritten+time.Second), objectapi.Object{Name: "last", Value: []byte("x")})
+	r.add(now.Add(rewriteWindow+time.Second), objectapi.Object{Name: "last", Value: []byte("x")})
 	require.Len(t, r.list, 1)
 	require.Equal(t, 1, r.bytes)
 }
--- a/pkg/refusal/retention.go
+++ b/pkg/refusal/retention.go
@@ -17,14 +17,14 @@
 	DefaultMaxDeletes = 200
 )
 
-// Retention deletes batches that are older than a time. It is a duty for one process; two at once do no harm. Not safe
-// for concurrent use.
+// Retention deletes batches older than Keep. It is a duty for one process; concurrent runs by two processes do no harm.
+// It is not safe for concurrent use.
 type Retention struct {
 	// Store holds the batches.
 	Store objectapi.Store
 	// Keep is how long batches are kept; 0 means DefaultKeep.
 	Keep time.Duration
-	// Lookback is how far before that the first run looks for batches that were left; 0 means DefaultLookback.
+	// Lookback is how far before that the first run looks for remaining batches; 0 means DefaultLookback.
 	Lookback time.Duration
 	// MaxDeletes bounds the deletes of one run; 0 means DefaultMaxDeletes.
 	MaxDeletes int
@@ -33,8 +33,8 @@
 	next time.Time
 }
 
-// Run deletes batches whose hour ended Keep before now, oldest first, and returns how many. A run that reaches
-// MaxDeletes or an error goes on from there the next time.
+// Run deletes batches whose hour ended at least Keep before now, oldest first, and returns how many. After a run that
+// reaches MaxDeletes or fails, the next run continues from there.
 func (r *Retention) Run(ctx context.Context, now time.Time) (int, error) {
 	r.defaults()
 	limit := bucketOf(now.Add(-r.Keep))
@@ -43,7 +43,7 @@
 	}
 	deleted := 0
 	for r.next.Before(limit) {
-		n, empty, err := r.empty(ctx, KindAt(r.next), r.MaxDeletes-deleted)
+		n, empty, err := r.deleteBatches(ctx, KindAt(r.next), r.MaxDeletes-deleted)
 		deleted += n
 		if err != nil {
 			return deleted, trace.Wrap(err, "op=expire-refusals hour=%s", r.next.Format(time.RFC3339))
@@ -56,14 +56,14 @@
 	return deleted, nil
 }
 
-// empty deletes up to most batches of a kind and says whether none is left.
-func (r *Retention) empty(ctx context.Context, kind objectapi.Kind, most int) (int, bool, error) {
+// deleteBatches deletes up to limit batches of a kind and reports whether none is left.
+func (r *Retention) deleteBatches(ctx context.Context, kind objectapi.Kind, limit int) (int, bool, error) {
 	objects, _, err := r.Store.List(ctx, kind)
 	if err != nil {
 		return 0, false, err
 	}
 	for n, o := range objects {
-		if n == most {
+		if n == limit {
 			return n, false, nil
 		}
 		err := r.Store.Delete(ctx, kind, o.Name, o.Version)
--- a/pkg/refusal/seeded_test.go
+++ b/pkg/refusal/seeded_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/internal/standin/store"
 )
 
-// process is a log of the seeded run with its way to a peer.
+// process is a log in the seeded test, with its mirror to a peer.
 type process struct {
 	name  string
 	log   *Log
@@ -25,12 +25,12 @@
 	mu   sync.Mutex
 	to   *process
 	dead bool
-	// flaky is the probability that a call fails; half of those arrive all the same.
+	// flaky is the probability that a call fails; half of the failed calls still deliver the records.
 	flaky float64
 	rng   *rand.Rand
 }
 
-// Mirror implements refusal.Mirror with the form in which records travel.
+// Mirror implements Mirror, and encodes the records as for a transfer.
 func (p *process) Mirror(_ context.Context, records []Record) error {
 	p.mu.Lock()
 	to, fails, arrives := p.to, p.rng.Float64() < p.flaky, p.rng.IntN(2) == 0
@@ -63,8 +63,8 @@
 	return p.dead
 }
 
-// turn directs the mirror to another peer.
-func (p *process) turn(to *process) {
+// setPeer directs the mirror to another peer.
+func (p *process) setPeer(to *process) {
 	p.mu.Lock()
 	p.to = to
 	p.mu.Unlock()
@@ -77,9 +77,9 @@
 	p.flaky = f
 }
 
-// TestSeededFaultsAndDeath lets three processes with a store and two without record under a random mix of store faults,
-// lost calls of the mirror and full memory, and kills one of them. Every refusal must be in the store exactly once.
-func TestSeededFaultsAndDeath(t *testing.T) {
+// TestSeededFaultsAndCrash runs three processes with a store and two without under a random mix of store faults, lost
+// mirror calls and full memory, and stops one of them. Every refusal must be stored exactly once.
+func TestSeededFaultsAndCrash(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { seededRun(t, seed) })
@@ -109,7 +109,7 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 		if step == moment {
-			die(t, ps, victim)
+			killProcess(t, ps, victim)
 		}
 	}
 	s.SetFaults(store.Faults{})
@@ -121,7 +121,8 @@
 	require.EqualValues(t, recorded, a.Refusals, "victim %s at %d", victim.name, moment)
 }
 
-// processes starts three processes with a store, each mirroring to the next, and two that hand over to the first.
+// processes starts three processes with a store, each mirroring to the next, and two without that hand over to the
+// first.
 func processes(t *testing.T, s *store.Store, rng *rand.Rand) []*process {
 	var out []*process
 	limit := []int{20, 100, 5000}[rng.IntN(3)]
@@ -144,7 +145,7 @@
 		}
 	}
 	for _, p := range out {
-		p.kill = run(t, p.log)
+		p.kill = runLog(t, p.log)
 	}
 	return out
 }
@@ -155,14 +156,14 @@
 	return p.rng.Float64()
 }
 
-// die kills the victim once its own records are mirrored, and tells the others as the failure detector does.
-func die(t *testing.T, ps []*process, victim *process) {
+// killProcess stops the victim once its own records are mirrored, and notifies the others as the failure detector does.
+func killProcess(t *testing.T, ps []*process, victim *process) {
 	victim.setFlaky(0)
 	require.NoError(t, victim.log.Sync(t.Context()))
 	victim.kill()
 	victim.mu.Lock()
 	victim.dead = true
-	heir := victim.to
+	adopter := victim.to
 	victim.mu.Unlock()
 	time.Sleep(3 * time.Second)
 	for _, p := range ps {
@@ -171,7 +172,7 @@
 		}
 		p.log.PeerDied(victim.name)
 		if p.to == victim {
-			p.turn(heir)
+			p.setPeer(adopter)
 		}
 	}
 }
--- a/pkg/refusal/streams.go
+++ b/pkg/refusal/streams.go
@@ -1,6 +1,6 @@
 package refusal
 
-// streams gives each refusal its place in the stream of its class.
+// streams assigns each refusal to the stream of its class.
 type streams struct {
 	origin  string
 	number  uint64
@@ -11,8 +11,8 @@
 	return &streams{origin: origin, byClass: make(map[class]*identity)}
 }
 
-// next returns the identity of a record's first refusal and moves the stream by its count. pressure is the index of the
-// width of classes.
+// next returns the identity of a record's first refusal and advances the stream by the record's count. pressure is an
+// index into widths.
 func (s *streams) next(r *Record, pressure int) identity {
 	c := classOf(r, widths[pressure])
 	last, ok := s.byClass[c]
@@ -26,12 +26,13 @@
 	return out
 }
 
-// renew ends all streams; the next refusal of each class starts a new one.
-func (s *streams) renew() {
+// reset ends all streams; the next refusal of each class starts a new one.
+func (s *streams) reset() {
 	clear(s.byClass)
 }
 
-// pressure is the index of the width to use: 0 below the limit, and more when merging did not keep to it.
+// pressure returns the index of the width to use: 0 below the limit, and higher when merging did not get the pool below
+// it.
 func (p *pool) pressure() int {
 	switch {
 	case p.len() < p.limit:
--- a/pkg/refusal/transfer.go
+++ b/pkg/refusal/transfer.go
@@ -9,17 +9,17 @@
 	"github.com/gravitational/trace"
 )
 
-// maxTransfer bounds what DecodeRecords unpacks, in bytes.
+// maxTransfer bounds the uncompressed size that DecodeRecords accepts, in bytes.
 const maxTransfer = 8 << 20
 
-// EncodeRecords returns the form in which records travel between processes: compressed JSON.
+// EncodeRecords encodes records for transfer between processes, as gzip-compressed JSON.
 func EncodeRecords(records []Record) ([]byte, error) {
 	var out bytes.Buffer
 	err := compressTo(&out, func(z io.Writer) error { return json.NewEncoder(z).Encode(records) })
 	return out.Bytes(), trace.Wrap(err, "encode refusal records")
 }
 
-// DecodeRecords reads the form of EncodeRecords.
+// DecodeRecords decodes the output of EncodeRecords.
 func DecodeRecords(b []byte) ([]Record, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
--- a/pkg/refusal/transfer_test.go
+++ b/pkg/refusal/transfer_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzAdopt checks that no records from a peer break a log, and that each stays until its peer dies.
+// FuzzAdopt checks that a log survives any records from a peer, and that PeerDied takes over all adopted ones.
 func FuzzAdopt(f *testing.F) {
 	f.Add(`[{"id":"a/1/2.3","count":2},{"id":"a/1/2.1","count":9},{"id":"a/1/2.0"},{"id":"a/1/2.4"}]`)
 	f.Add(`[{"id":"","count":1},{"id":"a/1/2.3w5e11264sgsf","count":4294967295},{"id":"a/2/1.1","count":1}]`)
