--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -18,43 +18,44 @@
 	"github.com/auburnwood/auburnwood/pkg/request"
 )
 
-// Client submits requests to one service. It may be used concurrently.
+// Client submits requests to one service. It is safe for concurrent use.
 type Client struct {
-	o      Options
-	wallet wallet
-	mu     sync.Mutex
+	o           Options
+	ticketCache ticketCache
+	mu          sync.Mutex
 }
 
 // New returns a Client.
 func New(o Options) *Client { return &Client{o: o.withDefaults()} }
 
-// Do carries a request to one of the three outcomes. The deadline of ctx is the deadline of the request; its
-// cancellation cancels the work where the service still can. Do returns no error: every end is an outcome.
+// Do submits a request until it has one of the three outcomes. The deadline of ctx is the deadline of the request;
+// cancelling ctx cancels the work where the service still can. Do returns no error: every failure is part of the
+// outcome.
 func (c *Client) Do(ctx context.Context, r Request) Result {
-	f := &fold{c: c, r: r, backoff: firstBackoff}
+	f := &requestState{c: c, r: r, backoff: firstBackoff}
 	for f.result.Submissions < c.o.Submissions {
-		if !f.ready(ctx) {
+		if !f.ensureTicket(ctx) {
 			break
 		}
 		f.result.Submissions++
-		s := c.listen(ctx, r, f.ticket, f.result.Submissions)
-		if f.add(s) {
+		s := c.submitWithGrace(ctx, r, f.ticket, f.result.Submissions)
+		if f.recordSubmission(s) {
 			return f.result
 		}
-		if f.pause(ctx, s) != nil {
+		if f.waitToRetry(ctx, s) != nil {
 			break
 		}
 	}
-	return f.end()
+	return f.finish()
 }
 
-// listen submits and hears the end of the submission, for a while also after the deadline. A cancelled ctx ends it at
-// once.
-func (c *Client) listen(ctx context.Context, r Request, ticket string, attempt int) submission {
-	longer, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// submitWithGrace submits the request and waits for the response until Options.Grace after the deadline. Cancelling ctx
+// ends it at once.
+func (c *Client) submitWithGrace(ctx context.Context, r Request, ticket string, attempt int) submission {
+	graceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if deadline, ok := ctx.Deadline(); ok {
-		longer, cancel = context.WithDeadline(longer, deadline.Add(c.o.Grace))
+		graceCtx, cancel = context.WithDeadline(graceCtx, deadline.Add(c.o.Grace))
 		defer cancel()
 	}
 	stop := context.AfterFunc(ctx, func() {
@@ -67,10 +68,10 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left = max(deadline.Sub(c.o.Now()), 0)
 	}
-	return c.submit(longer, r, ticket, attempt, left)
+	return c.submit(graceCtx, r, ticket, attempt, left)
 }
 
-// submit does one HTTP exchange and reads the whole answer.
+// submit does one HTTP exchange and reads the complete response.
 func (c *Client) submit(ctx context.Context, r Request, ticket string, attempt int, left time.Duration) submission {
 	req, err := http.NewRequestWithContext(ctx, r.Method, c.o.Base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -93,7 +94,7 @@
 	return readSubmission(res, body)
 }
 
-// setHeaders writes the headers of the service.
+// setHeaders sets the caller's headers and those of the service.
 func setHeaders(req *http.Request, r Request, ticket string, attempt int, left time.Duration) {
 	for name, values := range r.Header {
 		req.Header[name] = values
@@ -130,7 +131,7 @@
 	return s
 }
 
-// retryAfter reads the exact time from the problem document, or whole seconds from the header.
+// retryAfter returns the exact time from the problem document, or else whole seconds from the Retry-After header.
 func retryAfter(res *http.Response, body []byte) time.Duration {
 	var p request.Problem
 	if json.Unmarshal(body, &p) == nil && p.RetryAfterMS > 0 {
@@ -143,16 +144,16 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// ticket returns a ticket from the wallet, or takes new ones.
+// ticket returns a cached ticket, or requests new ones.
 func (c *Client) ticket(ctx context.Context) (string, error) {
-	if t, ok := c.wallet.take(c.o.Now()); ok {
+	if t, ok := c.ticketCache.take(c.o.Now()); ok {
 		return t, nil
 	}
 	list, err := c.takeTickets(ctx)
 	if err != nil {
 		return "", err
 	}
-	c.wallet.put(list.Tickets[1:], list.Expires)
+	c.ticketCache.put(list.Tickets[1:], list.Expires)
 	return list.Tickets[0], nil
 }
 
@@ -180,14 +181,14 @@
 	return list, nil
 }
 
-// spread returns a time between d and 1.5 d, so that callers don't come back together.
-func (c *Client) spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d and 1.5 d, so that callers don't retry at the same time.
+func (c *Client) jitter(d time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return d + time.Duration(c.o.Rand.Int64N(int64(d)/2+1))
 }
 
-// cancel cancels a ticket whose caller has given up, and reports whether the work never runs.
+// cancel cancels a ticket whose request is abandoned, and reports whether the work never runs.
 func (c *Client) cancel(ticket string) bool {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
--- a/pkg/caller/client_test.go
+++ b/pkg/caller/client_test.go
@@ -16,16 +16,16 @@
 	"github.com/auburnwood/auburnwood/pkg/request"
 )
 
-// scriptedTransport answers submissions by its steps, and calls for tickets with new ones.
+// scriptedTransport responds to submissions with its steps in order, and to ticket requests with new tickets.
 type scriptedTransport struct {
-	steps   []transportStep
-	sent    []string
-	issued  int
-	cancels int
-	stopped bool
+	steps          []transportStep
+	sent           []string
+	issued         int
+	cancels        int
+	cancelSucceeds bool
 }
 
-// transportStep is the end of one submission.
+// transportStep is the result of one submission.
 type transportStep struct {
 	run        refusal.Run
 	submission refusal.Run
@@ -68,7 +68,7 @@
 	if r.Method == http.MethodDelete {
 		s.cancels++
 		run := `"unknown"`
-		if s.stopped {
+		if s.cancelSucceeds {
 			run = `"no"`
 		}
 		return answer(200, http.Header{}, `{"run":`+run+`}`)
@@ -121,14 +121,14 @@
 	}
 }
 
-func TestGivenUpTicketIsCancelled(t *testing.T) {
-	for _, stopped := range []bool{true, false} {
-		s := &scriptedTransport{steps: []transportStep{{broken: true}}, stopped: stopped}
+func TestAbandonedTicketIsCancelled(t *testing.T) {
+	for _, cancelSucceeds := range []bool{true, false} {
+		s := &scriptedTransport{steps: []transportStep{{broken: true}}, cancelSucceeds: cancelSucceeds}
 		c := New(Options{Base: "http://service", Transport: s, TicketBatch: 1, Submissions: 1,
 			Sleep: func(context.Context, time.Duration) error { return nil }})
 		r := c.Do(context.Background(), Request{Method: "POST", Path: "/", Protection: ProtectionTicket})
 		want := OutcomeUnknown
-		if stopped {
+		if cancelSucceeds {
 			want = OutcomeNotRun
 		}
 		require.Equal(t, want, r.Outcome)
--- a/pkg/caller/options.go
+++ b/pkg/caller/options.go
@@ -9,13 +9,13 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultTicketBatch = 8
 	DefaultSubmissions = 6
-	// DefaultGrace is longer than the agents' grace, so that their last word arrives.
+	// DefaultGrace is longer than the agents' grace period, so that their final response arrives.
 	DefaultGrace = 750 * time.Millisecond
-	// firstBackoff is the first pause after a failure that names no time; it doubles up to maxBackoff.
+	// firstBackoff is the first delay after a failure without Retry-After; it doubles up to maxBackoff.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
@@ -24,19 +24,19 @@
 type Options struct {
 	// Base is the service's URL without a path, for example http://192.0.2.1:8080.
 	Base string
-	// Transport sends requests; requests are written so that http.Transport doesn't repeat them by itself.
+	// Transport sends requests. They are built so that http.Transport doesn't resend them by itself.
 	Transport http.RoundTripper
-	// TicketBatch is the number of tickets that are taken at once; 0 means DefaultAhead.
+	// TicketBatch is the number of tickets requested at once; 0 means DefaultTicketBatch.
 	TicketBatch int
-	// Submissions is the highest number of submissions of one request; 0 means DefaultSubmissions.
+	// Submissions is the maximum number of submissions of one request; 0 means DefaultSubmissions.
 	Submissions int
-	// Grace is how long after the deadline a submission that was sent is still listened to; 0 means DefaultGrace.
+	// Grace is how long after the deadline to wait for the response to a submission; 0 means DefaultGrace.
 	Grace time.Duration
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 	// Sleep waits; nil means a timer. It returns early with the error of ctx.
 	Sleep func(ctx context.Context, d time.Duration) error
-	// Rand spreads repeats over time; nil takes a random seed.
+	// Rand is the source of jitter; nil means a random seed.
 	Rand *rand.Rand
 }
 
--- a/pkg/caller/outcome.go
+++ b/pkg/caller/outcome.go
@@ -1,9 +1,8 @@
 package caller
 
-// Outcome says what became of a request's work.
+// Outcome is whether a request's work ran.
 type Outcome uint8
 
-// Outcomes.
 const (
 	// OutcomeNotRun means that the work was not run and never will be.
 	OutcomeNotRun Outcome = iota + 1
@@ -13,7 +12,6 @@
 	OutcomeUnknown
 )
 
-// String returns the outcome in words.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeNotRun:
--- a/pkg/caller/protection.go
+++ b/pkg/caller/protection.go
@@ -1,14 +1,14 @@
 package caller
 
-// Protection says by what a request is protected against running twice.
+// Protection is how a request is protected against running twice.
 type Protection uint8
 
-// Promises.
 const (
-	// ProtectionTicket submits with a ticket: at most once, whatever is repeated.
+	// ProtectionTicket submits with a ticket: the work runs at most once, however often it is submitted.
 	ProtectionTicket Protection = iota + 1
-	// ProtectionKey submits with an Idempotency-Key: at most once for each key.
+	// ProtectionKey submits with an Idempotency-Key: the work runs at most once for each key.
 	ProtectionKey
-	// ProtectionNone submits without either: each submission runs at most once, and is only repeated when it did not run.
+	// ProtectionNone submits without either. Work with an idempotent method may run more than once; other work is
+	// repeated only when it did not run.
 	ProtectionNone
 )
--- a/pkg/caller/result.go
+++ b/pkg/caller/result.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Result is the end of a request.
+// Result is the result of a request.
 type Result struct {
-	// Outcome says what became of the work.
+	// Outcome is whether the work ran.
 	Outcome Outcome
-	// Status, Header and Body are the answer of the target when Whole is true, else those of the last refusal, if any.
+	// Status, Header and Body are the target's response when Complete is true, otherwise those of the last refusal, if
+	// any.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Complete is true when Body is the whole answer of the target. OutcomeRan without it means that the answer is no
-	// longer kept.
+	// Complete is true when Body is the target's complete response. OutcomeRan without it means that the response is no
+	// longer cached.
 	Complete bool
 	// Reason and Record are those of the last refusal.
 	Reason string
 	Record string
-	// RetryAfter is when the last refusal asked the caller back; 0 when it did not.
+	// RetryAfter is the retry time of the last refusal; 0 when it named none.
 	RetryAfter time.Duration
-	// Submissions counts how often the request was sent.
+	// Submissions is the number of times that the request was sent.
 	Submissions int
 }
--- a/pkg/caller/submission.go
+++ b/pkg/caller/submission.go
@@ -7,9 +7,9 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// submission is the end of one HTTP exchange.
+// submission is the result of one HTTP exchange.
 type submission struct {
-	// err is set when there is no whole answer; sent is then false only if no byte left.
+	// err is set when there is no complete response; sent is then false only if no byte was sent.
 	err  error
 	sent bool
 
@@ -22,8 +22,8 @@
 	retryAfter time.Duration
 }
 
-// answered reports a whole answer of the target.
-func (s submission) answered() bool { return s.err == nil && s.run == "" }
+// isAnswered reports whether the target's complete response was received.
+func (s submission) isAnswered() bool { return s.err == nil && s.run == "" }
 
 // mayHaveRun reports whether this one submission may have run the work.
 func (s submission) mayHaveRun() bool {
--- a/pkg/caller/ticket_cache.go
+++ b/pkg/caller/ticket_cache.go
@@ -8,27 +8,27 @@
 // ticketMargin is how long before its expiry a ticket is no longer used.
 const ticketMargin = 2 * time.Second
 
-// wallet keeps the tickets that were taken ahead.
-type wallet struct {
+// ticketCache holds tickets for later requests.
+type ticketCache struct {
 	mu      sync.Mutex
-	tickets []heldTicket
+	tickets []cachedTicket
 }
 
-type heldTicket struct {
+type cachedTicket struct {
 	text    string
 	expires time.Time
 }
 
-func (w *wallet) put(texts []string, expires time.Time) {
+func (w *ticketCache) put(texts []string, expires time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, text := range texts {
-		w.tickets = append(w.tickets, heldTicket{text: text, expires: expires})
+		w.tickets = append(w.tickets, cachedTicket{text: text, expires: expires})
 	}
 }
 
-// take returns the newest ticket that is still good, and drops the others.
-func (w *wallet) take(now time.Time) (string, bool) {
+// take removes and returns the most recently added valid ticket, and drops the expired ones that it finds first.
+func (w *ticketCache) take(now time.Time) (string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.tickets) > 0 {
