--- a/pkg/refusal/pool.go
+++ b/pkg/refusal/pool.go
@@ -41,7 +41,7 @@
 // refusals returns the sum of the counts.
 func (p *pool) refusals() uint64 { return sum(p.all()) }
 
-// add adds the part of an entry that the pool does not hold yet.
+// add adds an entry, without the leading ordinals that the pool already holds.
 func (p *pool) add(e entry) {
 	t, ok := p.tracks[e.stream]
 	if !ok {
--- a/pkg/request/history_test.go
+++ b/pkg/request/history_test.go
@@ -27,7 +27,7 @@
 	attempt int
 }
 
-// Kinds of events. The others than eventBegan are results that callers received.
+// Kinds of events; all but eventBegan are results that callers received.
 const (
 	eventBegan   = "began"
 	eventNo      = "told no"
@@ -72,7 +72,7 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprint(input) },
 }
 
-// historyRecorder records the history of a run, and is the target of it.
+// historyRecorder records the history of a run and serves as its target.
 type historyRecorder struct {
 	mu    sync.Mutex
 	begin time.Time
@@ -261,13 +261,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			kept := true
-			for n := 0; n < 10 && kept && (n < 2 || !tt.want); n++ {
+			holds := true
+			for n := 0; n < 10 && holds && (n < 2 || !tt.want); n++ {
 				result := checkHistory(t, tt.wrap)
 				require.NotEqual(t, porcupine.Unknown, result)
-				kept = kept && result == porcupine.Ok
+				holds = holds && result == porcupine.Ok
 			}
-			require.Equal(t, tt.want, kept)
+			require.Equal(t, tt.want, holds)
 		})
 	}
 }
--- a/pkg/request/serve_claim.go
+++ b/pkg/request/serve_claim.go
@@ -88,8 +88,7 @@
 }
 
 // canReplace reports whether the ticket of the stored claim never runs and the offered claim may replace it. The caller
-// may already have the answer that its work did not run, so a submission made before that answer must not start
-// afterwards.
+// may already have received run "no", so a submission made before that must not start afterwards.
 func (s *Server) canReplace(u *submission, held, offered claim) bool {
 	status, ok := s.claimedStatus(u.r.Context(), held.ticket)
 	if !ok || status.Run != refusal.RunNo {
