--- a/pkg/request/attempt.go
+++ b/pkg/request/attempt.go
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// attempt is one try to send a request; it knows whether a byte of it may have left.
+// attempt is one try to send a request. It records whether any byte of the request may have been sent.
 type attempt struct {
-	mu     sync.Mutex
-	conn   *countingConn
-	before int64
-	wrote  bool
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
+	wrote         bool
 }
 
-// withTrace returns a context that observes which connection the request gets.
+// withTrace returns a context that records which connection the request uses.
 func (a *attempt) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConn})
 }
@@ -27,7 +27,7 @@
 	a.wrote = a.sentLocked() || !ok
 	if ok {
 		a.conn = c
-		a.before = c.written.Load()
+		a.writtenBefore = c.written.Load()
 	}
 }
 
@@ -35,10 +35,10 @@
 	if a.wrote {
 		return true
 	}
-	return a.conn != nil && a.conn.written.Load() != a.before
+	return a.conn != nil && a.conn.written.Load() != a.writtenBefore
 }
 
-// maybeSent is false only when no byte of the request left this process.
+// maybeSent returns false only when no byte of the request left this process.
 func (a *attempt) maybeSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/request/peer_loads.go
+++ b/pkg/request/peer_loads.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// loadLife is how long the load of a peer is believed.
-	loadLife = 250 * time.Millisecond
-	// sampleSize is the number of peers that are compared for one decision, whatever the size of the service.
+	// loadMaxAge is how long the reported load of a peer is used.
+	loadMaxAge = 250 * time.Millisecond
+	// sampleSize is the number of peers compared for one decision, whatever the size of the service.
 	sampleSize = 8
 )
 
-// peerLoad is what a peer last told, and the work that this agent sent it since.
+// peerLoad is the load that a peer last reported, and the work sent to it since.
 type peerLoad struct {
 	load limit.Load
 	sent int
 	at   time.Time
 }
 
-// free returns the number of slots that seem free; 0 when there is none or something waits.
-func (p peerLoad) free() int {
+// freeSlots returns the estimated number of free slots; 0 when requests wait at the peer.
+func (p peerLoad) freeSlots() int {
 	if p.load.Waiting > 0 {
 		return 0
 	}
 	return max(p.load.Limit-p.load.Busy-p.sent, 0)
 }
 
-// ratio is the busy part of the slots.
+// ratio returns the work at the peer as a fraction of its slots.
 func (p peerLoad) ratio() float64 {
 	if p.load.Limit == 0 {
 		return float64(1 << 20)
@@ -38,41 +38,43 @@
 	return float64(p.load.Busy+p.load.Waiting+p.sent) / float64(p.load.Limit)
 }
 
-// peerLoads keeps the latest load of each peer.
+// peerLoads holds the last reported load of each peer.
 type peerLoads struct {
 	mu    sync.Mutex
 	loads map[string]peerLoad
-	// hope is until when some peer may still seem free; without it nobody needs to look.
-	hope time.Time
+	// maybeFreeUntil is when the last report of free slots expires; after it no peer needs to be considered.
+	maybeFreeUntil time.Time
 }
 
 func newPeerLoads() *peerLoads {
 	return &peerLoads{loads: make(map[string]peerLoad)}
 }
 
-// learn takes a load that a peer told.
-func (p *peerLoads) learn(now time.Time, agent string, l limit.Load) {
+// updateLoad stores a load that a peer reported.
+func (p *peerLoads) updateLoad(now time.Time, agent string, l limit.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := peerLoad{load: l, at: now}
 	p.loads[agent] = known
-	if known.free() > 0 {
-		p.hope = now.Add(loadLife)
+	if known.freeSlots() > 0 {
+		p.maybeFreeUntil = now.Add(loadMaxAge)
 	}
 }
 
-// hopeful reports whether some peer may have a free slot.
-func (p *peerLoads) hopeful(now time.Time) bool {
+// mayHaveFreePeer reports whether some peer may have a free slot.
+func (p *peerLoads) mayHaveFreePeer(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !now.After(p.hope)
+	return !now.After(p.maybeFreeUntil)
 }
 
-// unusable notes that a peer can't be reached.
-func (p *peerLoads) unusable(now time.Time, agent string) { p.learn(now, agent, limit.Load{}) }
+// markUnreachable treats a peer as having no slots until its load expires.
+func (p *peerLoads) markUnreachable(now time.Time, agent string) {
+	p.updateLoad(now, agent, limit.Load{})
+}
 
-// sending counts work that is sent to a peer, until it tells its load again.
-func (p *peerLoads) sending(agent string, n int) {
+// addSent counts work sent to a peer since its last reported load.
+func (p *peerLoads) addSent(agent string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.loads[agent]
@@ -83,16 +85,16 @@
 	p.loads[agent] = l
 }
 
-// fresh returns the load of a peer when it is young enough.
+// fresh returns the load of a peer, and whether it is no older than loadMaxAge.
 func (p *peerLoads) fresh(now time.Time, agent string) (peerLoad, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.loads[agent]
-	return l, ok && now.Sub(l.at) <= loadLife
+	return l, ok && now.Sub(l.at) <= loadMaxAge
 }
 
-// keep forgets the peers that are no longer in the service.
-func (p *peerLoads) keep(peers []Peer) {
+// prune removes peers that have left the service, once there are many more loads than peers.
+func (p *peerLoads) prune(peers []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.loads) <= 2*len(peers)+sampleSize {
@@ -107,8 +109,8 @@
 	p.loads = known
 }
 
-// sample returns up to sampleSize peers, chosen at random.
-func sample(peers []Peer) []Peer {
+// samplePeers returns up to sampleSize peers, chosen at random.
+func samplePeers(peers []Peer) []Peer {
 	if len(peers) <= sampleSize {
 		return peers
 	}
--- a/pkg/request/serve_caller.go
+++ b/pkg/request/serve_caller.go
@@ -10,15 +10,15 @@
 	"github.com/auburnwood/auburnwood/pkg/ticket"
 )
 
-// wellKnown is the path of the endpoints for callers (RFC 8615).
+// wellKnown is the path prefix of the endpoints for callers (RFC 8615).
 const wellKnown = "/.well-known/auburnwood/"
 
-// serveCaller handles one request on a caller's connection.
+// serveCaller serves one request on a caller's connection.
 func (s *Server) serveCaller(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	removeOwnHeaders(r.Header, HeaderTicket, HeaderAttempt)
-	w = &answerWriter{ResponseWriter: w, s: s}
+	w = &drainResponseWriter{ResponseWriter: w, s: s}
 	if r.ProtoMajor == 1 && r.ProtoMinor == 0 {
 		s.refuseEarly(w, r, malformed("HTTP/1.0 can't show that an answer is cut"))
 		return
@@ -39,7 +39,7 @@
 	s.serve(u)
 }
 
-// newSubmission reads the deadline and a small body.
+// newSubmission parses the deadline and buffers a small body.
 func (s *Server) newSubmission(w http.ResponseWriter, r *http.Request) (*submission, *Refusal) {
 	deadline, err := s.deadline(r)
 	if err != nil {
@@ -52,11 +52,11 @@
 	return u, nil
 }
 
-// deadline returns when the answer of a request must have begun.
+// deadline returns the time by which the response of a request must have begun.
 func (s *Server) deadline(r *http.Request) (time.Time, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
-		return s.o.Now().Add(time.Duration(s.patience.Load())), nil
+		return s.o.Now().Add(time.Duration(s.defaultDeadline.Load())), nil
 	}
 	ms, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return s.o.Now().Add(min(time.Duration(ms)*time.Millisecond, s.o.MaxTimeout)), nil
 }
 
-// serve chooses among a ticket, a claim and a plain submission.
+// serve runs the request by its ticket, by a claim on its key, or plainly.
 func (s *Server) serve(u *submission) {
 	if text := u.r.Header.Get(HeaderTicket); text != "" {
 		t, err := ticket.Parse(text)
@@ -76,17 +76,18 @@
 		s.serveTicket(u, t)
 		return
 	}
-	if key := u.r.Header.Get(HeaderKey); key != "" && !u.idempotent() {
+	if key := u.r.Header.Get(HeaderKey); key != "" && !u.isIdempotent() {
 		s.serveClaim(u, key)
 		return
 	}
 	s.finish(u, u.run())
 }
 
-// finish tells the caller. An answer that is not whole is cut visibly.
+// finish records the outcome and completes the response to the caller. A truncated response aborts the connection, so
+// that the caller can see it.
 func (s *Server) finish(u *submission, o *outcome) {
-	o = u.honest(o)
-	u.conclude(o)
+	o = u.correctRunState(o)
+	u.recordOutcome(o)
 	switch {
 	case o.refusal != nil:
 		if u.ticket != nil {
@@ -95,15 +96,15 @@
 		s.refuse(u.w, u.r, o.refusal)
 	case o.relayed != nil:
 		o.relayed.send(u.w)
-	case o.cut:
-		s.recordCut(u, o)
+	case o.truncated:
+		s.recordIncomplete(u, o)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// recordCut leaves a record of an answer that the target did not finish.
-func (s *Server) recordCut(u *submission, o *outcome) {
-	if !o.lost {
+// recordIncomplete records a refusal for a response that the target did not complete.
+func (s *Server) recordIncomplete(u *submission, o *outcome) {
+	if !o.incomplete {
 		return
 	}
 	f := &Refusal{Reason: refusal.ReasonTargetFailed, Status: o.status, Run: refusal.RunUnknown,
--- a/pkg/request/server_test.go
+++ b/pkg/request/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// memoryRecorder keeps the records of a test.
+// memoryRecorder keeps refusal records in memory.
 type memoryRecorder struct {
 	mu      sync.Mutex
 	records []refusal.Record
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("test-%d", len(m.records))
 }
 
-// listen gives the server a loopback listener and returns the base URL.
+// listen serves the server's flows on a loopback listener and returns the base URL.
 func listen(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,7 @@
 	require.Equal(t, "sum of seven", res.Trailer.Get("X-Sum"))
 }
 
-func TestCutAnswerIsVisible(t *testing.T) {
+func TestTruncatedResponseIsVisible(t *testing.T) {
 	target := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "the first half")
 		_ = http.NewResponseController(w).Flush()
