--- a/internal/lab/passthrough/caller.go
+++ b/internal/lab/passthrough/caller.go
@@ -90,7 +90,7 @@
 	began := time.Now()
 	b := make([]byte, 2048)
 	for i := range copies {
-		c.send(dsrtest.Packet{Flags: segment.SYN, Copy: byte(i), Sequence: 7})
+		c.send(dsrtest.Packet{Flags: segment.SYN, Attempt: byte(i), Sequence: 7})
 		until := began.Add(openTime)
 		if i+1 < len(copies) {
 			until = began.Add(copies[i+1])
--- a/internal/lab/passthrough/target.go
+++ b/internal/lab/passthrough/target.go
@@ -80,7 +80,7 @@
 	}
 	f := t.flows[s.Source]
 	switch {
-	case s.Opens():
+	case s.IsOpening():
 		t.opening(s, f)
 	case f == nil || f.initial+1 > s.Acknowledgement || s.Acknowledgement > f.initial+1<<20:
 		t.giveBack(s)
--- a/internal/lab/policy/caller.go
+++ b/internal/lab/policy/caller.go
@@ -88,7 +88,7 @@
 	if t.opened || t.ended || t.request.done {
 		return
 	}
-	t.send(dsrtest.Packet{Flags: segment.SYN, Copy: number, Sequence: 7})
+	t.send(dsrtest.Packet{Flags: segment.SYN, Attempt: number, Sequence: 7})
 }
 
 func (t *try) send(p dsrtest.Packet) {
--- a/internal/lab/policy/nodes.go
+++ b/internal/lab/policy/nodes.go
@@ -76,7 +76,7 @@
 	usual := b.core.Usual(b.w.now(), to)
 	for _, a := range b.w.agents {
 		if a.address == to {
-			b.w.carry(b.w.between(b.index, a.index), func() { a.table.Usual(usual) })
+			b.w.carry(b.w.between(b.index, a.index), func() { a.table.SetMedianAnswers(usual) })
 		}
 	}
 }
@@ -259,10 +259,10 @@
 
 // Decided implements ownership.Output.
 func (a *agentNode) Decided(d ownership.Decision) {
-	if d.Event == ownership.EventGivenUp {
+	if d.Event == ownership.EventAbandoned {
 		a.w.result.GivenUp++
 	}
 }
 
-// Judged implements ownership.Output.
-func (a *agentNode) Judged(ownership.Judgement) { a.w.after(0, a.announce) }
+// HealthChanged implements ownership.Output.
+func (a *agentNode) HealthChanged(ownership.HealthChange) { a.w.after(0, a.announce) }
--- a/internal/lab/policy/target.go
+++ b/internal/lab/policy/target.go
@@ -76,7 +76,7 @@
 	}
 	t.sequence++
 	n := announcement.Announcement{
-		ID: t.id, Born: t.born, Service: serviceName, Slots: t.w.o.Slots, Sequence: t.sequence,
+		ID: t.id, StartedMs: t.born, Service: serviceName, Slots: t.w.o.Slots, Sequence: t.sequence,
 		WarmUp: max(0, t.coldUntil.Sub(t.w.now())),
 	}
 	t.w.after(localDelay, func() { t.agent.heard(n) })
@@ -90,7 +90,7 @@
 	}
 	f := t.flows[s.Source]
 	switch {
-	case s.Opens():
+	case s.IsOpening():
 		t.open(f, s)
 	case f == nil || s.Acknowledgement-f.initial-1 > initialStep/2:
 		raw[0] |= byte(segment.Returned)
--- a/internal/lab/soak/target.go
+++ b/internal/lab/soak/target.go
@@ -128,7 +128,7 @@
 func (t *target) leave(ctx context.Context, after time.Duration) {
 	t.mu.Lock()
 	t.draining = true
-	word := announcement.Farewell{ID: t.name, Born: t.born}
+	word := announcement.Deregistration{ID: t.name, StartedMs: t.born}
 	t.mu.Unlock()
 	_ = wait.For(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
@@ -160,7 +160,7 @@
 		t.mu.Lock()
 		t.sequence++
 		a := announcement.Announcement{
-			ID: t.name, Born: t.born, Service: t.service, Address: t.w.targetAddress(t), Slots: slots, Sequence: t.sequence,
+			ID: t.name, StartedMs: t.born, Service: t.service, Address: t.w.targetAddress(t), Slots: slots, Sequence: t.sequence,
 		}
 		if t.draining {
 			a.State = announcement.Draining
@@ -206,7 +206,7 @@
 	}
 	f := t.flows[s.Source]
 	switch {
-	case s.Opens():
+	case s.IsOpening():
 		t.opening(s, f)
 	case f == nil || s.Acknowledgement-f.initial-1 > initialStep/2:
 		raw := append([]byte(nil), s.Raw...)
--- a/pkg/dsr/admission/queue.go
+++ b/pkg/dsr/admission/queue.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// StartTrips is taken for the time that packets spend between the caller and the target, from the answer to the opening packet
+	// DefaultRoundTrips is taken for the time that packets spend between the caller and the target, from the answer to the opening packet
 	// to the answer to the request, until it is learnt.
-	StartTrips = 15 * time.Millisecond
-	// LongWork is the work of a long request as a multiple of the usual one, which 97 of 100 do not exceed. A request counts as one that
+	DefaultRoundTrips = 15 * time.Millisecond
+	// LongWorkFactor is the work of a long request as a multiple of the usual one, which 97 of 100 do not exceed. A request counts as one that
 	// can be answered in the promised time only when there is time for that much: those closest to the end of it go first, so that under an
 	// overload every request is handed over with just the time that is set aside.
-	LongWork = 2.5
-	// WorkMargin is set aside at least, where half of the promised time is less than a long request takes: a target that is slow after its
+	LongWorkFactor = 2.5
+	// MinWorkFactor is set aside at least, where half of the promised time is less than a long request takes: a target that is slow after its
 	// start would else count every request that has waited at all as late.
-	WorkMargin = 1.5
-	// CopySlack is how late a copy of an opening packet may be until its caller is taken for gone: the delay of a busy
+	MinWorkFactor = 1.5
+	// RetransmissionSlack is how late a copy of an opening packet may be until its caller is taken for gone: the delay of a busy
 	// balancer.
-	CopySlack = 100 * time.Millisecond
+	RetransmissionSlack = 100 * time.Millisecond
 )
 
 // Opening is a new flow that waits for the target.
@@ -42,31 +42,31 @@
 	// Arrived is when its first packet reached the system, as far as is known.
 	Arrived time.Time
 	// Aim is the response time promised to its caller, 0 when there is none; Patience is how long the caller waits.
-	Aim      time.Duration
-	Patience time.Duration
+	Aim     time.Duration
+	Timeout time.Duration
 	// Priority is the rank of its route; 0 is the highest.
 	Priority int
-	// Heard is when the caller sent its last copy of the opening packet; NextCopy is when its next one is due, zero when it
+	// LastSent is when the caller sent its last copy of the opening packet; NextCopy is when its next one is due, zero when it
 	// sends none.
-	Heard    time.Time
-	NextCopy time.Time
+	LastSent time.Time
+	NextDue  time.Time
 }
 
-// Hear notes a copy of the opening packet that was sent age after the first; the next one follows after next, if that is
+// RecordSent notes a copy of the opening packet that was sent age after the first; the next one follows after next, if that is
 // not 0. Copies may come in any order.
-func (o *Opening) Hear(age, next time.Duration) {
+func (o *Opening) RecordSent(age, next time.Duration) {
 	heard := o.Arrived.Add(age)
-	if !o.Heard.IsZero() && heard.Before(o.Heard) {
+	if !o.LastSent.IsZero() && heard.Before(o.LastSent) {
 		return
 	}
-	o.Heard, o.NextCopy = heard, time.Time{}
+	o.LastSent, o.NextDue = heard, time.Time{}
 	if next > 0 {
-		o.NextCopy = heard.Add(next)
+		o.NextDue = heard.Add(next)
 	}
 }
 
-// leaves is when the caller gives up.
-func (o Opening) leaves() time.Time { return o.Arrived.Add(o.Patience) }
+// deadline is when the caller gives up.
+func (o Opening) deadline() time.Time { return o.Arrived.Add(o.Timeout) }
 
 // timely reports whether the answer can still come in the promised time when the flow is handed over now.
 func (o Opening) timely(now time.Time, work, trips time.Duration, long float64) bool {
@@ -76,26 +76,26 @@
 // margin is the time that is set aside for the work of one request: that of a long one, unless that would leave less than half of the
 // promised time for waiting.
 func (o Opening) margin(work time.Duration, long float64) time.Duration {
-	return min(time.Duration(long*float64(work)), max(o.Aim/2, time.Duration(WorkMargin*float64(work))))
+	return min(time.Duration(long*float64(work)), max(o.Aim/2, time.Duration(MinWorkFactor*float64(work))))
 }
 
-// gone reports whether the caller will have left before an answer when the work begins now.
-func (o Opening) gone(now time.Time, work time.Duration) bool {
-	return now.Add(work).After(o.leaves())
+// expired reports whether the caller will have left before an answer when the work begins now.
+func (o Opening) expired(now time.Time, work time.Duration) bool {
+	return now.Add(work).After(o.deadline())
 }
 
 // silent reports whether a copy of the opening packet is overdue.
 func (o Opening) silent(now time.Time) bool {
-	return !o.NextCopy.IsZero() && now.After(o.NextCopy.Add(CopySlack))
+	return !o.NextDue.IsZero() && now.After(o.NextDue.Add(RetransmissionSlack))
 }
 
 // Queue holds the flows that wait for one target. The zero value is empty.
 type Queue struct {
 	// Without says which mechanisms are switched off, for measurements.
 	Without policy.Without
-	// Trips is the time that packets spend between the caller and the target from the answer to the opening packet to the answer
+	// RoundTrips is the time that packets spend between the caller and the target from the answer to the opening packet to the answer
 	// to the request; 0 means StartTrips.
-	Trips time.Duration
+	RoundTrips time.Duration
 	// Cold is what the target takes while it warms up.
 	Cold warmup.Limit
 
@@ -108,7 +108,7 @@
 // Add lets a flow wait. It returns false when its caller would leave before its turn, given the target's work for one
 // request and its slots.
 func (q *Queue) Add(now time.Time, o Opening, work time.Duration, slots int) bool {
-	if now.Add(q.wait(now, o, work, slots) + work).After(o.leaves()) {
+	if now.Add(q.wait(now, o, work, slots) + work).After(o.deadline()) {
 		return false
 	}
 	q.waiting = append(q.waiting, o)
@@ -143,18 +143,18 @@
 // Expired removes and returns a flow whose caller will have left before an answer.
 func (q *Queue) Expired(now time.Time, work time.Duration) (Opening, bool) {
 	for i, o := range q.waiting {
-		if o.gone(now, work) || !q.Without.GiveUpSilent && o.silent(now) {
+		if o.expired(now, work) || !q.Without.GiveUpSilent && o.silent(now) {
 			return q.take(i), true
 		}
 	}
 	return Opening{}, false
 }
 
-// Hear notes a copy of the opening packet of a waiting flow.
-func (q *Queue) Hear(key flow.Key, age, next time.Duration) {
+// RecordRetransmission notes a copy of the opening packet of a waiting flow.
+func (q *Queue) RecordRetransmission(key flow.Key, age, next time.Duration) {
 	for i := range q.waiting {
 		if q.waiting[i].Key == key {
-			q.waiting[i].Hear(age, next)
+			q.waiting[i].RecordSent(age, next)
 			return
 		}
 	}
@@ -182,17 +182,17 @@
 	if q.Without.TimelyFirst {
 		return a.Arrived.Before(b.Arrived)
 	}
-	trips := cmp.Or(q.Trips, StartTrips)
-	long := LongWork
+	trips := cmp.Or(q.RoundTrips, DefaultRoundTrips)
+	long := LongWorkFactor
 	if q.Without.LongWork {
-		long = WorkMargin
+		long = MinWorkFactor
 	}
 	timely := a.timely(now, work, trips, long)
 	if timely != b.timely(now, work, trips, long) {
 		return timely
 	}
 	if !timely {
-		return a.Heard.After(b.Heard)
+		return a.LastSent.After(b.LastSent)
 	}
 	if c := cmp.Compare(a.Priority, b.Priority); c != 0 {
 		return c < 0
--- a/pkg/dsr/admission/queue_test.go
+++ b/pkg/dsr/admission/queue_test.go
@@ -25,15 +25,15 @@
 		Key:      key(port),
 		Arrived:  now.Add(-age),
 		Aim:      120 * time.Millisecond,
-		Patience: 1200 * time.Millisecond,
+		Timeout:  1200 * time.Millisecond,
 		Priority: priority,
-		Heard:    now.Add(-age),
+		LastSent: now.Add(-age),
 	}
 }
 
-// heard is a flow whose caller has sent a copy of the opening packet age after the first.
-func heard(o Opening, age time.Duration) Opening {
-	o.Hear(age, 0)
+// retransmitted is a flow whose caller has sent a copy of the opening packet age after the first.
+func retransmitted(o Opening, age time.Duration) Opening {
+	o.RecordSent(age, 0)
 	return o
 }
 
@@ -57,7 +57,7 @@
 	}{
 		{"fresh before late", []Opening{opening(1, 600*time.Millisecond, 2), opening(2, 0, 2)}, []uint16{2, 1}},
 		{"late ones by when their callers were heard of", []Opening{opening(1, 900*time.Millisecond, 2), opening(2, 300*time.Millisecond, 2)}, []uint16{2, 1}},
-		{"a copy counts", []Opening{opening(1, 300*time.Millisecond, 2), heard(opening(2, 610*time.Millisecond, 2), 600*time.Millisecond)}, []uint16{2, 1}},
+		{"a copy counts", []Opening{opening(1, 300*time.Millisecond, 2), retransmitted(opening(2, 610*time.Millisecond, 2), 600*time.Millisecond)}, []uint16{2, 1}},
 		{"a late one goes after a fresh one of lower rank", []Opening{opening(1, 600*time.Millisecond, 1), opening(2, 0, 2)}, []uint16{2, 1}},
 		{"fresh ones by rank", []Opening{opening(1, 20*time.Millisecond, 2), opening(2, 0, 1)}, []uint16{2, 1}},
 		{"fresh ones of a rank by the time left", []Opening{opening(1, 0, 2), opening(2, 20*time.Millisecond, 2)}, []uint16{2, 1}},
@@ -100,16 +100,16 @@
 func TestAFlowWhoseCallerHasFallenSilentIsGivenUp(t *testing.T) {
 	var q Queue
 	o := opening(1, 0, 2)
-	o.Hear(0, 200*time.Millisecond)
+	o.RecordSent(0, 200*time.Millisecond)
 	require.True(t, q.Add(now, o, work, 3))
-	late := now.Add(200*time.Millisecond + CopySlack)
+	late := now.Add(200*time.Millisecond + RetransmissionSlack)
 	_, ok := q.Expired(late, work)
 	require.False(t, ok)
-	q.Hear(key(1), 200*time.Millisecond, 400*time.Millisecond)
-	q.Hear(key(1), 0, 200*time.Millisecond)
+	q.RecordRetransmission(key(1), 200*time.Millisecond, 400*time.Millisecond)
+	q.RecordRetransmission(key(1), 0, 200*time.Millisecond)
 	_, ok = q.Expired(late.Add(time.Millisecond), work)
 	require.False(t, ok, "the copy came, and the first packet once more after it")
-	_, ok = q.Expired(now.Add(600*time.Millisecond+CopySlack+time.Millisecond), work)
+	_, ok = q.Expired(now.Add(600*time.Millisecond+RetransmissionSlack+time.Millisecond), work)
 	require.True(t, ok)
 }
 
@@ -157,7 +157,7 @@
 				continue
 			}
 			slots[i] = t.Add(work)
-			if !slots[i].Add(StartTrips).After(o.Arrived.Add(o.Aim)) {
+			if !slots[i].Add(DefaultRoundTrips).After(o.Arrived.Add(o.Aim)) {
 				inTime++
 			} else {
 				late++
@@ -174,14 +174,14 @@
 		at := now
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			at = at.Add(time.Duration(rapid.IntRange(0, 80).Draw(t, "ms")) * time.Millisecond)
-			o := Opening{Key: key(i), Arrived: at, Aim: 100 * time.Millisecond, Patience: 500 * time.Millisecond, Priority: i % 3}
+			o := Opening{Key: key(i), Arrived: at, Aim: 100 * time.Millisecond, Timeout: 500 * time.Millisecond, Priority: i % 3}
 			if rapid.Bool().Draw(t, "add") && q.Add(at, o, work, 2) {
 				in[o.Key] = true
 			}
 			if rapid.Bool().Draw(t, "expire") {
 				if o, ok := q.Expired(at, work); ok {
 					out[o.Key]++
-					require.True(t, o.gone(at, work))
+					require.True(t, o.expired(at, work))
 				}
 			}
 			if rapid.Bool().Draw(t, "next") {
--- a/pkg/dsr/announcement/announcement.go
+++ b/pkg/dsr/announcement/announcement.go
@@ -19,10 +19,10 @@
 type Announcement struct {
 	// ID is the name of the target. A target may keep it when it starts again.
 	ID string
-	// Born is when the target's process started, in Unix milliseconds; 0 when the target does not say. It orders the lives of
+	// StartedMs is when the target's process started, in Unix milliseconds; 0 when the target does not say. It orders the lives of
 	// a target.
-	Born    uint64
-	Service string
+	StartedMs uint64
+	Service   string
 	// Address is where the target takes packets; it is invalid when the target does not say.
 	Address netip.AddrPort
 	State   State
@@ -35,9 +35,9 @@
 	Sequence uint64
 }
 
-// Farewell is a target's word that its process ends.
-type Farewell struct {
+// Deregistration is a target's word that its process ends.
+type Deregistration struct {
 	ID string
-	// Born is the start of the process that ends, in Unix milliseconds; 0 when the target does not say.
-	Born uint64
+	// StartedMs is the start of the process that ends, in Unix milliseconds; 0 when the target does not say.
+	StartedMs uint64
 }
--- a/pkg/dsr/announcement/object.go
+++ b/pkg/dsr/announcement/object.go
@@ -94,8 +94,8 @@
 	return s
 }
 
-// Whole reads a whole number from lowest to highest.
-func (o *Object) Whole(field string, lowest, highest uint64) uint64 {
+// Uint reads a whole number from lowest to highest.
+func (o *Object) Uint(field string, lowest, highest uint64) uint64 {
 	var n json.Number
 	o.Decode(field, &n)
 	if o.err != nil {
@@ -119,12 +119,12 @@
 	return uint64(v)
 }
 
-// Optional reads a whole number that may be missing, which means 0.
-func (o *Object) Optional(field string, lowest, highest uint64) uint64 {
+// OptionalUint reads a whole number that may be missing, which means 0.
+func (o *Object) OptionalUint(field string, lowest, highest uint64) uint64 {
 	if _, told := o.fields[field]; !told {
 		return 0
 	}
-	return o.Whole(field, lowest, highest)
+	return o.Uint(field, lowest, highest)
 }
 
 // beyondInt64 reports whether a number is whole but too large for 64 bits.
--- a/pkg/dsr/announcement/rejection.go
+++ b/pkg/dsr/announcement/rejection.go
@@ -23,11 +23,11 @@
 	WrongService Reason = "wrong-service"
 	// WrongAddress: the report is of a target at another address than the one beside the agent.
 	WrongAddress Reason = "wrong-address"
-	// EarlierLife: the report is of a process that has ended.
-	EarlierLife Reason = "earlier-life"
-	// UnknownLife: the report does not say when its process started, although the target's reports do, or says a start that
+	// EarlierIncarnation: the report is of a process that has ended.
+	EarlierIncarnation Reason = "earlier-life"
+	// UnknownIncarnation: the report does not say when its process started, although the target's reports do, or says a start that
 	// another target has said.
-	UnknownLife Reason = "unknown-life"
+	UnknownIncarnation Reason = "unknown-life"
 )
 
 // Rejection is the error of a report that was turned down. It changes nothing that the agent believes.
--- a/pkg/dsr/configuration/version.go
+++ b/pkg/dsr/configuration/version.go
@@ -22,5 +22,5 @@
 // IsNumbered reports whether a version is an operator's number.
 func IsNumbered(version uint64) bool { return version&numbered != 0 }
 
-// ShownVersion returns the form of a version for logs, status and records: the operator's number, or the stored object's version.
-func ShownVersion(version uint64) uint64 { return version &^ numbered }
+// DisplayVersion returns the form of a version for logs, status and records: the operator's number, or the stored object's version.
+func DisplayVersion(version uint64) uint64 { return version &^ numbered }
--- a/pkg/dsr/configuration/version_test.go
+++ b/pkg/dsr/configuration/version_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := VersionOf(c.label, c.object, c.older)
-			require.Equal(t, c.shown, ShownVersion(v))
+			require.Equal(t, c.shown, DisplayVersion(v))
 			require.Equal(t, c.number, IsNumbered(v))
 		})
 	}
--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -75,7 +75,7 @@
 func (a *agent) finish(now time.Time, usual time.Duration) time.Duration {
 	work := cmp.Or(a.work, usual)
 	finish := time.Duration(max(1, a.load(now)) * float64(work))
-	if !a.cold.Holds(now) {
+	if !a.cold.InForce(now) {
 		return finish
 	}
 	ahead := max(0, a.busy-a.slots) + a.asked
@@ -84,7 +84,7 @@
 
 // free reports whether the target seems to have a free slot, and room for a new flow while it is cold.
 func (a *agent) free(now time.Time) bool {
-	if a.cold.Holds(now) && a.coldNow(now).Room <= a.asked {
+	if a.cold.InForce(now) && a.coldNow(now).Room <= a.asked {
 		return false
 	}
 	return a.load(now) <= 1
--- a/pkg/dsr/dispatch/answers.go
+++ b/pkg/dsr/dispatch/answers.go
@@ -112,7 +112,7 @@
 		return
 	}
 	s, err := b.codec.Decode(m.Packet)
-	if err != nil || s.Opens() {
+	if err != nil || s.IsOpening() {
 		return
 	}
 	switch f.phase {
--- a/pkg/dsr/dispatch/balancer.go
+++ b/pkg/dsr/dispatch/balancer.go
@@ -149,7 +149,7 @@
 func (b *Balancer) FromCaller(now time.Time, s segment.Segment) {
 	key := s.CallerKey()
 	f := b.flows[key]
-	if s.Opens() {
+	if s.IsOpening() {
 		b.openingPacket(now, key, f, s)
 		return
 	}
--- a/pkg/dsr/dispatch/balancer_test.go
+++ b/pkg/dsr/dispatch/balancer_test.go
@@ -49,7 +49,7 @@
 func (r *recorder) ToAgent(to netip.AddrPort, m *dsrpb.Message) {
 	one := sent{to: to, kind: m.Kind, service: m.Service, patience: m.Patience, owner: m.Owner}
 	if s, err := (dsrtest.Codec{}).Decode(m.Packet); err == nil {
-		one.packet, one.opens, one.age = string(dsrtest.Data(m.Packet)), s.Opens(), s.Age
+		one.packet, one.opens, one.age = string(dsrtest.Data(m.Packet)), s.IsOpening(), s.Age
 	}
 	r.messages = append(r.messages, one)
 }
@@ -422,7 +422,7 @@
 	f.b.started = f.now
 	f.open(1)
 	f.pass(200 * time.Millisecond)
-	f.packet(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.SYN, Copy: 1, Sequence: 7})
+	f.packet(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.SYN, Attempt: 1, Sequence: 7})
 	f.take()
 	f.ready(1, "dc-1", 0)
 	require.Equal(t, 200*time.Millisecond, f.asked().age)
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -73,7 +73,7 @@
 
 // usable reports whether the agent is worth asking about a new flow, and its data centre is in use.
 func (b *Balancer) usable(now time.Time, a *agent) bool {
-	return a.takes(now) && !b.evacuations.Covers(a.dataCentre)
+	return a.takes(now) && !b.evacuations.Contains(a.dataCentre)
 }
 
 // leaveFailingOut reports whether the targets that fail are the fewer ones of a service. When most seem to fail, the reason is not theirs.
--- a/pkg/dsr/dispatch/history_test.go
+++ b/pkg/dsr/dispatch/history_test.go
@@ -65,7 +65,7 @@
 	for n, at := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 		w.after(at, func() {
 			if !c.opened && !c.ended {
-				c.send(dsrtest.Packet{Flags: segment.SYN, Copy: byte(n), Sequence: 7})
+				c.send(dsrtest.Packet{Flags: segment.SYN, Attempt: byte(n), Sequence: 7})
 			}
 		})
 	}
--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -179,7 +179,7 @@
 	for _, a := range b.services[f.service] {
 		switch {
 		case !a.alive(now) || a.state == dsrpb.State_STATE_ABSENT:
-		case b.evacuations.Covers(a.dataCentre):
+		case b.evacuations.Contains(a.dataCentre):
 			reason = refusal.ReasonEvacuated
 		case !regions.Allow(a.region):
 			reason = cmp.Or(reason, refusal.ReasonRegion)
--- a/pkg/dsr/dispatch/searching_test.go
+++ b/pkg/dsr/dispatch/searching_test.go
@@ -37,7 +37,7 @@
 		f.ready(i, "dc-1", 0)
 	}
 	for port := 1; port <= 200; port++ {
-		f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Copy: 2})
+		f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Attempt: 2})
 		m := f.asked()
 		require.Equal(t, dsrpb.Kind_KIND_FORWARD, m.kind)
 		require.True(t, m.opens)
--- a/pkg/dsr/dispatch/world_test.go
+++ b/pkg/dsr/dispatch/world_test.go
@@ -240,9 +240,9 @@
 	})
 }
 
-func (a *agentNode) Reset(key flow.Key, _ uint32) { a.w.reset(key) }
-func (a *agentNode) Decided(ownership.Decision)   {}
-func (a *agentNode) Judged(ownership.Judgement)   {}
+func (a *agentNode) Reset(key flow.Key, _ uint32)         { a.w.reset(key) }
+func (a *agentNode) Decided(ownership.Decision)           {}
+func (a *agentNode) HealthChanged(ownership.HealthChange) {}
 
 // fromTarget hands a packet of the target to the agent; nobody takes it while the agent is away.
 func (a *agentNode) fromTarget(raw []byte) {
@@ -264,7 +264,7 @@
 	f := a.target[s.Source]
 	reply := dsrtest.Packet{Source: s.Destination, Destination: s.Source}
 	switch {
-	case s.Opens():
+	case s.IsOpening():
 		if !a.draining.IsZero() && f == nil {
 			a.w.drained = append(a.w.drained, s.Source.String())
 		}
--- a/pkg/dsr/dsrtest/codec.go
+++ b/pkg/dsr/dsrtest/codec.go
@@ -25,11 +25,11 @@
 // ErrShort is the error of a packet without a whole header.
 var ErrShort = errors.New("packet is too short")
 
-// copyAges are the times at which a caller sends the copies of its opening packet, counted from the first; nextCopies are the
+// transmissionAges are the times at which a caller sends the copies of its opening packet, counted from the first; retransmitDelays are the
 // times from one to the next.
 var (
-	copyAges   = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
-	nextCopies = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
+	transmissionAges = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+	retransmitDelays = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
 )
 
 // Codec is the plain packet format.
@@ -41,7 +41,7 @@
 type Packet struct {
 	Source, Destination       netip.AddrPort
 	Flags                     segment.Flags
-	Copy                      byte
+	Attempt                   byte
 	Sequence, Acknowledgement uint32
 	Data                      []byte
 }
@@ -49,7 +49,7 @@
 // Encode returns the bytes of a packet.
 func Encode(p Packet) []byte {
 	b := make([]byte, offsetSource, HeaderSize+len(p.Data))
-	b[0], b[1] = byte(p.Flags), p.Copy
+	b[0], b[1] = byte(p.Flags), p.Attempt
 	binary.BigEndian.PutUint32(b[offsetSequence:], p.Sequence)
 	binary.BigEndian.PutUint32(b[offsetAck:], p.Acknowledgement)
 	b = wire.AppendAddr(b, p.Source)
@@ -71,11 +71,11 @@
 		Sequence:        binary.BigEndian.Uint32(b[offsetSequence:]),
 		Acknowledgement: binary.BigEndian.Uint32(b[offsetAck:]),
 		Length:          len(b) - HeaderSize,
-		Age:             copyAges[min(int(b[1]), len(copyAges)-1)],
+		Age:             transmissionAges[min(int(b[1]), len(transmissionAges)-1)],
 		Raw:             b,
 	}
-	if copies := int(b[1]); s.Opens() && copies < len(nextCopies) {
-		s.NextCopy = nextCopies[copies]
+	if copies := int(b[1]); s.IsOpening() && copies < len(retransmitDelays) {
+		s.NextRetransmission = retransmitDelays[copies]
 	}
 	return s, nil
 }
--- a/pkg/dsr/evacuation/set.go
+++ b/pkg/dsr/evacuation/set.go
@@ -35,8 +35,8 @@
 // Known reports whether the set was ever read.
 func (s Set) Known() bool { return s.Version > 0 }
 
-// Covers reports whether a data centre is evacuated.
-func (s Set) Covers(dataCentre string) bool {
+// Contains reports whether a data centre is evacuated.
+func (s Set) Contains(dataCentre string) bool {
 	_, found := slices.BinarySearch(s.DataCentres, dataCentre)
 	return found
 }
@@ -44,8 +44,8 @@
 // Replaces reports whether the set is later than another one, and so takes its place.
 func (s Set) Replaces(o Set) bool { return s.Version > o.Version }
 
-// Same reports whether two sets name the same data centres.
-func (s Set) Same(o Set) bool { return slices.Equal(s.DataCentres, o.DataCentres) }
+// Equal reports whether two sets name the same data centres.
+func (s Set) Equal(o Set) bool { return slices.Equal(s.DataCentres, o.DataCentres) }
 
 // Union returns the data centres that any of two sets names, under this set's version.
 func (s Set) Union(o Set) Set { return NewSet(s.Version, slices.Concat(s.DataCentres, o.DataCentres)) }
@@ -54,12 +54,12 @@
 func (s Set) Changed(o Set) []string {
 	var out []string
 	for _, d := range s.DataCentres {
-		if !o.Covers(d) {
+		if !o.Contains(d) {
 			out = append(out, d)
 		}
 	}
 	for _, d := range o.DataCentres {
-		if !s.Covers(d) {
+		if !s.Contains(d) {
 			out = append(out, d)
 		}
 	}
--- a/pkg/dsr/evacuation/set_test.go
+++ b/pkg/dsr/evacuation/set_test.go
@@ -9,8 +9,8 @@
 func TestASetIsSortedAndUnique(t *testing.T) {
 	s := NewSet(3, []string{"zarqa", "marka", "zarqa"})
 	require.Equal(t, Set{Version: 3, DataCentres: []string{"marka", "zarqa"}}, s)
-	require.True(t, s.Covers("marka"))
-	require.False(t, s.Covers("sahab"))
+	require.True(t, s.Contains("marka"))
+	require.False(t, s.Contains("sahab"))
 	require.Equal(t, s, FromMembers(3, map[string]bool{"zarqa": true, "marka": true}))
 }
 
@@ -34,12 +34,12 @@
 
 func TestUnion(t *testing.T) {
 	require.Equal(t, NewSet(7, []string{"a", "b", "c"}), NewSet(7, []string{"b", "a"}).Union(NewSet(9, []string{"c", "b"})))
-	require.True(t, NewSet(7, []string{"a"}).Union(Set{}).Same(NewSet(7, []string{"a"})))
+	require.True(t, NewSet(7, []string{"a"}).Union(Set{}).Equal(NewSet(7, []string{"a"})))
 }
 
 func TestWhatChangedBetweenTwoSets(t *testing.T) {
 	before, after := NewSet(1, []string{"a", "b"}), NewSet(2, []string{"b", "c"})
 	require.ElementsMatch(t, []string{"a", "c"}, after.Changed(before))
 	require.Empty(t, after.Changed(NewSet(9, []string{"c", "b"})))
-	require.True(t, after.Same(NewSet(9, []string{"c", "b"})))
+	require.True(t, after.Equal(NewSet(9, []string{"c", "b"})))
 }
--- a/pkg/dsr/ownership/answers_test.go
+++ b/pkg/dsr/ownership/answers_test.go
@@ -14,9 +14,9 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// usualAnswers are those of the service's other targets: 16 ms and 500 bytes at least.
-func (f *fixture) usualAnswers() {
-	f.table.Usual([]*dsrpb.Answer{{Address: flow.AddrHash(service), LeastUs: 16_000, LeastBytes: 500}})
+// setMedianAnswers are those of the service's other targets: 16 ms and 500 bytes at least.
+func (f *fixture) setMedianAnswers() {
+	f.table.SetMedianAnswers([]*dsrpb.Answer{{Address: flow.AddrHash(service), LeastUs: 16_000, LeastBytes: 500}})
 }
 
 // answerAfter has the target answer a request after a time, and the caller close the flow.
@@ -31,19 +31,19 @@
 // A target that answers every request at once with an error looks free and draws the load of others.
 func TestATargetThatAnswersWithErrorsIsLeftOut(t *testing.T) {
 	f := newFixture(t, Config{})
-	f.usualAnswers()
+	f.setMedianAnswers()
 	for port := 1; port <= 100; port++ {
 		f.answerAfter(port, 40*time.Millisecond, 1000)
 	}
-	require.False(t, f.announced())
+	require.False(t, f.announcedFailing())
 	for port := 200; port < 200+outlier.Failures; port++ {
 		f.answerAfter(port, 2*time.Millisecond, 171)
 	}
-	require.True(t, f.announced())
+	require.True(t, f.announcedFailing())
 	last := f.out.judgements[len(f.out.judgements)-1]
 	require.True(t, last.LooksFailed)
 	require.Equal(t, uint32(171), last.Answer.Bytes)
-	require.Equal(t, uint32(500), last.Usual.Bytes)
+	require.Equal(t, uint32(500), last.Median.Bytes)
 }
 
 func TestHealthyAnswersNeverLeaveATargetOut(t *testing.T) {
@@ -60,7 +60,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, Config{})
-			f.usualAnswers()
+			f.setMedianAnswers()
 			for port := 1; port <= 300; port++ {
 				if c.failed > 0 && port%c.failed == 0 {
 					f.answerAfter(port, time.Millisecond, 90)
--- a/pkg/dsr/ownership/cold.go
+++ b/pkg/dsr/ownership/cold.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// unseenTime is how long an agent that started beside a living target does not know what an earlier agent handed to it.
-	unseenTime = time.Second + time.Millisecond
-	// replacedAfter is the least time between the end of a process and the start of the next one, as supervisors of processes have it.
-	replacedAfter = 100 * time.Millisecond
+	// unknownHistory is how long an agent that started beside a living target does not know what an earlier agent handed to it.
+	unknownHistory = time.Second + time.Millisecond
+	// minRestartDelay is the least time between the end of a process and the start of the next one, as supervisors of processes have it.
+	minRestartDelay = 100 * time.Millisecond
 )
 
 // coldState is what the agent knows of its target's warm-up.
@@ -26,9 +26,9 @@
 	learner warmup.Learner
 }
 
-// declared takes what operators declare of cold targets, as a balancer says with a new flow. An earlier configuration than that known
+// applyDeclaredLimits takes what operators declare of cold targets, as a balancer says with a new flow. An earlier configuration than that known
 // is left out.
-func (t *Table) declared(m *dsrpb.Message) {
+func (t *Table) applyDeclaredLimits(m *dsrpb.Message) {
 	if m.Opening == nil || m.Configuration < t.cold.version {
 		return
 	}
@@ -45,17 +45,17 @@
 	return t.target.coldFrom.Add(t.cold.warmUp)
 }
 
-// handed counts a new flow that the target is handed.
-func (t *Table) handed(now time.Time) {
+// recordNewFlow counts a new flow that the target is recordNewFlow.
+func (t *Table) recordNewFlow(now time.Time) {
 	t.rate.Note(now)
-	t.cold.window.Note(now)
-	t.cold.learner.Given(t.cold.window.Count())
+	t.cold.window.Record(now)
+	t.cold.learner.RecordFlows(t.cold.window.Count())
 }
 
-// lifeLost notes that the target's last process has ended without a word.
-func (t *Table) lifeLost(now time.Time, last target) {
+// recordIncarnationEnd notes that the target's last process has ended without a word.
+func (t *Table) recordIncarnationEnd(now time.Time, last target) {
 	if last.known && last.last.State == announcement.Ready {
-		t.cold.learner.Ended(now.Sub(last.since))
+		t.cold.learner.RecordEnd(now.Sub(last.firstSeen))
 	}
 }
 
@@ -66,20 +66,20 @@
 	if !t.cfg.Without.ColdLimit {
 		l = warmup.Limit{PerSecond: t.cold.perSecond, Until: t.warmAt()}
 	}
-	age := now.Sub(t.target.since)
+	age := now.Sub(t.target.firstSeen)
 	learnt := t.cold.learner.Rate(age)
-	if learnt == 0 || t.cfg.Without.LearntLimit || l.Holds(now) && l.PerSecond <= learnt {
+	if learnt == 0 || t.cfg.Without.LearntLimit || l.InForce(now) && l.PerSecond <= learnt {
 		return l
 	}
-	return warmup.Limit{PerSecond: learnt, Until: t.target.since.Add(warmup.YoungLife)}
+	return warmup.Limit{PerSecond: learnt, Until: t.target.firstSeen.Add(warmup.EarlyFailureAge)}
 }
 
-// unseenUntil is when an agent that started beside a living target knows what the target was handed in the last second.
-func (t *Table) unseenUntil() time.Time {
-	if t.cfg.First || t.target.seenFirst || t.startedTogether() {
+// historyUnknownUntil is when an agent that started beside a living target knows what the target was handed in the last second.
+func (t *Table) historyUnknownUntil() time.Time {
+	if t.cfg.First || t.target.sawFirstAnnouncement || t.startedTogether() {
 		return time.Time{}
 	}
-	return t.started.Add(unseenTime)
+	return t.started.Add(unknownHistory)
 }
 
 // startedTogether reports whether the target started so shortly before the agent that an earlier agent had ended by then, as after a loss
@@ -89,7 +89,7 @@
 		return false
 	}
 	targetStarted := t.target.warmAt.Add(-t.cold.warmUp)
-	return targetStarted.After(t.started.Add(-replacedAfter))
+	return targetStarted.After(t.started.Add(-minRestartDelay))
 }
 
 // ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is warm.
@@ -98,26 +98,26 @@
 // hasRoom reports whether the target may be handed a new flow as far as its warm-up goes.
 func (t *Table) hasRoom(now time.Time) bool {
 	l := t.coldLimit(now)
-	return !l.Holds(now) || l.Room > 0
+	return !l.InForce(now) || l.Room > 0
 }
 
 // coldLimit is what the target takes now; no limit when it is warm.
 func (t *Table) coldLimit(now time.Time) warmup.Limit {
 	l := t.coldRate(now)
-	if !l.Holds(now) {
+	if !l.InForce(now) {
 		return warmup.Limit{}
 	}
-	if !now.Before(t.unseenUntil()) {
+	if !now.Before(t.historyUnknownUntil()) {
 		l.Room = t.cold.window.Room(now, l.PerSecond)
 	}
 	return l
 }
 
-// roomAt is when a cold target without room is looked at again.
-func (t *Table) roomAt(now time.Time) time.Time {
+// nextRoomAt is when a cold target without room is looked at again.
+func (t *Table) nextRoomAt(now time.Time) time.Time {
 	l := t.coldRate(now)
 	at := t.cold.window.Next(l.PerSecond)
-	if unseen := t.unseenUntil(); unseen.After(at) {
+	if unseen := t.historyUnknownUntil(); unseen.After(at) {
 		at = unseen
 	}
 	if l.Until.Before(at) {
@@ -126,16 +126,16 @@
 	return at
 }
 
-// toldCold is what balancers are told of a cold target; nothing when it is warm.
-func (t *Table) toldCold(now time.Time) *dsrpb.Cold {
+// reportedCold is what balancers are told of a cold target; nothing when it is warm.
+func (t *Table) reportedCold(now time.Time) *dsrpb.Cold {
 	l := t.coldLimit(now)
-	if !l.Holds(now) {
+	if !l.InForce(now) {
 		return nil
 	}
-	t.coldTold = dsrpb.Cold{
+	t.coldMsg = dsrpb.Cold{
 		PerSecond: float32(l.PerSecond),
 		Room:      uint32(l.Room),
 		LeftMs:    uint32(l.Until.Sub(now)/time.Millisecond) + 1,
 	}
-	return &t.coldTold
+	return &t.coldMsg
 }
--- a/pkg/dsr/ownership/cold_test.go
+++ b/pkg/dsr/ownership/cold_test.go
@@ -39,7 +39,7 @@
 // coldFixture has a target that has just started; the agent has seen its first report.
 func coldFixture(t *testing.T) *fixture {
 	f := newFixture(t, Config{Without: policy.Without{GiveUpSilent: true}})
-	f.hear(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 4, WarmUp: warmTime, Sequence: 1})
+	f.apply(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 4, WarmUp: warmTime, Sequence: 1})
 	return f
 }
 
@@ -100,9 +100,9 @@
 // An agent that starts beside a living target cannot know what the last agent handed to it.
 func TestARestartedAgentHandsAColdTargetNothingForASecond(t *testing.T) {
 	f := newFixture(t, Config{})
-	f.hear(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - 300*time.Millisecond, Sequence: 9})
+	f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - 300*time.Millisecond, Sequence: 9})
 	require.False(t, f.serve(1, dsrpb.Patience_PATIENCE_FREE_SLOT))
-	f.pass(unseenTime - time.Millisecond)
+	f.pass(unknownHistory - time.Millisecond)
 	require.False(t, f.serve(2, dsrpb.Patience_PATIENCE_FREE_SLOT))
 	f.pass(time.Millisecond)
 	require.True(t, f.serve(3, dsrpb.Patience_PATIENCE_FREE_SLOT))
@@ -113,10 +113,10 @@
 	for _, c := range []struct {
 		age  time.Duration
 		want bool
-	}{{40 * time.Millisecond, true}, {replacedAfter + 40*time.Millisecond, false}} {
+	}{{40 * time.Millisecond, true}, {minRestartDelay + 40*time.Millisecond, false}} {
 		f := &fixture{T: t, out: &recorder{}, now: start}
 		f.table = newTestTable(f, Config{})
-		f.hear(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - c.age, Sequence: 2})
+		f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - c.age, Sequence: 2})
 		require.Equal(t, c.want, f.serve(1, dsrpb.Patience_PATIENCE_FREE_SLOT), c.age)
 	}
 }
@@ -133,7 +133,7 @@
 		}
 	}
 	require.Equal(t, coldRate, served)
-	f.hear(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, Sequence: 1})
+	f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, Sequence: 1})
 	require.True(t, f.serve(100, dsrpb.Patience_PATIENCE_FREE_SLOT), "it says that it is warm")
 }
 
--- a/pkg/dsr/ownership/config.go
+++ b/pkg/dsr/ownership/config.go
@@ -15,41 +15,41 @@
 	// ProbeTimeout is how long a target may take to return a packet of a flow that it does not hold. A packet that is not
 	// returned by then belongs to it.
 	ProbeTimeout = 20 * time.Millisecond
-	// SilentRetry is the time between two opening packets that are offered to a target that did not answer the last one.
-	SilentRetry = 150 * time.Millisecond
-	// HalfOpenBusy is how long a flow whose caller has not sent its request counts as work at least; where callers are farther
+	// SilentRetryInterval is the time between two opening packets that are offered to a target that did not answer the last one.
+	SilentRetryInterval = 150 * time.Millisecond
+	// HalfOpenTimeout is how long a flow whose caller has not sent its request counts as work at least; where callers are farther
 	// away, the longest usual round trip. One that takes longer has chosen another target or is gone; slots that wait for it would keep a
 	// burst of late requests going.
-	HalfOpenBusy = 30 * time.Millisecond
+	HalfOpenTimeout = 30 * time.Millisecond
 	// OfferedLinger is how long an opening packet that the target has not answered is known, for a late answer.
 	OfferedLinger = 500 * time.Millisecond
 	// BusyTimeout is how long a request counts as work without an answer. A full queue of a target takes well under a
 	// second; one that takes longer has lost its target or its caller.
 	BusyTimeout = 2 * time.Second
-	// HangWork is the multiple of the target's usual work after which a request without an answer counts as failed, and
+	// HangFactor is the multiple of the target's usual work after which a request without an answer counts as failed, and
 	// leastHang the least time: a busy target takes twice its work, a slow start three times.
-	HangWork  = 10
-	leastHang = 500 * time.Millisecond
+	HangFactor  = 10
+	minHangTime = 500 * time.Millisecond
 	// EndedLinger is how long an ended flow is known, for packets that are sent again: the longest interval between two
 	// copies is 1.6 s.
 	EndedLinger = 3 * time.Second
 	// MaxFlowAge is how long a flow may last. An agent that runs for longer has seen every open flow of its target.
 	MaxFlowAge = 60 * time.Second
-	// MaxExtra bounds the requests that a target is handed beyond its slots, as a multiple of the slots: a caller sends its request
+	// MaxExtraFactor bounds the requests that a target is handed beyond its slots, as a multiple of the slots: a caller sends its request
 	// a round trip after the target has answered the opening packet, during which the slot would idle.
-	MaxExtra = 8
-	// ProbedSlots is taken for the slots of a target that answered a health check, until its first announcement names them within
+	MaxExtraFactor = 8
+	// AssumedSlots is taken for the slots of a target that answered a health check, until its first announcement names them within
 	// a heartbeat's interval: more than one, so that a large target does not stand idle, and few, since a small one is slow then.
-	ProbedSlots = 2
-	// StartWork is taken for the work of one request until the first answer shows the target's own pace. PaceAge is how long that
+	AssumedSlots = 2
+	// DefaultWorkTime is taken for the work of one request until the first answer shows the target's own pace. PaceAge is how long that
 	// is told without a further sample: a target that was slow and got no more requests must be tried again.
-	StartWork = 30 * time.Millisecond
-	PaceAge   = 2 * time.Second
+	DefaultWorkTime = 30 * time.Millisecond
+	WorkTimeMaxAge  = 2 * time.Second
 	// maxRoundTrip bounds a sample of the time between a target's answer to an opening packet and the caller's request; a caller
 	// that takes longer waits for something else than the network.
 	maxRoundTrip = 300 * time.Millisecond
-	// DefaultPatience is how long a caller waits when its route names no time.
-	DefaultPatience = 1200 * time.Millisecond
+	// DefaultTimeout is how long a caller waits when its route names no time.
+	DefaultTimeout = 1200 * time.Millisecond
 	// MissedHeartbeats is the number of heartbeat intervals after which a silent target is taken for gone.
 	MissedHeartbeats = 3
 	// sweepInterval is the time between two walks over all flows.
--- a/pkg/dsr/ownership/entry.go
+++ b/pkg/dsr/ownership/entry.go
@@ -31,8 +31,8 @@
 	// busy is set while the target has work for the flow: from the opening packet, or a later request, until it answers.
 	busy bool
 	// working is set while the target has a request, alone when that came while a slot was free.
-	working bool
-	alone   bool
+	working     bool
+	hadFreeSlot bool
 	// requestBy is when the flow stops counting as work unless its caller has sent a request.
 	requestBy time.Time
 	// failed is set when the present request counts as failed.
@@ -61,8 +61,8 @@
 	targetClosed bool
 	// request is the caller's last packet with data while the target works for the flow.
 	request []byte
-	// askedAgain is set when the request was handed to a new process of the target.
-	askedAgain bool
+	// requestResent is set when the request was handed to a new process of the target.
+	requestResent bool
 	// since is when the phase began, touched the time of the last packet, busySince when the work came.
 	since     time.Time
 	touched   time.Time
@@ -73,9 +73,9 @@
 // under way, 16 packets of 1,200 bytes. A number that another target chose is within it once in 16,384 times.
 const ackWindow = 1 << 17
 
-// holds reports whether a packet with the given acknowledgement can belong to the flow as this target opened it. A caller
+// matches reports whether a packet with the given acknowledgement can belong to the flow as this target opened it. A caller
 // that got two answers to its opening packet acknowledges the numbers of one of them only.
-func (e *entry) holds(acknowledgement uint32) bool {
+func (e *entry) matches(acknowledgement uint32) bool {
 	if !e.hasSequence {
 		return true
 	}
@@ -91,8 +91,8 @@
 	return e.initialSequence
 }
 
-// fresh reports whether a packet has data that its caller has not sent before, and notes it.
-func (e *entry) fresh(s segment.Segment) bool {
+// recordNewData reports whether a packet has data that its caller has not sent before, and notes it.
+func (e *entry) recordNewData(s segment.Segment) bool {
 	end := s.Sequence + uint32(s.Length)
 	if s.Length == 0 || e.hasData && int32(end-e.dataEnd) <= 0 {
 		return false
@@ -101,8 +101,8 @@
 	return true
 }
 
-// lost reports whether a flow whose packet the target has returned was open there: the caller has got data from this target,
+// wasOpenAtTarget reports whether a flow whose packet the target has returned was open there: the caller has got data from this target,
 // or its request was handed over again to a new process and acknowledges the number of the target's answer.
-func (e *entry) lost() bool {
-	return e.phase == open && (e.answered || e.askedAgain && e.hasSequence && e.callerAck == e.initialSequence+1)
+func (e *entry) wasOpenAtTarget() bool {
+	return e.phase == open && (e.answered || e.requestResent && e.hasSequence && e.callerAck == e.initialSequence+1)
 }
--- a/pkg/dsr/ownership/from_balancer.go
+++ b/pkg/dsr/ownership/from_balancer.go
@@ -16,24 +16,24 @@
 	stale := m.Configuration < t.configuration
 	t.configuration = max(t.configuration, m.Configuration)
 	if m.Service != t.cfg.Service {
-		t.returned(now, balancer, m, key, dsrpb.Verdict_VERDICT_WRONG_SERVICE, s.Raw)
+		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_WRONG_SERVICE, s.Raw)
 		return
 	}
 	e := t.flows[key]
-	if s.Opens() {
-		t.opening(now, balancer, m, s, key, e, stale)
+	if s.IsOpening() {
+		t.receiveOpening(now, balancer, m, s, key, e, stale)
 		return
 	}
 	if e == nil {
-		t.unknown(now, balancer, m, s, key)
+		t.receiveUnknown(now, balancer, m, s, key)
 		return
 	}
 	if e.phase == queued {
-		t.leftQueue(key, s)
+		t.cancelQueued(key, s)
 		return
 	}
-	if !e.holds(s.Acknowledgement) {
-		t.returned(now, balancer, m, key, dsrpb.Verdict_VERDICT_NOT_HELD, s.Raw)
+	if !e.matches(s.Acknowledgement) {
+		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_NOT_HELD, s.Raw)
 		return
 	}
 	t.deliver(now, balancer, key, e, s)
@@ -44,44 +44,44 @@
 	e.origin = balancer
 	e.touched = now
 	e.callerAck, e.acknowledged = s.Acknowledgement, true
-	t.learnTrip(now, e, s)
-	if e.fresh(s) {
-		t.replied(now, key, e)
+	t.recordRoundTrip(now, e, s)
+	if e.recordNewData(s) {
+		t.finishReply(now, key, e)
 		e.request = append(e.request[:0], s.Raw...)
-		t.request(now, e)
+		t.startRequest(now, e)
 	}
-	t.leftBy(now, key, e, s)
+	t.checkCallerClose(now, key, e, s)
 	switch {
 	case s.Has(segment.RST):
 		t.end(now, e)
 	case s.Has(segment.FIN):
 		e.callerClosed = true
-		t.replied(now, key, e)
-		t.closed(now, e)
+		t.finishReply(now, key, e)
+		t.endIfClosed(now, e)
 	}
 	t.out.ToTarget(s.Raw)
 }
 
-// opening decides about an opening packet.
-func (t *Table) opening(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key, e *entry, stale bool) {
-	t.declared(m)
+// receiveOpening decides about an receiveOpening packet.
+func (t *Table) receiveOpening(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key, e *entry, stale bool) {
+	t.applyDeclaredLimits(m)
 	if e != nil && e.phase == queued {
 		e.origin = balancer
-		t.queue.Hear(key, s.Age, s.NextCopy)
-		t.returned(now, balancer, m, key, dsrpb.Verdict_VERDICT_QUEUED, nil)
+		t.queue.RecordRetransmission(key, s.Age, s.NextRetransmission)
+		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_QUEUED, nil)
 		return
 	}
 	if e != nil && e.phase != ended {
 		e.origin = balancer
 		e.touched = now
-		t.handed(now)
+		t.recordNewFlow(now)
 		t.out.ToTarget(s.Raw)
 		if e.phase == open {
-			t.accepted(now, key, e)
+			t.sendAccepted(now, key, e)
 		}
 		return
 	}
-	if verdict := t.willing(now, stale); verdict != dsrpb.Verdict_VERDICT_UNSPECIFIED {
+	if verdict := t.declineReason(now, stale); verdict != dsrpb.Verdict_VERDICT_UNSPECIFIED {
 		t.decline(now, balancer, m, key, verdict, nil)
 		return
 	}
@@ -92,7 +92,7 @@
 		t.decline(now, balancer, m, key, dsrpb.Verdict_VERDICT_BUSY, nil)
 		return
 	}
-	if t.busy < t.limit(now) && t.queue.Len() == 0 && t.hasRoom(now) {
+	if t.busy < t.concurrencyLimit(now) && t.queue.Len() == 0 && t.hasRoom(now) {
 		e = &entry{origin: balancer, touched: now, configuration: m.Configuration}
 		t.flows[key] = e
 		t.offer(now, key, e, s.Raw)
@@ -101,8 +101,8 @@
 	t.enqueue(now, balancer, m, s, key)
 }
 
-// willing says why a new flow is not taken, or nothing when it is.
-func (t *Table) willing(now time.Time, stale bool) dsrpb.Verdict {
+// declineReason says why a new flow is not taken, or nothing when it is.
+func (t *Table) declineReason(now time.Time, stale bool) dsrpb.Verdict {
 	if t.evacuated {
 		return dsrpb.Verdict_VERDICT_EVACUATED
 	}
@@ -112,7 +112,7 @@
 	if stale {
 		return dsrpb.Verdict_VERDICT_STALE
 	}
-	if !t.silent.IsZero() && now.Sub(t.silentOffer) < SilentRetry {
+	if !t.silentSince.IsZero() && now.Sub(t.lastSilentOffer) < SilentRetryInterval {
 		return dsrpb.Verdict_VERDICT_SILENT
 	}
 	return dsrpb.Verdict_VERDICT_UNSPECIFIED
@@ -123,8 +123,8 @@
 	return t.outcomes.State(now) == outlier.Resting && !t.cfg.Without.FailingLast
 }
 
-// limit is the number of requests that the target is handed at once.
-func (t *Table) limit(now time.Time) int {
+// concurrencyLimit is the number of requests that the target is handed at once.
+func (t *Table) concurrencyLimit(now time.Time) int {
 	if t.outcomes.State(now) == outlier.Tried && !t.cfg.Without.FailingLast {
 		return 1
 	}
@@ -132,7 +132,7 @@
 	if t.cfg.Without.ExtraRequests {
 		return slots
 	}
-	return slots + t.extra()
+	return slots + t.extraRequests()
 }
 
 func (t *Table) slots() int { return max(1, t.target.last.Slots) }
@@ -141,24 +141,24 @@
 func (t *Table) offer(now time.Time, key flow.Key, e *entry, raw []byte) {
 	e.phase, e.since, e.packet = offered, now, nil
 	delete(t.notHeld, key)
-	t.work(now, e)
-	t.handed(now)
-	t.by(key, now.Add(OfferTimeout))
-	if !t.silent.IsZero() {
-		t.silentOffer = now
+	t.markBusy(now, e)
+	t.recordNewFlow(now)
+	t.schedule(key, now.Add(OfferTimeout))
+	if !t.silentSince.IsZero() {
+		t.lastSilentOffer = now
 	}
 	t.out.ToTarget(raw)
-	t.decided(now, EventOffered, key, e.origin, e.configuration, dsrpb.Verdict_VERDICT_UNSPECIFIED)
+	t.reportDecision(now, EventOffered, key, e.origin, e.configuration, dsrpb.Verdict_VERDICT_UNSPECIFIED)
 }
 
-// unknown decides about a packet of an open flow that this agent does not know.
-func (t *Table) unknown(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key) {
+// receiveUnknown decides about a packet of an open flow that this agent does not know.
+func (t *Table) receiveUnknown(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key) {
 	if !m.Owner || t.verdict(now, key) != dsrpb.Verdict_VERDICT_UNKNOWN {
-		t.returned(now, balancer, m, key, dsrpb.Verdict_VERDICT_NOT_HELD, s.Raw)
+		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_NOT_HELD, s.Raw)
 		return
 	}
 	e := &entry{origin: balancer, phase: probing, since: now, touched: now, callerAck: s.Acknowledgement, acknowledged: true}
 	t.flows[key] = e
-	t.by(key, now.Add(ProbeTimeout))
+	t.schedule(key, now.Add(ProbeTimeout))
 	t.out.ToTarget(s.Raw)
 }
--- a/pkg/dsr/ownership/from_target.go
+++ b/pkg/dsr/ownership/from_target.go
@@ -11,9 +11,9 @@
 
 // FromTarget takes a packet that the target sent.
 func (t *Table) FromTarget(now time.Time, s segment.Segment) {
-	t.silent = time.Time{}
+	t.silentSince = time.Time{}
 	if s.Has(segment.Returned) {
-		t.handBack(now, s)
+		t.receiveReturned(now, s)
 		return
 	}
 	key := s.TargetKey()
@@ -22,9 +22,9 @@
 		e = t.recover(now, key)
 	}
 	e.touched = now
-	t.answer(now, key, e, s)
+	t.applyTargetPacket(now, key, e, s)
 	t.out.ToCaller(key, s.Raw)
-	t.pump(now)
+	t.offerQueued(now)
 }
 
 // recover notes a flow that the target holds since before the agent started.
@@ -32,40 +32,40 @@
 	e := &entry{phase: open, since: now, touched: now, requested: true}
 	t.flows[key] = e
 	delete(t.notHeld, key)
-	t.decided(now, EventRecovered, key, netip.AddrPort{}, t.configuration, dsrpb.Verdict_VERDICT_HELD)
+	t.reportDecision(now, EventRecovered, key, netip.AddrPort{}, t.configuration, dsrpb.Verdict_VERDICT_HELD)
 	return e
 }
 
-// answer takes over what a packet of the target says of its flow.
-func (t *Table) answer(now time.Time, key flow.Key, e *entry, s segment.Segment) {
+// applyTargetPacket takes over what a packet of the target says of its flow.
+func (t *Table) applyTargetPacket(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if s.Has(segment.SYN | segment.ACK) {
 		e.hasSequence, e.initialSequence = true, s.Sequence
 	}
 	if e.phase == offered || e.phase == probing {
 		e.phase, e.since = open, now
 		e.requestBy = now.Add(t.halfOpen())
-		t.by(key, e.requestBy)
-		t.accepted(now, key, e)
-		t.decided(now, EventAccepted, key, e.origin, t.configuration, dsrpb.Verdict_VERDICT_HELD)
+		t.schedule(key, e.requestBy)
+		t.sendAccepted(now, key, e)
+		t.reportDecision(now, EventAccepted, key, e.origin, t.configuration, dsrpb.Verdict_VERDICT_HELD)
 	}
-	t.failedBy(now, key, e, s)
+	t.checkTargetClose(now, key, e, s)
 	if s.Length > 0 {
 		e.answered = true
-		t.answered(now, key, e, s)
+		t.requestAnswered(now, key, e, s)
 	}
-	e.reply.sent(s)
+	e.reply.extend(s)
 	switch {
 	case s.Has(segment.RST):
 		t.end(now, e)
 	case s.Has(segment.FIN):
 		e.targetClosed = true
-		t.replied(now, key, e)
-		t.closed(now, e)
+		t.finishReply(now, key, e)
+		t.endIfClosed(now, e)
 	}
 }
 
-// handBack takes a packet that the target returned.
-func (t *Table) handBack(now time.Time, s segment.Segment) {
+// receiveReturned takes a packet that the target returned.
+func (t *Table) receiveReturned(now time.Time, s segment.Segment) {
 	key := s.CallerKey()
 	t.codec.Restore(s.Raw)
 	e := t.flows[key]
@@ -74,22 +74,22 @@
 	}
 	origin := e.origin
 	m := &dsrpb.Message{Flow: key.Hash()}
-	if s.Opens() {
+	if s.IsOpening() {
 		if e.phase == offered {
 			t.drop(key, e)
-			t.pump(now)
+			t.offerQueued(now)
 			t.decline(now, origin, m, key, dsrpb.Verdict_VERDICT_BUSY, nil)
 		}
 		return
 	}
-	defer t.pump(now)
-	lost := e.lost()
+	defer t.offerQueued(now)
+	lost := e.wasOpenAtTarget()
 	t.drop(key, e)
-	t.forgetHeld(now, key)
+	t.recordNotHeld(now, key)
 	if lost {
 		t.out.Reset(key, e.callerAck)
-		t.decided(now, EventReset, key, origin, t.configuration, dsrpb.Verdict_VERDICT_RESET)
-		t.tellReset(now, origin, key)
+		t.reportDecision(now, EventReset, key, origin, t.configuration, dsrpb.Verdict_VERDICT_RESET)
+		t.notifyReset(now, origin, key)
 		return
 	}
 	if origin.IsValid() {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (t *Table) forgetHeld(now time.Time, key flow.Key) {
+func (t *Table) recordNotHeld(now time.Time, key flow.Key) {
 	if len(t.notHeld) < maxNotHeld {
 		t.notHeld[key] = now
 	}
--- a/pkg/dsr/ownership/life.go
+++ b/pkg/dsr/ownership/life.go
@@ -22,16 +22,16 @@
 	}
 	before := t.State(now)
 	last := t.target
-	n, err := t.target.hear(now, a, t.silence())
-	if err != nil || n == nothing {
+	n, err := t.target.receive(now, a, t.silence())
+	if err != nil || n == outdated {
 		return false, err
 	}
-	if n == newLife && last.last.ID != "" {
-		t.lifeLost(now, last)
-		t.lifeEnded(now)
+	if n == newIncarnation && last.last.ID != "" {
+		t.recordIncarnationEnd(now, last)
+		t.discardIncarnation(now)
 	}
-	t.giveBack(now)
-	return n == newLife || before != t.State(now), nil
+	t.returnQueuedUnlessReady(now)
+	return n == newIncarnation || before != t.State(now), nil
 }
 
 // silence is how long a target may say nothing until it is taken for gone.
@@ -43,67 +43,67 @@
 	if t.target.known {
 		return false
 	}
-	tell, err := t.Announce(now, announcement.Announcement{ID: id, Born: born, Service: t.cfg.Service, Slots: ProbedSlots})
+	tell, err := t.Announce(now, announcement.Announcement{ID: id, StartedMs: born, Service: t.cfg.Service, Slots: AssumedSlots})
 	return tell && err == nil
 }
 
 // TargetLeft takes a target's word that its process is gone. The error is an *announcement.Rejection.
-func (t *Table) TargetLeft(now time.Time, f announcement.Farewell) error {
-	if err := t.target.leave(f); err != nil {
+func (t *Table) TargetLeft(now time.Time, f announcement.Deregistration) error {
+	if err := t.target.deregister(f); err != nil {
 		return err
 	}
-	t.giveBack(now)
+	t.returnQueuedUnlessReady(now)
 	return nil
 }
 
-// Life describes the present life of the target, for operators.
-func (t *Table) Life() Life {
-	return Life{
-		ID:       t.target.last.ID,
-		Born:     t.target.last.Born,
-		Since:    t.target.since,
-		Sequence: t.target.last.Sequence,
-		Slots:    t.target.last.Slots,
+// TargetIncarnation describes the present life of the target, for operators.
+func (t *Table) TargetIncarnation() TargetIncarnation {
+	return TargetIncarnation{
+		ID:        t.target.last.ID,
+		StartedMs: t.target.last.StartedMs,
+		FirstSeen: t.target.firstSeen,
+		Sequence:  t.target.last.Sequence,
+		Slots:     t.target.last.Slots,
 	}
 }
 
-// Life is one process of a target.
-type Life struct {
+// TargetIncarnation is one process of a target.
+type TargetIncarnation struct {
 	ID string
-	// Born is its start in Unix milliseconds, 0 when it does not say.
-	Born uint64
-	// Since is when the agent first heard of it; Sequence is the number of its last announcement.
-	Since    time.Time
-	Sequence uint64
-	Slots    int
+	// StartedMs is its start in Unix milliseconds, 0 when it does not say.
+	StartedMs uint64
+	// FirstSeen is when the agent first heard of it; Sequence is the number of its last announcement.
+	FirstSeen time.Time
+	Sequence  uint64
+	Slots     int
 }
 
-// lifeEnded forgets what belonged to the target's last process. Openings that wait for their turn are offered to the new one.
+// discardIncarnation forgets what belonged to the target's last process. Openings that wait for their turn are offered to the new one.
 //
 // A caller whose request the last process was working on would wait until its time is over, for an answer that cannot come. Its
 // request is handed to the target once more: a process that does not hold the flow returns it, and the caller is reset at once.
 // Resetting the flows outright would be wrong, since the new process may have taken some before its first report.
-func (t *Table) lifeEnded(now time.Time) {
-	t.silent, t.worked, t.outcomes = time.Time{}, estimate.Mean{}, outlier.Detector{}
+func (t *Table) discardIncarnation(now time.Time) {
+	t.silentSince, t.meanWork, t.outcomes = time.Time{}, estimate.Mean{}, outlier.Detector{}
 	clear(t.notHeld)
 	clear(t.served)
-	clear(t.answers)
+	clear(t.minAnswers)
 	for key, e := range t.flows {
 		switch {
 		case e.phase == offered:
 			t.drop(key, e)
 			t.decline(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_SILENT, nil)
 		case e.phase == open && e.request != nil:
-			e.askedAgain = true
+			e.requestResent = true
 			t.out.ToTarget(e.request)
 		}
 	}
-	t.pump(now)
+	t.offerQueued(now)
 }
 
-// tellReset tells the balancer that a flow was reset; it keeps the record.
-func (t *Table) tellReset(now time.Time, origin netip.AddrPort, key flow.Key) {
+// notifyReset tells the balancer that a flow was reset; it keeps the record.
+func (t *Table) notifyReset(now time.Time, origin netip.AddrPort, key flow.Key) {
 	if origin.IsValid() {
-		t.returned(now, origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_RESET, nil)
+		t.sendReturned(now, origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_RESET, nil)
 	}
 }
--- a/pkg/dsr/ownership/lifetime.go
+++ b/pkg/dsr/ownership/lifetime.go
@@ -8,9 +8,9 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// work notes that the target has something to do for the flow, or soon will have: an opening packet counts until its caller has
+// markBusy notes that the target has something to do for the flow, or soon will have: an opening packet counts until its caller has
 // sent the request.
-func (t *Table) work(now time.Time, e *entry) {
+func (t *Table) markBusy(now time.Time, e *entry) {
 	if e.busy {
 		return
 	}
@@ -18,19 +18,19 @@
 	t.busy++
 }
 
-// request notes that the target has a request to work on.
-func (t *Table) request(now time.Time, e *entry) {
-	t.work(now, e)
+// startRequest notes that the target has a startRequest to work on.
+func (t *Table) startRequest(now time.Time, e *entry) {
+	t.markBusy(now, e)
 	if e.working {
 		return
 	}
-	e.working, e.alone, e.failed = true, t.working < t.slots(), false
+	e.working, e.hadFreeSlot, e.failed = true, t.working < t.slots(), false
 	e.busySince = now
 	t.working++
 }
 
-// done notes that the target has answered.
-func (t *Table) done(e *entry) {
+// clearBusy notes that the target has answered.
+func (t *Table) clearBusy(e *entry) {
 	if !e.busy {
 		return
 	}
@@ -41,38 +41,38 @@
 	t.busy--
 }
 
-// closed ends the flow when both ends have closed it.
-func (t *Table) closed(now time.Time, e *entry) {
+// endIfClosed ends the flow when both ends have endIfClosed it.
+func (t *Table) endIfClosed(now time.Time, e *entry) {
 	if e.callerClosed && e.targetClosed {
 		t.end(now, e)
 	}
 }
 
 func (t *Table) end(now time.Time, e *entry) {
-	t.done(e)
+	t.clearBusy(e)
 	e.phase, e.since = ended, now
 }
 
 func (t *Table) drop(key flow.Key, e *entry) {
-	t.done(e)
+	t.clearBusy(e)
 	delete(t.flows, key)
 }
 
-// by puts a flow into the queue of those that are looked at after a time.
-func (t *Table) by(key flow.Key, at time.Time) {
+// schedule puts a flow into the queue of those that are looked at after a time.
+func (t *Table) schedule(key flow.Key, at time.Time) {
 	i := len(t.due)
-	t.due = append(t.due, waiting{key: key, at: at})
+	t.due = append(t.due, timer{key: key, at: at})
 	for ; i > 0 && t.due[i-1].at.After(at); i-- {
 		t.due[i] = t.due[i-1]
 	}
-	t.due[i] = waiting{key: key, at: at}
+	t.due[i] = timer{key: key, at: at}
 }
 
 // Deadline is when Tick has to be called next.
 func (t *Table) Deadline() time.Time {
 	next := t.swept.Add(sweepInterval)
-	if !t.roomAgain.IsZero() && t.roomAgain.Before(next) {
-		next = t.roomAgain
+	if !t.recheckAt.IsZero() && t.recheckAt.Before(next) {
+		next = t.recheckAt
 	}
 	if len(t.due) > 0 && t.due[0].at.Before(next) {
 		return t.due[0].at
@@ -88,7 +88,7 @@
 		t.expire(now, w.key)
 	}
 	if t.queue.Len() > 0 {
-		t.pump(now)
+		t.offerQueued(now)
 	}
 	if now.Sub(t.swept) >= sweepInterval {
 		t.sweep(now)
@@ -103,24 +103,24 @@
 	}
 	switch {
 	case e.phase == open && e.busy && !e.requested && !now.Before(e.requestBy) && !t.cfg.Without.HalfOpen:
-		t.done(e)
-		t.pump(now)
+		t.clearBusy(e)
+		t.offerQueued(now)
 	case e.phase == offered && now.Sub(e.since) >= OfferTimeout:
-		t.unanswered(now, key, e)
+		t.offerTimedOut(now, key, e)
 	case e.phase == probing && now.Sub(e.since) >= ProbeTimeout:
 		e.phase, e.since = open, now
-		t.accepted(now, key, e)
-		t.decided(now, EventRecovered, key, e.origin, t.configuration, dsrpb.Verdict_VERDICT_HELD)
+		t.sendAccepted(now, key, e)
+		t.reportDecision(now, EventRecovered, key, e.origin, t.configuration, dsrpb.Verdict_VERDICT_HELD)
 	}
 }
 
-// unanswered gives an opening packet back to the balancer. The entry stays for a late answer of the target.
-func (t *Table) unanswered(now time.Time, key flow.Key, e *entry) {
-	if t.silent.IsZero() {
-		t.silent, t.silentOffer = now, now
-		t.giveBackAll(now, dsrpb.Verdict_VERDICT_SILENT)
+// offerTimedOut gives an opening packet back to the balancer. The entry stays for a late answer of the target.
+func (t *Table) offerTimedOut(now time.Time, key flow.Key, e *entry) {
+	if t.silentSince.IsZero() {
+		t.silentSince, t.lastSilentOffer = now, now
+		t.returnAllQueued(now, dsrpb.Verdict_VERDICT_SILENT)
 	}
-	t.done(e)
+	t.clearBusy(e)
 	t.decline(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_SILENT, nil)
 }
 
@@ -137,14 +137,14 @@
 		case now.Sub(e.touched) > MaxFlowAge:
 			t.drop(key, e)
 		case e.busy && now.Sub(e.busySince) > BusyTimeout:
-			t.overdue(now, key, e)
-			t.done(e)
+			t.checkOverdue(now, key, e)
+			t.clearBusy(e)
 		default:
-			t.overdue(now, key, e)
+			t.checkOverdue(now, key, e)
 		}
 	}
-	t.giveBack(now)
-	t.pump(now)
+	t.returnQueuedUnlessReady(now)
+	t.offerQueued(now)
 	for key, since := range t.notHeld {
 		if now.Sub(since) > MaxFlowAge {
 			delete(t.notHeld, key)
--- a/pkg/dsr/ownership/outcome.go
+++ b/pkg/dsr/ownership/outcome.go
@@ -10,84 +10,84 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// hang is the time after which a request without an answer counts as failed.
-func (t *Table) hang() time.Duration { return max(leastHang, HangWork*t.pace()) }
+// hangTime is the time after which a request without an answer counts as failed.
+func (t *Table) hangTime() time.Duration { return max(minHangTime, HangFactor*t.workTime()) }
 
-// waiting reports whether the target works on a request that has not been counted as failed.
-func (e *entry) waiting() bool { return e.phase == open && e.working && !e.failed }
+// awaitsAnswer reports whether the target works on a request that has not been counted as failed.
+func (e *entry) awaitsAnswer() bool { return e.phase == open && e.working && !e.failed }
 
-// failedBy takes a packet by which the target ends a flow while it works on a request. One whose caller has closed it before says
+// checkTargetClose takes a packet by which the target ends a flow while it works on a request. One whose caller has closed it before says
 // nothing about the target; after an outage most end so.
-func (t *Table) failedBy(now time.Time, key flow.Key, e *entry, s segment.Segment) {
-	if e.waiting() && !e.callerClosed && (s.Has(segment.RST) || s.Has(segment.FIN) && e.empty(s)) {
-		t.failure(now, key, e)
+func (t *Table) checkTargetClose(now time.Time, key flow.Key, e *entry, s segment.Segment) {
+	if e.awaitsAnswer() && !e.callerClosed && (s.Has(segment.RST) || s.Has(segment.FIN) && e.closesWithoutData(s)) {
+		t.recordFailure(now, key, e)
 	}
 }
 
-// empty reports whether a target closes a flow on which it has sent no data at all. A FIN may overtake the data before it: its
+// closesWithoutData reports whether a target closes a flow on which it has sent no data at all. A FIN may overtake the data before it: its
 // number then is beyond that of the first byte.
-func (e *entry) empty(s segment.Segment) bool {
+func (e *entry) closesWithoutData(s segment.Segment) bool {
 	return s.Length == 0 && !e.answered && e.hasSequence && s.Sequence == e.initialSequence+1
 }
 
-// leftBy takes a packet by which the caller ends a flow while the target works on its request. One that waited for long has got
+// checkCallerClose takes a packet by which the caller ends a flow while the target works on its request. One that waited for long has got
 // no answer; one that leaves earlier says nothing about the target.
-func (t *Table) leftBy(now time.Time, key flow.Key, e *entry, s segment.Segment) {
-	if e.waiting() && (s.Has(segment.RST) || s.Has(segment.FIN)) && now.Sub(e.busySince) >= t.hang() {
-		t.failure(now, key, e)
+func (t *Table) checkCallerClose(now time.Time, key flow.Key, e *entry, s segment.Segment) {
+	if e.awaitsAnswer() && (s.Has(segment.RST) || s.Has(segment.FIN)) && now.Sub(e.busySince) >= t.hangTime() {
+		t.recordFailure(now, key, e)
 	}
 }
 
-// overdue takes a request that has waited for too long.
-func (t *Table) overdue(now time.Time, key flow.Key, e *entry) {
-	if e.waiting() && now.Sub(e.busySince) >= t.hang() {
-		t.failure(now, key, e)
+// checkOverdue takes a request that has waited for too long.
+func (t *Table) checkOverdue(now time.Time, key flow.Key, e *entry) {
+	if e.awaitsAnswer() && now.Sub(e.busySince) >= t.hangTime() {
+		t.recordFailure(now, key, e)
 	}
 }
 
-// failure counts a request that got no answer. One to an address for which the target has never answered says nothing about the
+// recordFailure counts a request that got no answer. One to an address for which the target has never answered says nothing about the
 // target: it may serve other addresses well, and nobody may be meant to use this one. A target that has answered for no address at
 // all is judged by all.
-func (t *Table) failure(now time.Time, key flow.Key, e *entry) {
+func (t *Table) recordFailure(now time.Time, key flow.Key, e *entry) {
 	e.failed = true
 	if len(t.served) > 0 && !t.served[key.Destination] {
 		return
 	}
 	if t.outcomes.Failed(now) {
-		t.judged(now, Judgement{})
+		t.reportHealthChange(now, HealthChange{})
 	}
 }
 
-// serves notes that the target has answered a request for an address.
-func (t *Table) serves(a netip.AddrPort) {
+// recordServed notes that the target has answered a request for an address.
+func (t *Table) recordServed(a netip.AddrPort) {
 	if len(t.served) < maxServed {
 		t.served[a] = true
 	}
 }
 
-// judged reports that the target is left out, or in use again; the balancers are told at once.
-func (t *Table) judged(now time.Time, j Judgement) {
+// reportHealthChange reports that the target is left out, or in use again; the balancers are told at once.
+func (t *Table) reportHealthChange(now time.Time, j HealthChange) {
 	j.State = t.outcomes.State(now)
 	j.Failures = t.outcomes.Count()
 	j.Until = t.outcomes.Ends(now)
-	j.Pace, j.Busy = t.pace(), t.Busy()
-	t.out.Judged(j)
+	j.WorkTime, j.Busy = t.workTime(), t.Busy()
+	t.out.HealthChanged(j)
 	if t.outcomes.State(now) == outlier.Resting {
-		t.giveBackAll(now, dsrpb.Verdict_VERDICT_BUSY)
+		t.returnAllQueued(now, dsrpb.Verdict_VERDICT_BUSY)
 	}
 }
 
-// Judgement says why a target is left out, or that it is in use again.
-type Judgement struct {
+// HealthChange says why a target is left out, or that it is in use again.
+type HealthChange struct {
 	State outlier.State
 	// Failures is the number of failed ones among the last 20 requests, Until the end of the rest.
 	Failures int
 	Until    time.Time
-	// Pace is how long the target lately took for a request, Busy the requests at it.
-	Pace time.Duration
-	Busy int
+	// WorkTime is how long the target lately took for a request, Busy the requests at it.
+	WorkTime time.Duration
+	Busy     int
 	// LooksFailed is set when the last request was answered, but with much less than usual; Answer is that answer, Usual the least one of the
 	// median target.
-	LooksFailed   bool
-	Answer, Usual outlier.Answer
+	LooksFailed    bool
+	Answer, Median outlier.Answer
 }
--- a/pkg/dsr/ownership/outcome_test.go
+++ b/pkg/dsr/ownership/outcome_test.go
@@ -19,7 +19,9 @@
 	f.data(port, uint32(port)*1000+1, true)
 }
 
-func (f *fixture) announced() bool { return f.table.Announcement(f.now, true, 0).Announcement.Failing }
+func (f *fixture) announcedFailing() bool {
+	return f.table.Announcement(f.now, true, 0).Announcement.Failing
+}
 
 // breaking is a packet by which a caller breaks a flow off.
 func breaking(port int) dsrtest.Packet {
@@ -38,20 +40,20 @@
 			f.pass(sweepInterval)
 		},
 		"answers nothing until the caller leaves": func(f *fixture, port int) {
-			f.now = f.now.Add(leastHang)
+			f.now = f.now.Add(minHangTime)
 			f.forward(closing(port), &dsrpb.Message{Owner: true})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, Config{})
 			for port := 1; port <= outlier.Failures; port++ {
-				require.False(t, f.announced())
+				require.False(t, f.announcedFailing())
 				f.request(port)
 				fail(f, port)
 				f.target(port, segment.RST, 0, "")
 				f.announce(0)
 			}
-			require.True(t, f.announced())
+			require.True(t, f.announcedFailing())
 			require.Len(t, f.out.judgements, 1)
 			require.Equal(t, outlier.Resting, f.out.judgements[0].State)
 			require.Equal(t, outlier.Failures, f.out.judgements[0].Failures)
@@ -80,7 +82,7 @@
 
 	f.now = f.now.Add(outlier.FirstRest)
 	f.announce(0)
-	require.False(t, f.announced())
+	require.False(t, f.announcedFailing())
 	ask(12, dsrpb.Patience_PATIENCE_FREE_SLOT)
 	ask(13, dsrpb.Patience_PATIENCE_FREE_SLOT)
 	require.Len(t, f.out.target, 2, "one at a time")
@@ -142,9 +144,9 @@
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
-	require.True(t, f.announced())
-	f.hear(report("i-2", 0, 1, ready))
-	require.False(t, f.announced())
+	require.True(t, f.announcedFailing())
+	f.apply(report("i-2", 0, 1, ready))
+	require.False(t, f.announcedFailing())
 }
 
 // A request that its caller repeats after the answer, as it does when the answer or an acknowledgement is late, is no new request:
--- a/pkg/dsr/ownership/output.go
+++ b/pkg/dsr/ownership/output.go
@@ -19,8 +19,8 @@
 	ToBalancer(balancer netip.AddrPort, m *dsrpb.Message)
 	// Decided reports a decision, for logs and counters.
 	Decided(d Decision)
-	// Judged reports that the target is left out since it fails, or in use again. The balancers are to be told.
-	Judged(j Judgement)
+	// HealthChanged reports that the target is left out since it fails, or in use again. The balancers are to be told.
+	HealthChanged(j HealthChange)
 }
 
 // Decision is one decision about a flow.
@@ -49,8 +49,8 @@
 	EventOffered Event = "offered"
 	// EventQueued: a new flow waits for the target to have room.
 	EventQueued Event = "queued"
-	// EventGivenUp: a waiting flow's caller is gone.
-	EventGivenUp Event = "given-up"
+	// EventAbandoned: a waiting flow's caller is gone.
+	EventAbandoned Event = "given-up"
 	// EventAccepted: the target has taken the flow.
 	EventAccepted Event = "accepted"
 	// EventDeclined: the agent or its target did not take a packet; the verdict says why.
--- a/pkg/dsr/ownership/pace.go
+++ b/pkg/dsr/ownership/pace.go
@@ -9,47 +9,47 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
 )
 
-// pace is the target's time for one request.
-func (t *Table) pace() time.Duration { return t.worked.Or(StartWork) }
+// workTime is the target's time for one request.
+func (t *Table) workTime() time.Duration { return t.meanWork.Or(DefaultWorkTime) }
 
-// learnWork takes the time of a request that had a slot at once.
-func (t *Table) learnWork(now time.Time, work time.Duration) {
-	if now.Sub(t.paced) > PaceAge {
-		t.worked = estimate.Mean{}
+// recordWork takes the time of a request that had a slot at once.
+func (t *Table) recordWork(now time.Time, work time.Duration) {
+	if now.Sub(t.workUpdated) > WorkTimeMaxAge {
+		t.meanWork = estimate.Mean{}
 	}
-	t.worked.Add(work)
-	t.paced = now
+	t.meanWork.Add(work)
+	t.workUpdated = now
 }
 
-// toldWork is the target's time for one request as the balancers are told, in microseconds; 0 when it is not known.
-func (t *Table) toldWork(now time.Time) uint32 {
-	if !t.worked.Known() || now.Sub(t.paced) > PaceAge {
+// reportedWork is the target's time for one request as the balancers are told, in microseconds; 0 when it is not known.
+func (t *Table) reportedWork(now time.Time) uint32 {
+	if !t.meanWork.Known() || now.Sub(t.workUpdated) > WorkTimeMaxAge {
 		return 0
 	}
-	return uint32(t.worked.Or(0) / time.Microsecond)
+	return uint32(t.meanWork.Or(0) / time.Microsecond)
 }
 
-// learnTrip takes a caller's first data on a flow that the target has answered. Two such trips lie between the answer to the
+// recordRoundTrip takes a caller's first data on a flow that the target has answered. Two such trips lie between the answer to the
 // opening packet and the answer to the request.
-func (t *Table) learnTrip(now time.Time, e *entry, s segment.Segment) {
+func (t *Table) recordRoundTrip(now time.Time, e *entry, s segment.Segment) {
 	if e.phase != open || e.requested || !e.hasSequence || s.Length == 0 {
 		return
 	}
 	if trip := now.Sub(e.since); trip <= maxRoundTrip {
-		t.trip.Add(trip)
-		t.queue.Trips = 2 * t.trip.Mean(0)
+		t.roundTrip.Add(trip)
+		t.queue.RoundTrips = 2 * t.roundTrip.Mean(0)
 	}
 }
 
-// extra is the number of requests that the target is handed beyond its slots: those whose callers have still to send them, since
+// extraRequests is the number of requests that the target is handed beyond its slots: those whose callers have still to send them, since
 // the slots would stand idle for a round trip each.
-func (t *Table) extra() int {
+func (t *Table) extraRequests() int {
 	slots := t.slots()
-	waiting := float64(slots) * float64(t.trip.Mean(admission.StartTrips/2)) / float64(t.pace())
-	return min(max(1, int(math.Ceil(waiting))), MaxExtra*slots)
+	waiting := float64(slots) * float64(t.roundTrip.Mean(admission.DefaultRoundTrips/2)) / float64(t.workTime())
+	return min(max(1, int(math.Ceil(waiting))), MaxExtraFactor*slots)
 }
 
 // halfOpen is how long a flow counts as work whose caller has not sent its request.
 func (t *Table) halfOpen() time.Duration {
-	return min(max(HalfOpenBusy, t.trip.Longest(0)), maxRoundTrip)
+	return min(max(HalfOpenTimeout, t.roundTrip.Longest(0)), maxRoundTrip)
 }
--- a/pkg/dsr/ownership/queueing.go
+++ b/pkg/dsr/ownership/queueing.go
@@ -14,7 +14,7 @@
 // is asked for.
 func (t *Table) enqueue(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key) {
 	t.queue.Cold = t.coldLimit(now)
-	if m.Patience == dsrpb.Patience_PATIENCE_FREE_SLOT || !t.queue.Add(now, openingOf(now, key, m.Opening, s), t.pace(), t.slots()) {
+	if m.Patience == dsrpb.Patience_PATIENCE_FREE_SLOT || !t.queue.Add(now, openingOf(now, key, m.Opening, s), t.workTime(), t.slots()) {
 		t.decline(now, balancer, m, key, dsrpb.Verdict_VERDICT_BUSY, nil)
 		return
 	}
@@ -26,42 +26,42 @@
 		packet:        append([]byte(nil), s.Raw...),
 		configuration: m.Configuration,
 	}
-	t.decided(now, EventQueued, key, balancer, m.Configuration, dsrpb.Verdict_VERDICT_QUEUED)
-	t.returned(now, balancer, m, key, dsrpb.Verdict_VERDICT_QUEUED, nil)
-	t.pump(now)
+	t.reportDecision(now, EventQueued, key, balancer, m.Configuration, dsrpb.Verdict_VERDICT_QUEUED)
+	t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_QUEUED, nil)
+	t.offerQueued(now)
 }
 
 // openingOf reads what a balancer and the opening packet say of a new flow.
 func openingOf(now time.Time, key flow.Key, o *dsrpb.Opening, s segment.Segment) admission.Opening {
-	out := admission.Opening{Key: key, Arrived: now.Add(-s.Age), Patience: DefaultPatience}
+	out := admission.Opening{Key: key, Arrived: now.Add(-s.Age), Timeout: DefaultTimeout}
 	if o != nil {
 		out.Arrived = now.Add(-time.Duration(o.AgeMs) * time.Millisecond)
 		out.Aim = time.Duration(o.AimMs) * time.Millisecond
 		out.Priority = int(o.Priority)
 	}
 	if o != nil && o.PatienceMs > 0 {
-		out.Patience = time.Duration(o.PatienceMs) * time.Millisecond
+		out.Timeout = time.Duration(o.PatienceMs) * time.Millisecond
 	}
-	out.Hear(s.Age, s.NextCopy)
+	out.RecordSent(s.Age, s.NextRetransmission)
 	return out
 }
 
-// pump hands waiting flows to the target while it has room, and gives up those whose callers are gone.
-func (t *Table) pump(now time.Time) {
+// offerQueued hands waiting flows to the target while it has room, and gives up those whose callers are gone.
+func (t *Table) offerQueued(now time.Time) {
 	for {
-		o, ok := t.queue.Expired(now, t.pace())
+		o, ok := t.queue.Expired(now, t.workTime())
 		if !ok {
 			break
 		}
-		t.giveUp(now, o.Key, dsrpb.Verdict_VERDICT_GIVEN_UP, EventGivenUp)
+		t.returnQueued(now, o.Key, dsrpb.Verdict_VERDICT_GIVEN_UP, EventAbandoned)
 	}
-	t.roomAgain = time.Time{}
-	for t.busy < t.limit(now) {
+	t.recheckAt = time.Time{}
+	for t.busy < t.concurrencyLimit(now) {
 		if t.queue.Len() > 0 && !t.hasRoom(now) {
-			t.roomAgain = t.roomAt(now)
+			t.recheckAt = t.nextRoomAt(now)
 			return
 		}
-		o, ok := t.queue.Next(now, t.pace())
+		o, ok := t.queue.Next(now, t.workTime())
 		if !ok {
 			return
 		}
@@ -70,8 +70,8 @@
 	}
 }
 
-// leftQueue takes a packet of a waiting flow other than a copy of its opening packet: its caller gives it up.
-func (t *Table) leftQueue(key flow.Key, s segment.Segment) {
+// cancelQueued takes a packet of a waiting flow other than a copy of its opening packet: its caller gives it up.
+func (t *Table) cancelQueued(key flow.Key, s segment.Segment) {
 	if !s.Has(segment.RST) && !s.Has(segment.FIN) {
 		return
 	}
@@ -79,40 +79,40 @@
 	delete(t.flows, key)
 }
 
-// giveUp takes a flow that no longer waits back to its balancer.
-func (t *Table) giveUp(now time.Time, key flow.Key, v dsrpb.Verdict, ev Event) {
+// returnQueued takes a flow that no longer waits back to its balancer.
+func (t *Table) returnQueued(now time.Time, key flow.Key, v dsrpb.Verdict, ev Event) {
 	e := t.flows[key]
 	delete(t.flows, key)
-	t.decided(now, ev, key, e.origin, e.configuration, v)
-	t.returned(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, v, nil)
+	t.reportDecision(now, ev, key, e.origin, e.configuration, v)
+	t.sendReturned(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, v, nil)
 }
 
-// giveBack returns the waiting flows to their balancers when the target takes no more.
-func (t *Table) giveBack(now time.Time) {
+// returnQueuedUnlessReady returns the waiting flows to their balancers when the target takes no more.
+func (t *Table) returnQueuedUnlessReady(now time.Time) {
 	if t.State(now) != dsrpb.State_STATE_READY {
-		t.giveBackAll(now, dsrpb.Verdict_VERDICT_LEAVING)
+		t.returnAllQueued(now, dsrpb.Verdict_VERDICT_LEAVING)
 	}
 }
 
-// giveBackAll returns every waiting flow to its balancer.
-func (t *Table) giveBackAll(now time.Time, v dsrpb.Verdict) {
+// returnAllQueued returns every waiting flow to its balancer.
+func (t *Table) returnAllQueued(now time.Time, v dsrpb.Verdict) {
 	for {
-		o, ok := t.queue.Next(now, t.pace())
+		o, ok := t.queue.Next(now, t.workTime())
 		if !ok {
 			return
 		}
-		t.giveUp(now, o.Key, v, EventDeclined)
+		t.returnQueued(now, o.Key, v, EventDeclined)
 	}
 }
 
-// answered notes that the target has answered a request, and learns its pace from requests that had a slot at once.
-func (t *Table) answered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
+// requestAnswered notes that the target has requestAnswered a request, and learns its pace from requests that had a slot at once.
+func (t *Table) requestAnswered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if e.working {
-		t.serves(key.Destination)
-		e.replying(now, s)
+		t.recordServed(key.Destination)
+		e.startReply(now, s)
 	}
-	if e.working && e.alone {
-		t.learnWork(now, now.Sub(e.busySince))
+	if e.working && e.hadFreeSlot {
+		t.recordWork(now, now.Sub(e.busySince))
 	}
-	t.done(e)
+	t.clearBusy(e)
 }
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// waiting is a flow whose answer is due at a time.
-type waiting struct {
+// timer is a flow whose answer is due at a time.
+type timer struct {
 	key flow.Key
 	at  time.Time
 }
@@ -32,25 +32,25 @@
 	working int
 	// queue holds the flows in phase queued; worked is the target's time for one request, paced when it was last learnt. trip is the
 	// time from the target's answer to an opening packet to the caller's request.
-	queue  admission.Queue
-	worked estimate.Mean
-	paced  time.Time
-	trip   estimate.Answer
+	queue       admission.Queue
+	meanWork    estimate.Mean
+	workUpdated time.Time
+	roundTrip   estimate.Answer
 	// due are the flows that are looked at after a time, in order of their time.
-	due []waiting
+	due []timer
 	// outcomes judges the target by the ends of its requests.
 	outcomes outlier.Detector
 	// served are the addresses for which the target has answered a request.
 	served map[netip.AddrPort]bool
-	// answers are the target's last answers by the hash of the address, usual the least answers of the median target of the service.
-	answers map[uint32]*outlier.Least
-	usual   map[uint32]outlier.Answer
+	// minAnswers are the target's last minAnswers by the hash of the address, usual the least minAnswers of the median target of the service.
+	minAnswers    map[uint32]*outlier.Least
+	medianAnswers map[uint32]outlier.Answer
 	// notHeld are flows that the target has returned since the agent started.
 	notHeld map[flow.Key]time.Time
-	// silent is when the target first left an opening packet unanswered; zero when it answers. silentOffer is the time of
+	// silentSince is when the target first left an opening packet unanswered; zero when it answers. silentOffer is the time of
 	// the last offer since then.
-	silent      time.Time
-	silentOffer time.Time
+	silentSince     time.Time
+	lastSilentOffer time.Time
 	// configuration is the highest version that a balancer has named.
 	configuration uint64
 	// evacuated is set while the agent's data centre takes no new flows.
@@ -59,35 +59,35 @@
 	rate estimate.Rate
 	// cold is what is known of the target's warm-up, roomAgain when the queue is looked at again since the target is cold; zero when
 	// something else has to happen first.
-	cold      coldState
-	roomAgain time.Time
-	swept     time.Time
-	reply     dsrpb.Message
-	announced dsrpb.Announcement
-	coldTold  dsrpb.Cold
+	cold            coldState
+	recheckAt       time.Time
+	swept           time.Time
+	msg             dsrpb.Message
+	announcementMsg dsrpb.Announcement
+	coldMsg         dsrpb.Cold
 }
 
 // NewTable returns a table without flows.
 func NewTable(cfg Config, codec segment.Codec, out Output, now time.Time) *Table {
 	return &Table{
-		cfg:     cfg,
-		codec:   codec,
-		out:     out,
-		started: now,
-		flows:   make(map[flow.Key]*entry),
-		notHeld: make(map[flow.Key]time.Time),
-		served:  make(map[netip.AddrPort]bool),
-		answers: make(map[uint32]*outlier.Least),
-		usual:   make(map[uint32]outlier.Answer),
-		queue:   admission.Queue{Without: cfg.Without},
-		swept:   now,
+		cfg:           cfg,
+		codec:         codec,
+		out:           out,
+		started:       now,
+		flows:         make(map[flow.Key]*entry),
+		notHeld:       make(map[flow.Key]time.Time),
+		served:        make(map[netip.AddrPort]bool),
+		minAnswers:    make(map[uint32]*outlier.Least),
+		medianAnswers: make(map[uint32]outlier.Answer),
+		queue:         admission.Queue{Without: cfg.Without},
+		swept:         now,
 	}
 }
 
 // Leave makes the agent take no new flows any more.
 func (t *Table) Leave(now time.Time) {
 	t.leaving = true
-	t.giveBack(now)
+	t.returnQueuedUnlessReady(now)
 }
 
 // SetEvacuated says whether the agent's data centre takes no new flows. What waits for the target goes elsewhere at once; open flows
@@ -98,9 +98,9 @@
 	}
 	t.evacuated = on
 	if on {
-		t.giveBackAll(now, dsrpb.Verdict_VERDICT_EVACUATED)
+		t.returnAllQueued(now, dsrpb.Verdict_VERDICT_EVACUATED)
 	} else {
-		t.target.mayBeCold(now)
+		t.target.assumeCold(now)
 	}
 	return true
 }
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -37,7 +37,7 @@
 	resets         []flow.Key
 	messages       []sent
 	decisions      []Decision
-	judgements     []Judgement
+	judgements     []HealthChange
 }
 
 func (r *recorder) ToTarget(raw []byte) { r.target = append(r.target, append([]byte(nil), raw...)) }
@@ -46,7 +46,7 @@
 }
 func (r *recorder) Reset(key flow.Key, _ uint32) { r.resets = append(r.resets, key) }
 func (r *recorder) Decided(d Decision)           { r.decisions = append(r.decisions, d) }
-func (r *recorder) Judged(j Judgement)           { r.judgements = append(r.judgements, j) }
+func (r *recorder) HealthChanged(j HealthChange) { r.judgements = append(r.judgements, j) }
 func (r *recorder) ToBalancer(to netip.AddrPort, m *dsrpb.Message) {
 	r.messages = append(r.messages, sent{
 		to: to, kind: m.Kind, verdict: m.Verdict, packet: append([]byte(nil), m.Packet...), busy: m.Busy,
@@ -96,11 +96,11 @@
 func (f *fixture) announce(s announcement.State) bool {
 	f.beat++
 	// Beats of a target that is older than the agent: the first one is not seen.
-	return f.hear(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 2, State: s, Sequence: f.beat})
+	return f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 2, State: s, Sequence: f.beat})
 }
 
-// hear hands the table a report that is taken; it returns whether the balancers are told.
-func (f *fixture) hear(a announcement.Announcement) bool {
+// apply hands the table a report that is taken; it returns whether the balancers are told.
+func (f *fixture) apply(a announcement.Announcement) bool {
 	f.Helper()
 	tell, err := f.table.Announce(f.now, a)
 	require.NoError(f, err)
@@ -147,8 +147,8 @@
 	f.table.FromTarget(f.now, s)
 }
 
-// giveBack returns a caller's packet as the target does.
-func (f *fixture) giveBack(port int, flags segment.Flags) {
+// returnPacket returns a caller's packet as the target does.
+func (f *fixture) returnPacket(port int, flags segment.Flags) {
 	raw := dsrtest.Encode(dsrtest.Packet{Source: caller(port), Destination: service, Flags: flags | segment.Returned, Sequence: 7})
 	s, err := dsrtest.Codec{}.Decode(raw)
 	require.NoError(f, err)
@@ -189,7 +189,9 @@
 	}{
 		{"wrong service", func(*fixture) {}, &dsrpb.Message{Service: "reports-svc"}, dsrpb.Verdict_VERDICT_WRONG_SERVICE},
 		{"draining target", func(f *fixture) { f.announce(announcement.Draining) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
-		{"target that has left", func(f *fixture) { require.NoError(f, f.table.TargetLeft(f.now, announcement.Farewell{ID: "i-1"})) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
+		{"target that has left", func(f *fixture) {
+			require.NoError(f, f.table.TargetLeft(f.now, announcement.Deregistration{ID: "i-1"}))
+		}, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"leaving agent", func(f *fixture) { f.table.Leave(f.now) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"no heartbeats any more", func(f *fixture) { f.now = f.now.Add(4 * time.Second) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"balancer with an old configuration", func(f *fixture) { f.table.configuration = 9 }, &dsrpb.Message{Configuration: 8}, dsrpb.Verdict_VERDICT_STALE},
@@ -208,7 +210,7 @@
 
 func TestALateAnnouncementOfAnEarlierProcessChangesNothing(t *testing.T) {
 	f := newFixture(t, Config{})
-	f.hear(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 2, Sequence: 1})
+	f.apply(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 2, Sequence: 1})
 	tell, err := f.table.Announce(f.now, announcement.Announcement{ID: "i-1", Service: "route-svc", State: announcement.Draining, Sequence: 90})
 	require.Error(t, err)
 	require.False(t, tell)
@@ -220,7 +222,7 @@
 	late := f.beat + 1
 	f.beat++
 	require.True(t, f.announce(announcement.Draining))
-	require.False(t, f.hear(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 2, Sequence: late}))
+	require.False(t, f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 2, Sequence: late}))
 	require.Equal(t, dsrpb.State_STATE_LEAVING, f.table.State(f.now))
 }
 
@@ -240,7 +242,7 @@
 func TestAReturnedOpeningPacketGoesBackToTheBalancer(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.open(1)
-	f.giveBack(1, segment.SYN)
+	f.returnPacket(1, segment.SYN)
 	m := f.out.last(t)
 	require.Equal(t, dsrpb.Verdict_VERDICT_BUSY, m.verdict)
 	require.Empty(t, f.out.caller, "a returned packet is not sent to its caller")
@@ -255,7 +257,7 @@
 	f.open(2)
 	require.Equal(t, dsrpb.Verdict_VERDICT_SILENT, f.out.last(t).verdict, "the next one does not wait")
 	require.Len(t, f.out.target, 1)
-	f.pass(SilentRetry)
+	f.pass(SilentRetryInterval)
 	f.open(3)
 	require.Len(t, f.out.target, 2, "one is offered to see whether it answers again")
 	f.target(3, segment.SYN|segment.ACK, 3000, "")
@@ -278,7 +280,7 @@
 func TestAFlowThatTheTargetReturnsIsNeverHandedToItAgain(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.data(1, 1001, true)
-	f.giveBack(1, segment.ACK)
+	f.returnPacket(1, segment.ACK)
 	m := f.out.last(t)
 	require.Equal(t, dsrpb.Verdict_VERDICT_NOT_HELD, m.verdict)
 	require.NotEmpty(t, m.packet)
@@ -320,12 +322,12 @@
 	f.data(1, 1001, true)
 	f.target(1, segment.ACK, 1001, "200")
 	f.data(1, 1004, true)
-	f.giveBack(1, segment.ACK)
+	f.returnPacket(1, segment.ACK)
 	require.Equal(t, []flow.Key{keyOfCaller(1)}, f.out.resets)
 	require.Equal(t, dsrpb.Verdict_VERDICT_RESET, f.out.last(t).verdict, "the balancer is told, for the record")
 	f.accept(2)
 	f.data(2, 2001, true)
-	f.giveBack(2, segment.ACK)
+	f.returnPacket(2, segment.ACK)
 	require.Len(t, f.out.resets, 1, "a flow that may have opened elsewhere is not reset")
 }
 
@@ -356,7 +358,7 @@
 	f.accept(2)
 	f.accept(3)
 	require.Equal(t, 3, f.table.Busy())
-	f.pass(HalfOpenBusy)
+	f.pass(HalfOpenTimeout)
 	require.Zero(t, f.table.Busy())
 	f.data(1, 1001, true)
 	require.Equal(t, 1, f.table.Busy(), "a late request is work again")
@@ -381,7 +383,7 @@
 func TestAnAgentThatIsOlderThanItsTargetKnowsAllFlows(t *testing.T) {
 	for sequence, want := range map[uint64]dsrpb.Verdict{1: dsrpb.Verdict_VERDICT_NOT_HELD, 2: dsrpb.Verdict_VERDICT_UNKNOWN} {
 		f := newFixture(t, Config{})
-		f.hear(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 2, Sequence: sequence})
+		f.apply(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 2, Sequence: sequence})
 		f.table.Locate(f.now, balancer, locate(keyOfCaller(1)))
 		require.Equal(t, want, f.out.last(t).verdict)
 	}
@@ -426,4 +428,4 @@
 func (discard) Reset(flow.Key, uint32)                    {}
 func (discard) ToBalancer(netip.AddrPort, *dsrpb.Message) {}
 func (discard) Decided(Decision)                          {}
-func (discard) Judged(Judgement)                          {}
+func (discard) HealthChanged(HealthChange)                {}
--- a/pkg/dsr/ownership/tell.go
+++ b/pkg/dsr/ownership/tell.go
@@ -11,7 +11,7 @@
 // Announcement describes the agent and its target for the balancers; it is valid until the next call. Joined tells the receiver
 // that the agent hears of it, next is the time until the next announcement.
 func (t *Table) Announcement(now time.Time, joined bool, next time.Duration) *dsrpb.Message {
-	t.announced = dsrpb.Announcement{
+	t.announcementMsg = dsrpb.Announcement{
 		DataCentre:  t.cfg.DataCentre,
 		Region:      t.cfg.Region,
 		State:       t.State(now),
@@ -20,22 +20,22 @@
 		Joined:      joined,
 		Failing:     t.failing(now),
 		IntervalMs:  uint32(next / time.Millisecond),
-		Answers:     t.toldLeast(),
+		Answers:     t.reportedMinAnswers(),
 	}
-	t.begin(now, dsrpb.Kind_KIND_ANNOUNCE)
-	t.reply.Announcement = &t.announced
-	return &t.reply
+	t.startMessage(now, dsrpb.Kind_KIND_ANNOUNCE)
+	t.msg.Announcement = &t.announcementMsg
+	return &t.msg
 }
 
-// begin begins a message with what each one tells balancers of the target; it is valid until the next message.
-func (t *Table) begin(now time.Time, k dsrpb.Kind) {
-	t.reply = dsrpb.Message{
+// startMessage begins a message with what each one tells balancers of the target; it is valid until the next message.
+func (t *Table) startMessage(now time.Time, k dsrpb.Kind) {
+	t.msg = dsrpb.Message{
 		Kind:           k,
 		Service:        t.cfg.Service,
 		Configuration:  t.configuration,
 		Busy:           uint32(t.Busy()),
-		WorkUs:         t.toldWork(now),
-		Cold:           t.toldCold(now),
+		WorkUs:         t.reportedWork(now),
+		Cold:           t.reportedCold(now),
 		FlowsPerSecond: float32(t.rate.PerSecond(now)),
 	}
 }
@@ -47,15 +47,15 @@
 	} else if e != nil && e.phase != probing {
 		return dsrpb.Verdict_VERDICT_QUEUED
 	}
-	if _, returned := t.notHeld[key]; returned || t.complete(now) {
+	if _, returned := t.notHeld[key]; returned || t.knowsAllFlows(now) {
 		return dsrpb.Verdict_VERDICT_NOT_HELD
 	}
 	return dsrpb.Verdict_VERDICT_UNKNOWN
 }
 
-// complete reports whether the agent has seen every open flow of its target.
-func (t *Table) complete(now time.Time) bool {
-	return t.cfg.First || t.target.seenFirst || now.Sub(t.started) > MaxFlowAge
+// knowsAllFlows reports whether the agent has seen every open flow of its target.
+func (t *Table) knowsAllFlows(now time.Time) bool {
+	return t.cfg.First || t.target.sawFirstAnnouncement || now.Sub(t.started) > MaxFlowAge
 }
 
 // Locate answers a balancer that asks for the owner of a flow.
@@ -65,46 +65,46 @@
 		return
 	}
 	e := t.flows[key]
-	t.begin(now, dsrpb.Kind_KIND_LOCATED)
-	t.reply.Flow = m.Flow
-	t.reply.Source, t.reply.Destination = m.Source, m.Destination
-	t.reply.Verdict = t.verdict(now, key)
+	t.startMessage(now, dsrpb.Kind_KIND_LOCATED)
+	t.msg.Flow = m.Flow
+	t.msg.Source, t.msg.Destination = m.Source, m.Destination
+	t.msg.Verdict = t.verdict(now, key)
 	if e != nil && e.hasSequence {
-		t.reply.HasSequence, t.reply.Reference = true, e.reference()
+		t.msg.HasSequence, t.msg.Reference = true, e.reference()
 	}
-	t.out.ToBalancer(balancer, &t.reply)
+	t.out.ToBalancer(balancer, &t.msg)
 }
 
-// accepted tells the balancer that the target holds the flow.
-func (t *Table) accepted(now time.Time, key flow.Key, e *entry) {
+// sendAccepted tells the balancer that the target holds the flow.
+func (t *Table) sendAccepted(now time.Time, key flow.Key, e *entry) {
 	if !e.origin.IsValid() {
 		return
 	}
-	t.begin(now, dsrpb.Kind_KIND_ACCEPTED)
-	t.reply.Flow = key.Hash()
-	t.reply.Verdict = dsrpb.Verdict_VERDICT_HELD
-	t.reply.HasSequence, t.reply.Reference = e.hasSequence, e.reference()
-	t.reply.SetKey(key)
-	t.out.ToBalancer(e.origin, &t.reply)
+	t.startMessage(now, dsrpb.Kind_KIND_ACCEPTED)
+	t.msg.Flow = key.Hash()
+	t.msg.Verdict = dsrpb.Verdict_VERDICT_HELD
+	t.msg.HasSequence, t.msg.Reference = e.hasSequence, e.reference()
+	t.msg.SetKey(key)
+	t.out.ToBalancer(e.origin, &t.msg)
 }
 
 // decline answers a balancer that a packet was not taken, and reports it.
 func (t *Table) decline(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
-	t.decided(now, EventDeclined, key, balancer, m.Configuration, v)
-	t.returned(now, balancer, m, key, v, raw)
+	t.reportDecision(now, EventDeclined, key, balancer, m.Configuration, v)
+	t.sendReturned(now, balancer, m, key, v, raw)
 }
 
-// returned answers a balancer that a packet was not taken.
-func (t *Table) returned(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
-	t.begin(now, dsrpb.Kind_KIND_RETURNED)
-	t.reply.Flow = m.Flow
-	t.reply.Verdict = v
-	t.reply.Packet = raw
-	t.reply.SetKey(key)
-	t.out.ToBalancer(balancer, &t.reply)
+// sendReturned answers a balancer that a packet was not taken.
+func (t *Table) sendReturned(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
+	t.startMessage(now, dsrpb.Kind_KIND_RETURNED)
+	t.msg.Flow = m.Flow
+	t.msg.Verdict = v
+	t.msg.Packet = raw
+	t.msg.SetKey(key)
+	t.out.ToBalancer(balancer, &t.msg)
 }
 
-func (t *Table) decided(now time.Time, ev Event, key flow.Key, balancer netip.AddrPort, configuration uint64, v dsrpb.Verdict) {
+func (t *Table) reportDecision(now time.Time, ev Event, key flow.Key, balancer netip.AddrPort, configuration uint64, v dsrpb.Verdict) {
 	t.out.Decided(Decision{
 		Event:         ev,
 		Key:           key,
--- a/pkg/dsr/segment/segment.go
+++ b/pkg/dsr/segment/segment.go
@@ -30,8 +30,8 @@
 	Acknowledgement uint32
 	// Age is the least time since the first copy of an opening packet.
 	Age time.Duration
-	// NextCopy is how long after this copy of an opening packet its caller sends the next one; 0 when it sends none.
-	NextCopy time.Duration
+	// NextRetransmission is how long after this copy of an opening packet its caller sends the next one; 0 when it sends none.
+	NextRetransmission time.Duration
 	// Length is the number of data bytes.
 	Length int
 	// Raw is the whole packet; it is valid only during the call that it is handed to.
@@ -41,8 +41,8 @@
 // Has reports whether all flags of f are set.
 func (s Segment) Has(f Flags) bool { return s.Flags&f == f }
 
-// Opens reports whether the packet asks to open a flow.
-func (s Segment) Opens() bool { return s.Has(SYN) && !s.Has(ACK) }
+// IsOpening reports whether the packet asks to open a flow.
+func (s Segment) IsOpening() bool { return s.Has(SYN) && !s.Has(ACK) }
 
 // CallerKey returns the flow's key for a packet that a caller sent.
 func (s Segment) CallerKey() flow.Key {
--- a/pkg/dsr/warmup/limit.go
+++ b/pkg/dsr/warmup/limit.go
@@ -11,13 +11,13 @@
 	Until time.Time
 }
 
-// Holds reports whether the limit is in force at a time.
-func (l Limit) Holds(now time.Time) bool { return l.PerSecond > 0 && now.Before(l.Until) }
+// InForce reports whether the limit is in force at a time.
+func (l Limit) InForce(now time.Time) bool { return l.PerSecond > 0 && now.Before(l.Until) }
 
 // Wait estimates the time until a flow has its turn that comes after others, when a warm target takes one in each interval.
 func (l Limit) Wait(now time.Time, ahead int, interval time.Duration) time.Duration {
 	warm := interval * time.Duration(ahead)
-	if !l.Holds(now) {
+	if !l.InForce(now) {
 		return warm
 	}
 	left := l.Until.Sub(now)
--- a/pkg/dsr/warmup/window.go
+++ b/pkg/dsr/warmup/window.go
@@ -19,9 +19,9 @@
 	taken []time.Time
 }
 
-// Note counts a flow.
-func (w *Window) Note(now time.Time) {
-	w.forget(now)
+// Record counts a flow.
+func (w *Window) Record(now time.Time) {
+	w.evict(now)
 	w.taken = append(w.taken, now)
 }
 
@@ -30,7 +30,7 @@
 
 // Room is the number of flows that may be taken now when perSecond may be taken in any second.
 func (w *Window) Room(now time.Time, perSecond float64) int {
-	w.forget(now)
+	w.evict(now)
 	return max(0, bound(perSecond)-len(w.taken))
 }
 
@@ -43,7 +43,7 @@
 	return w.taken[over].Add(span + time.Nanosecond)
 }
 
-func (w *Window) forget(now time.Time) {
+func (w *Window) evict(now time.Time) {
 	n := 0
 	for n < len(w.taken) && now.Sub(w.taken[n]) > span {
 		n++
--- a/pkg/dsr/warmup/window_test.go
+++ b/pkg/dsr/warmup/window_test.go
@@ -13,8 +13,8 @@
 func TestAWindowHasRoomForWhatTheRateAllows(t *testing.T) {
 	var w Window
 	require.Equal(t, 2, w.Room(start, 2.9))
-	w.Note(start)
-	w.Note(start.Add(400 * time.Millisecond))
+	w.Record(start)
+	w.Record(start.Add(400 * time.Millisecond))
 	require.Zero(t, w.Room(start.Add(500*time.Millisecond), 2.9))
 	require.Equal(t, start.Add(time.Second+time.Nanosecond), w.Next(2.9))
 	require.Zero(t, w.Room(start.Add(time.Second), 2.9), "a flow of exactly a second ago counts")
@@ -25,7 +25,7 @@
 func TestARateBelowOneStillLetsOneFlowThrough(t *testing.T) {
 	var w Window
 	require.Equal(t, 1, w.Room(start, 0.2))
-	w.Note(start)
+	w.Record(start)
 	require.Zero(t, w.Room(start, 0.2))
 }
 
@@ -39,7 +39,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "ms")) * time.Millisecond)
 			if w.Room(now, rate) > 0 {
-				w.Note(now)
+				w.Record(now)
 				taken = append(taken, now)
 			}
 		}
--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -21,22 +21,22 @@
 
 // Times of an agent's end.
 const (
-	// leaveAtLeast is how long an agent goes on after it has told the balancers that it leaves: opening packets that are
+	// minDrainTime is how long an agent goes on after it has told the balancers that it leaves: opening packets that are
 	// under way still get an answer.
-	leaveAtLeast = 300 * time.Millisecond
+	minDrainTime = 300 * time.Millisecond
 	// unfinishedWithin is how recent the last packet of a flow must be for the agent to wait for its end.
 	unfinishedWithin = 700 * time.Millisecond
-	// probeTime is how long after its start an agent asks its target whether it is ready; by then a heartbeat has come.
+	// probeWindow is how long after its start an agent asks its target whether it is ready; by then a heartbeat has come.
 	// probeTimeout bounds one question to the target on the same VM.
-	probeTime    = 2 * time.Second
+	probeWindow  = 2 * time.Second
 	probeTimeout = 300 * time.Millisecond
-	// probePause is the time between two questions at the start, which grows to a part of the agent's age: a target that starts together
+	// minProbeInterval is the time between two questions at the start, which grows to a part of the agent's age: a target that starts together
 	// with its agent is up within a tenth of a second, and one that is not is asked a few dozen times, whatever the number of balancers.
-	probePause    = 20 * time.Millisecond
-	probeSlowdown = 10
-	// cutOffAfter is how long an agent may hear of no balancer at all until it takes itself for one that was cut off: balancers answer four
+	minProbeInterval = 20 * time.Millisecond
+	probeSlowdown    = 10
+	// isolatedAfter is how long an agent may hear of no balancer at all until it takes itself for one that was cut off: balancers answer four
 	// times a second or more, a single one every 0.75 s. A false alarm costs an announcement to each balancer.
-	cutOffAfter = 2 * time.Second
+	isolatedAfter = 2 * time.Second
 )
 
 // Agent is the daemon beside one target of a pass-through service.
@@ -50,8 +50,8 @@
 	// table and the rest are guarded by node.mu.
 	table   *ownership.Table
 	probing bool
-	// lastHeard is when any balancer was last heard of.
-	lastHeard time.Time
+	// lastSeen is when any balancer was last heard of.
+	lastSeen time.Time
 	// state is the last logged state of the target.
 	state dsrpb.State
 	// rejections counts the reports that were turned down.
@@ -96,22 +96,22 @@
 
 // Run runs the agent. When ctx ends it takes no new flows, forwards until the open ones have ended, and returns.
 func (a *Agent) Run(ctx context.Context) error {
-	g, run := errgroup.WithContext(a.life)
-	defer a.end()
+	g, run := errgroup.WithContext(a.ctx)
+	defer a.cancel()
 	g.Go(func() error { return a.packets.read(run, a.fromDaemon) })
 	g.Go(func() error { return a.outbound.read(run, a.fromTarget) })
 	g.Go(func() error { return a.alarm.run(run, a.tick) })
-	g.Go(func() error { return every(run, tellInterval, a.announce) })
-	g.Go(func() error { return a.find(run) })
+	g.Go(func() error { return every(run, sendInterval, a.announce) })
+	g.Go(func() error { return a.discover(run) })
 	g.Go(func() error { return serveHTTP(run, a.cfg.AnnounceAddress, a.platform.TargetHandler(a)) })
 	g.Go(func() error { return serveHTTP(run, a.cfg.ReadyAddress, a.platform.ReadyHandler(a.ready)) })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-			a.leave(run)
+			a.drain(run)
 		case <-run.Done():
 		}
-		a.end()
+		a.cancel()
 		return nil
 	})
 	err := g.Wait()
@@ -121,35 +121,35 @@
 	return trace.Wrap(err, "running the agent")
 }
 
-// find makes the agent known to the balancers, again while it hears of none.
-func (a *Agent) find(ctx context.Context) error {
-	a.found(a.seeds())
-	pause := findAgainMin
+// discover makes the agent known to the balancers, again while it hears of none.
+func (a *Agent) discover(ctx context.Context) error {
+	a.addDiscovered(a.seeds())
+	pause := rediscoverMin
 	for {
-		if a.alone(time.Now()) {
-			if err := findMembers(ctx, a.platform.Store, a.log, a.found); err != nil {
+		if a.hasNoBalancer(time.Now()) {
+			if err := findMembers(ctx, a.platform.Store, a.log, a.addDiscovered); err != nil {
 				return err
 			}
 		}
 		if err := wait.For(ctx, pause); err != nil {
 			return err
 		}
-		pause = min(2*pause, findAgainMax)
+		pause = min(2*pause, rediscoverMax)
 	}
 }
 
-// alone reports whether no balancer is heard of.
-func (a *Agent) alone(now time.Time) bool {
+// hasNoBalancer reports whether no balancer is heard of.
+func (a *Agent) hasNoBalancer(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.balancers.Living(now)) == 0
 }
 
-// found takes balancers that are known by hearsay, and speaks to the new ones at once.
-func (a *Agent) found(addresses []netip.AddrPort) {
+// addDiscovered takes balancers that are known by hearsay, and speaks to the new ones at once.
+func (a *Agent) addDiscovered(addresses []netip.AddrPort) {
 	now := time.Now()
 	a.mu.Lock()
-	added := a.know(now, addresses)
+	added := a.addBalancers(now, addresses)
 	a.mu.Unlock()
 	if added {
 		a.announce(now)
@@ -161,13 +161,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.logBalancers(now)
-	a.noteState(now)
+	a.logStateChange(now)
 	a.announceDue(now)
 }
 
-// noteState logs a change of the target's state that no announcement brought, such as the end of its heartbeats. a.mu is
+// logStateChange logs a change of the target's state that no announcement brought, such as the end of its heartbeats. a.mu is
 // held.
-func (a *Agent) noteState(now time.Time) {
+func (a *Agent) logStateChange(now time.Time) {
 	state := a.table.State(now)
 	if state == a.state {
 		return
@@ -176,40 +176,40 @@
 	a.state = state
 }
 
-// announceLocked tells every balancer at once. a.mu is held.
-func (a *Agent) announceLocked(now time.Time) {
+// announceNow tells every balancer at once. a.mu is held.
+func (a *Agent) announceNow(now time.Time) {
 	a.balancers.Now()
 	a.announceDue(now)
 }
 
 func (a *Agent) announceDue(now time.Time) {
 	for _, b := range a.balancers.Due(now) {
-		a.tell(now, b)
+		a.announceTo(now, b)
 	}
 }
 
-// tell sends a balancer what the agent says of itself. a.mu is held.
-func (a *Agent) tell(now time.Time, b netip.AddrPort) {
+// announceTo sends a balancer what the agent says of itself. a.mu is held.
+func (a *Agent) announceTo(now time.Time, b netip.AddrPort) {
 	a.send(b, a.table.Announcement(now, a.balancers.Alive(now, b), a.balancers.IntervalTo(b)))
 }
 
-// leave waits until the open flows have ended.
-func (a *Agent) leave(ctx context.Context) {
+// drain waits until the open flows have ended.
+func (a *Agent) drain(ctx context.Context) {
 	a.mu.Lock()
 	a.stopping = true
 	a.table.Leave(time.Now())
-	a.announceLocked(time.Now())
+	a.announceNow(time.Now())
 	a.mu.Unlock()
 	began := time.Now()
 	end := began.Add(a.cfg.GraceTime.Duration() - stopMargin)
 	for time.Now().Before(end) {
-		if wait.For(ctx, leaveAtLeast/6) != nil {
+		if wait.For(ctx, minDrainTime/6) != nil {
 			return
 		}
 		a.mu.Lock()
 		open := a.table.Unfinished(time.Now(), unfinishedWithin)
 		a.mu.Unlock()
-		if open == 0 && time.Since(began) >= leaveAtLeast {
+		if open == 0 && time.Since(began) >= minDrainTime {
 			return
 		}
 	}
@@ -226,7 +226,7 @@
 		return
 	}
 	now := time.Now()
-	a.heardFrom(now, from)
+	a.recordSeen(now, from)
 	switch m.Kind {
 	case dsrpb.Kind_KIND_FORWARD:
 		s, err := a.platform.Codec.Decode(m.Packet)
@@ -238,39 +238,39 @@
 	case dsrpb.Kind_KIND_LOCATE:
 		a.table.Locate(now, from, m)
 	case dsrpb.Kind_KIND_WELCOME:
-		a.hearEvacuations(now, m.Evacuations)
-		a.welcomed(now, from, m.Roster)
+		a.receiveEvacuations(now, m.Evacuations)
+		a.receiveWelcome(now, from, m.Roster)
 	}
-	a.alarm.by(a.table.Deadline())
+	a.alarm.schedule(a.table.Deadline())
 }
 
-// heardFrom notes a message of a balancer. One that is new, or was silent, is told of the agent at once; after a time without any
+// recordSeen notes a message of a balancer. One that is new, or was silent, is told of the agent at once; after a time without any
 // message all are, since they may have taken the agent for gone. a.mu is held.
-func (a *Agent) heardFrom(now time.Time, from netip.AddrPort) {
-	cutOff := !a.lastHeard.IsZero() && now.Sub(a.lastHeard) > cutOffAfter
-	a.lastHeard = now
+func (a *Agent) recordSeen(now time.Time, from netip.AddrPort) {
+	cutOff := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
+	a.lastSeen = now
 	if a.balancers.Heard(now, from) {
-		a.noteRegained(from)
-		a.tell(now, from)
+		a.recordRegained(from)
+		a.announceTo(now, from)
 	}
 	if cutOff {
-		a.announceLocked(now)
+		a.announceNow(now)
 	}
 }
 
-// welcomed takes the balancers that a balancer names. a.mu is held.
-func (a *Agent) welcomed(now time.Time, from netip.AddrPort, r *dsrpb.Roster) {
+// receiveWelcome takes the balancers that a balancer names. a.mu is held.
+func (a *Agent) receiveWelcome(now time.Time, from netip.AddrPort, r *dsrpb.Roster) {
 	if r == nil {
 		return
 	}
 	if r.Ask {
 		// A balancer that was away for a moment has forgotten everything, and nobody has noticed.
-		a.tell(now, from)
+		a.announceTo(now, from)
 	}
-	a.table.Usual(r.Usual)
+	a.table.SetMedianAnswers(r.Usual)
 	a.balancers.Wants(from, milliseconds(r.IntervalMs))
 	a.balancers.Says(from, answeredAnnouncements*a.balancers.IntervalTo(from))
-	if a.know(now, decodeAddresses(r.Balancers)) {
+	if a.addBalancers(now, decodeAddresses(r.Balancers)) {
 		// Those that the agent knew already hear of it when their turn comes: telling all of them for each one that is new would be the square
 		// of their number in messages.
 		a.announceDue(now)
@@ -280,36 +280,36 @@
 	}
 	a.probing = true
 	path := strings.Clone(r.HealthPath)
-	go a.probe(a.life, path)
+	go a.probe(a.ctx, path)
 }
 
-// hearEvacuations takes over which data centres are evacuated, as a balancer says. The balancers hear at once when the agent's own data
+// receiveEvacuations takes over which data centres are evacuated, as a balancer says. The balancers hear at once when the agent's own data
 // centre is concerned. a.mu is held.
-func (a *Agent) hearEvacuations(now time.Time, m *dsrpb.Evacuations) {
+func (a *Agent) receiveEvacuations(now time.Time, m *dsrpb.Evacuations) {
 	s := decodeEvacuations(m)
 	if !s.Replaces(a.evacuations) {
 		return
 	}
 	a.evacuations = s
-	if !a.table.SetEvacuated(now, s.Covers(a.cfg.DataCentre)) {
+	if !a.table.SetEvacuated(now, s.Contains(a.cfg.DataCentre)) {
 		return
 	}
 	a.log.Warn().Str("op", "adopt-evacuations").Uint64("version", s.Version).Bool("evacuated", a.table.Evacuated()).
 		Int("flows", a.table.Flows()).Msg("the data centre was evacuated or is used again")
 	a.state = a.table.State(now)
-	a.announceLocked(now)
+	a.announceNow(now)
 }
 
 // mayProbe reports whether the target is still to be asked whether it is ready. a.mu is held.
 func (a *Agent) mayProbe(now time.Time) bool {
-	return !a.table.TargetKnown() && now.Sub(a.started) <= probeTime
+	return !a.table.TargetKnown() && now.Sub(a.started) <= probeWindow
 }
 
 // probe asks the target whether it is ready until it is, so that an agent that starts beside a living target need not wait for the
 // next heartbeat, which takes up to 1.2 s.
 func (a *Agent) probe(ctx context.Context, path string) {
 	var err error
-	for range int(probeTime / probePause) {
+	for range int(probeWindow / minProbeInterval) {
 		if err = a.probeOnce(ctx, path); err == nil {
 			return
 		}
@@ -317,7 +317,7 @@
 		a.mu.Lock()
 		goOn := a.mayProbe(now)
 		a.mu.Unlock()
-		if !goOn || wait.For(ctx, max(probePause, now.Sub(a.started)/probeSlowdown)) != nil {
+		if !goOn || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
 			break
 		}
 	}
@@ -339,10 +339,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.probing = false
-	if a.table.Probed(now, n.ID, n.Born) {
+	if a.table.Probed(now, n.ID, n.StartedMs) {
 		a.log.Warn().Str("op", "target-state").Str("target", n.ID).Stringer("state", a.table.State(now)).Msg("the target says that it is ready")
 		a.state = a.table.State(now)
-		a.announceLocked(now)
+		a.announceNow(now)
 	}
 	return nil
 }
@@ -357,7 +357,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.FromTarget(time.Now(), s)
-	a.alarm.by(a.table.Deadline())
+	a.alarm.schedule(a.table.Deadline())
 }
 
 // tick carries out what is due and returns the time of the next call.
--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -70,16 +70,16 @@
 	o.a.log.Info().Str("op", string(d.Event)).Uint64("flow", d.Hash).Stringer("caller", d.Key.Source).
 		Stringer("destination", d.Key.Destination).Str("service", o.a.cfg.Service).Str("verdict", d.Verdict.String()).
 		Int("busy", d.Busy).Int("slots", d.Slots).Float64("cold_per_second", d.ColdPerSecond).Stringer("balancer", d.Balancer).
-		Uint64("configuration", configuration.ShownVersion(d.Configuration)).Msg("flow")
+		Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow")
 }
 
-// Judged implements ownership.Output.
-func (o *agentOutput) Judged(j ownership.Judgement) {
+// HealthChanged implements ownership.Output.
+func (o *agentOutput) HealthChanged(j ownership.HealthChange) {
 	line := o.a.log.Warn().Str("op", "target-judged").Stringer("state", j.State).Int("failures_of_20", j.Failures).
-		Dur("pace_ms", j.Pace).Int("busy", j.Busy)
+		Dur("pace_ms", j.WorkTime).Int("busy", j.Busy)
 	if j.LooksFailed {
 		line = line.Dur("answer_ms", j.Answer.Time).Uint32("answer_bytes", j.Answer.Bytes).
-			Dur("usual_ms", j.Usual.Time).Uint32("usual_bytes", j.Usual.Bytes)
+			Dur("usual_ms", j.Median.Time).Uint32("usual_bytes", j.Median.Bytes)
 	}
 	if !j.Until.IsZero() {
 		line = line.Dur("rest_ms", time.Until(j.Until))
@@ -130,10 +130,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.Target = a.table.State(now).String()
-	life := a.table.Life()
-	s.TargetName, s.Born, s.Since, s.Sequence = life.ID, life.Born, life.Since, life.Sequence
+	life := a.table.TargetIncarnation()
+	s.TargetName, s.Born, s.Since, s.Sequence = life.ID, life.StartedMs, life.FirstSeen, life.Sequence
 	s.Rejected = maps.Clone(a.rejections)
-	s.Busy, s.Flows, s.Configuration = a.table.Busy(), a.table.Flows(), configuration.ShownVersion(a.table.Configuration())
+	s.Busy, s.Flows, s.Configuration = a.table.Busy(), a.table.Flows(), configuration.DisplayVersion(a.table.Configuration())
 	s.LivingBalancers = len(a.balancers.Living(now))
 	s.Evacuated, s.Unfinished = a.table.Evacuated(), a.table.Unfinished(now, unfinishedWithin)
 	s.ColdPerSecond = a.table.ColdPerSecond(now)
--- a/pkg/dsrd/agent_target.go
+++ b/pkg/dsrd/agent_target.go
@@ -16,26 +16,26 @@
 	if err != nil || !tell {
 		return err
 	}
-	a.log.Warn().Str("op", "target-state").Str("target", n.ID).Uint64("born", n.Born).Uint64("sequence", n.Sequence).
+	a.log.Warn().Str("op", "target-state").Str("target", n.ID).Uint64("born", n.StartedMs).Uint64("sequence", n.Sequence).
 		Str("service", n.Service).Int("slots", n.Slots).Dur("warm_up_ms", n.WarmUp).
 		Float64("cold_per_second", a.table.ColdPerSecond(now)).Stringer("before", before).
 		Stringer("state", a.table.State(now)).Msg("the target changed")
 	a.state = a.table.State(now)
-	a.announceLocked(now)
-	a.alarm.by(a.table.Deadline())
+	a.announceNow(now)
+	a.alarm.schedule(a.table.Deadline())
 	return nil
 }
 
 // Left implements Targets.
-func (a *Agent) Left(f announcement.Farewell) error {
+func (a *Agent) Left(f announcement.Deregistration) error {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err := a.table.TargetLeft(now, f); err != nil {
 		return err
 	}
-	a.log.Warn().Str("op", "target-left").Str("target", f.ID).Uint64("born", f.Born).Msg("the target has left")
-	a.announceLocked(now)
+	a.log.Warn().Str("op", "target-left").Str("target", f.ID).Uint64("born", f.StartedMs).Msg("the target has left")
+	a.announceNow(now)
 	return nil
 }
 
@@ -45,7 +45,7 @@
 	defer a.mu.Unlock()
 	a.rejections[r.Reason]++
 	a.scope.Tagged(map[string]string{"reason": string(r.Reason)}).Counter("dsr_rejected_reports").Inc(1)
-	life := a.table.Life()
+	life := a.table.TargetIncarnation()
 	a.log.Warn().Str("op", "report-rejected").Str("reason", string(r.Reason)).Str("field", r.Field).Str("from", id).
-		Str("target", life.ID).Uint64("born", life.Born).Uint64("sequence", life.Sequence).Msg("a target's report was turned down")
+		Str("target", life.ID).Uint64("born", life.StartedMs).Uint64("sequence", life.Sequence).Msg("a target's report was turned down")
 }
--- a/pkg/dsrd/alarm.go
+++ b/pkg/dsrd/alarm.go
@@ -15,8 +15,8 @@
 	return &alarm{wake: make(chan struct{}, 1)}
 }
 
-// by makes the alarm go off at t or earlier. The caller holds the daemon's lock.
-func (a *alarm) by(t time.Time) {
+// schedule makes the alarm go off at t or earlier. The caller holds the daemon's lock.
+func (a *alarm) schedule(t time.Time) {
 	if !a.next.IsZero() && !t.Before(a.next) {
 		return
 	}
--- a/pkg/dsrd/balancer.go
+++ b/pkg/dsrd/balancer.go
@@ -30,11 +30,11 @@
 	// readyWithoutAgents is how long a balancer that knows its configuration waits for the first agent until it says that
 	// it is ready: two announcements.
 	readyWithoutAgents = 600 * time.Millisecond
-	// rotationTime is how long packets may still come to a balancer that says that it is not ready: two missed checks at
+	// minRotationTime is how long packets may still come to a balancer that says that it is not ready: two missed checks at
 	// two a second, and the time that a flow takes to move.
-	rotationTime = 1800 * time.Millisecond
-	// quietTime without a packet of an open flow ends a balancer that leaves the rotation.
-	quietTime = 400 * time.Millisecond
+	minRotationTime = 1800 * time.Millisecond
+	// drainIdleTime without a packet of an open flow ends a balancer that leaves the rotation.
+	drainIdleTime = 400 * time.Millisecond
 	// stopMargin is left of the grace time for the end of the process.
 	stopMargin = 800 * time.Millisecond
 	// answeredAnnouncements is the number of announcements of an agent that knows the balancer for each one that is answered, and
@@ -46,28 +46,28 @@
 // Balancer is the daemon of a balancer of pass-through services.
 type Balancer struct {
 	*node
-	cfg      settings.DSRBalancer
-	keeper   *keeper
-	refusals *refusal.Log
-	out      *balancerOutput
+	cfg        settings.DSRBalancer
+	configSync *configSync
+	refusals   *refusal.Log
+	out        *balancerOutput
 
 	// core, peers and the rest are guarded by node.mu.
-	core     *dispatch.Balancer
-	agents   roster.Peers
-	welcomed map[netip.AddrPort]time.Time
+	core        *dispatch.Balancer
+	agents      roster.Peers
+	lastWelcome map[netip.AddrPort]time.Time
 	// regainedAgents are the agents that were heard of again since the last look.
 	regainedAgents []netip.AddrPort
-	// readers are what the other balancers say of how much they can read.
-	readers map[netip.AddrPort]uint32
-	asking  bool
+	// readCapacity are what the other balancers say of how much they can read.
+	readCapacity  map[netip.AddrPort]uint32
+	requestAgents bool
 	// evacuations reads them; waiting is the configuration that takes force once they are known.
-	evacuations *evacuations
-	waiting     *routing.Table
-	message     dsrpb.Message
-	// namedEras are the eras of the object API that other balancers name. Their word only causes a call: whether it is so, the answer says.
-	namedEras *objectapi.Eras
-	// eralessAt is when a balancer of a release without eras last named evacuations; their versions cannot be compared.
-	eralessAt time.Time
+	evacuations   *evacuationReader
+	pendingRoutes *routing.Table
+	message       dsrpb.Message
+	// reportedEras are the eras of the object API that other balancers name. Their word only causes a call: whether it is so, the answer says.
+	reportedEras *objectapi.Eras
+	// lastWithoutEra is when a balancer of a release without eras last named evacuations; their versions cannot be compared.
+	lastWithoutEra time.Time
 }
 
 // NewBalancer binds the sockets of a balancer.
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	n.self = n.messages.address()
-	b := &Balancer{node: n, cfg: cfg, welcomed: make(map[netip.AddrPort]time.Time), readers: make(map[netip.AddrPort]uint32), asking: true}
+	b := &Balancer{node: n, cfg: cfg, lastWelcome: make(map[netip.AddrPort]time.Time), readCapacity: make(map[netip.AddrPort]uint32), requestAgents: true}
 	b.refusals = refusal.NewLog(refusal.Config{
 		Process:     cfg.Name,
 		Incarnation: uint64(n.started.UnixNano()),
@@ -92,39 +92,39 @@
 	})
 	b.out = newBalancerOutput(b)
 	b.core = dispatch.NewBalancer(dispatch.Config{DataCentre: cfg.DataCentre}, p.Codec, b.out, n.started)
-	b.keeper = newKeeper(p, env.Log)
-	b.keeper.adopt = b.adopt
-	b.keeper.before = b.readersBefore
-	b.keeper.spread = b.spread
-	b.keeper.checkedNow = b.gossipAtOnce
-	b.evacuations = &evacuations{
+	b.configSync = newConfigSync(p, env.Log)
+	b.configSync.adopt = b.adopt
+	b.configSync.checkersBefore = b.checkersBefore
+	b.configSync.propagation = b.propagation
+	b.configSync.onChecked = b.gossipNow
+	b.evacuations = &evacuationReader{
 		store:  p.Store,
 		kind:   cmp.Or(p.EvacuationKind, evacuation.Kind),
 		log:    env.Log,
 		wanted: b.readsEvacuations,
 		known:  b.knownEvacuations,
-		adopt:  b.evacuate,
+		adopt:  b.applyReadEvacuations,
 	}
 	if p.EvacuationStore != nil {
 		b.evacuations.store = p.EvacuationStore
 	}
 	b.agents.Seed = uint64(n.started.UnixNano())
-	b.namedEras = objectapi.NewEras()
+	b.reportedEras = objectapi.NewEras()
 	env.Status.Set(b.status)
 	return b, nil
 }
 
 // Run runs the balancer. When ctx ends it leaves the rotation, forwards until its flows have moved, and returns.
 func (b *Balancer) Run(ctx context.Context) error {
-	g, run := errgroup.WithContext(b.life)
-	defer b.end()
+	g, run := errgroup.WithContext(b.ctx)
+	defer b.cancel()
 	g.Go(func() error { return b.packets.read(run, b.fromCaller) })
 	g.Go(func() error { return b.messages.read(run, b.fromDaemon) })
 	g.Go(func() error { return b.alarm.run(run, b.tick) })
-	g.Go(func() error { return b.keeper.run(run) })
+	g.Go(func() error { return b.configSync.run(run) })
 	g.Go(func() error { return b.evacuations.run(run) })
-	g.Go(func() error { return b.handOver(run) })
-	g.Go(func() error { return every(run, tellInterval, b.gossip) })
+	g.Go(func() error { return b.serveConfiguration(run) })
+	g.Go(func() error { return every(run, sendInterval, b.gossip) })
 	g.Go(func() error { return b.join(run) })
 	g.Go(func() error { return objectapi.LogEras(run, b.eras, b.log) })
 	g.Go(func() error { return b.refusals.Run(run) })
@@ -136,10 +136,10 @@
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-			b.leave(run)
+			b.drain(run)
 		case <-run.Done():
 		}
-		b.end()
+		b.cancel()
 		return nil
 	})
 	err := g.Wait()
@@ -149,21 +149,21 @@
 	return trace.Wrap(err, "running the balancer")
 }
 
-// leave waits until the routers send the flows elsewhere.
-func (b *Balancer) leave(ctx context.Context) {
+// drain waits until the routers send the flows elsewhere.
+func (b *Balancer) drain(ctx context.Context) {
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
 	began := time.Now()
 	end := began.Add(b.cfg.GraceTime.Duration() - stopMargin)
 	for time.Now().Before(end) {
-		if wait.For(ctx, quietTime/4) != nil {
+		if wait.For(ctx, drainIdleTime/4) != nil {
 			return
 		}
 		b.mu.Lock()
-		open := b.core.Open(time.Now(), quietTime)
+		open := b.core.Open(time.Now(), drainIdleTime)
 		b.mu.Unlock()
-		if open == 0 && time.Since(began) >= rotationTime {
+		if open == 0 && time.Since(began) >= minRotationTime {
 			break
 		}
 	}
@@ -207,20 +207,20 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.core.Evacuations().Known() {
-		b.waiting = t
+		b.pendingRoutes = t
 		return
 	}
-	b.useRoutes(time.Now(), t)
+	b.applyRoutes(time.Now(), t)
 }
 
-// useRoutes takes a configuration into force. b.mu is held.
-func (b *Balancer) useRoutes(now time.Time, t *routing.Table) {
+// applyRoutes takes a configuration into force. b.mu is held.
+func (b *Balancer) applyRoutes(now time.Time, t *routing.Table) {
 	if !b.core.SetRoutes(now, t) {
 		return
 	}
-	b.alarm.by(b.core.Deadline())
-	b.tellHealthPaths(now)
-	b.log.Warn().Str("op", "adopt-configuration").Uint64("configuration", configuration.ShownVersion(t.Version())).Str("label", t.Label()).
+	b.alarm.schedule(b.core.Deadline())
+	b.sendHealthPaths(now)
+	b.log.Warn().Str("op", "adopt-configuration").Uint64("configuration", configuration.DisplayVersion(t.Version())).Str("label", t.Label()).
 		Int("routes", t.Len()).Msg("the configuration is in force")
 }
 
@@ -234,7 +234,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.core.FromCaller(time.Now(), s)
-	b.alarm.by(b.core.Deadline())
+	b.alarm.schedule(b.core.Deadline())
 }
 
 // fromDaemon takes a message of an agent or a balancer.
@@ -263,7 +263,7 @@
 	if m.Kind == dsrpb.Kind_KIND_ANNOUNCE {
 		b.welcome(now, from, m.Service, m.Announcement)
 	}
-	b.alarm.by(b.core.Deadline())
+	b.alarm.schedule(b.core.Deadline())
 }
 
 // tick carries out what is due and returns the time of the next call.
@@ -275,20 +275,20 @@
 	return b.alarm.next
 }
 
-// handOver serves the configuration to other balancers.
-func (b *Balancer) handOver(ctx context.Context) error {
+// serveConfiguration serves the configuration to other balancers.
+func (b *Balancer) serveConfiguration(ctx context.Context) error {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+configurationPath, b.keeper)
+	mux.Handle("GET "+configurationPath, b.configSync)
 	return serveHTTP(ctx, b.self.String(), mux)
 }
 
 // join makes the balancer known in the object API, again in each era: an API that came back from an older copy may have lost the balancer's
 // object.
 func (b *Balancer) join(ctx context.Context) error {
-	b.found(b.seeds())
+	b.addDiscovered(b.seeds())
 	for {
-		named := b.namedEras.Newest()
-		era, err := joinMembers(ctx, b.platform.Store, b.log, b.cfg.Name, b.self, b.found)
+		named := b.reportedEras.Newest()
+		era, err := joinMembers(ctx, b.platform.Store, b.log, b.cfg.Name, b.self, b.addDiscovered)
 		if err != nil {
 			return err
 		}
@@ -306,7 +306,7 @@
 func (b *Balancer) awaitEra(ctx context.Context, era, named uint64) error {
 	for {
 		newest, known := b.eras.Changed()
-		newestNamed, heard := b.namedEras.Changed()
+		newestNamed, heard := b.reportedEras.Changed()
 		if newest > era || newestNamed > max(era, named) {
 			return nil
 		}
--- a/pkg/dsrd/balancer_output.go
+++ b/pkg/dsrd/balancer_output.go
@@ -58,7 +58,7 @@
 
 // Outdated implements dispatch.Output.
 func (o *balancerOutput) Outdated(version uint64) {
-	o.b.keeper.want(version, netip.AddrPort{})
+	o.b.configSync.notifyNewer(version, netip.AddrPort{})
 }
 
 // Refused implements dispatch.Output.
@@ -69,13 +69,13 @@
 		Caller:      r.Key.Source,
 		Destination: r.Key.Destination,
 		Flow:        r.Hash,
-		Revision:    configuration.ShownVersion(r.Configuration),
+		Revision:    configuration.DisplayVersion(r.Configuration),
 		Reason:      r.Reason,
 		Run:         r.Run,
 	})
 	o.b.log.Warn().Str("op", "refuse").Str("record", id).Uint64("flow", r.Hash).Stringer("caller", r.Key.Source).
 		Stringer("destination", r.Key.Destination).Str("service", r.Service).Str("reason", string(r.Reason)).Str("run", string(r.Run)).Bool("told", r.Told).
-		Int("tried", r.Tried).Dur("waited_ms", r.Waited).Uint64("configuration", configuration.ShownVersion(r.Configuration)).Msg("flow refused")
+		Int("tried", r.Tried).Dur("waited_ms", r.Waited).Uint64("configuration", configuration.DisplayVersion(r.Configuration)).Msg("flow refused")
 }
 
 // Decided implements dispatch.Output.
@@ -87,7 +87,7 @@
 	o.b.log.Info().Str("op", string(d.Event)).Uint64("flow", d.Hash).Stringer("caller", d.Key.Source).
 		Stringer("destination", d.Key.Destination).Str("service", d.Service).Stringer("agent", d.Agent).
 		Str("verdict", d.Verdict.String()).Float64("load", d.Load).Dur("report_age_ms", d.ReportAge).
-		Int("tried", d.Tried).Dur("waited_ms", d.Waited).Uint64("configuration", configuration.ShownVersion(d.Configuration)).Msg("flow")
+		Int("tried", d.Tried).Dur("waited_ms", d.Waited).Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow")
 }
 
 func (o *balancerOutput) decisionCounter(e dispatch.Event) tally.Counter {
--- a/pkg/dsrd/balancer_status.go
+++ b/pkg/dsrd/balancer_status.go
@@ -33,8 +33,8 @@
 	if err := b.ready(); err != nil {
 		s.Ready = err.Error()
 	}
-	version, age, _ := b.keeper.state(now)
-	s.Configuration, s.CheckedSeconds = configuration.ShownVersion(version), age.Seconds()
+	version, age, _ := b.configSync.state(now)
+	s.Configuration, s.CheckedSeconds = configuration.DisplayVersion(version), age.Seconds()
 	s.Era = b.eras.Newest()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +53,7 @@
 func (noTargets) Announce(announcement.Announcement) error { return errNoTargets }
 
 // Left implements Targets.
-func (noTargets) Left(announcement.Farewell) error { return errNoTargets }
+func (noTargets) Left(announcement.Deregistration) error { return errNoTargets }
 
 // Rejected implements Targets.
 func (noTargets) Rejected(string, *announcement.Rejection) {}
--- a/pkg/dsrd/cleanup.go
+++ b/pkg/dsrd/cleanup.go
@@ -28,7 +28,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if !b.first() {
+		if !b.isFirst() {
 			continue
 		}
 		n, err := r.Run(ctx, time.Now())
@@ -40,8 +40,8 @@
 	}
 }
 
-// first reports whether no living balancer has a lower address.
-func (b *Balancer) first() bool {
+// isFirst reports whether no living balancer has a lower address.
+func (b *Balancer) isFirst() bool {
 	for _, a := range b.living() {
 		if a.Compare(b.self) < 0 {
 			return false
--- a/pkg/dsrd/evacuate.go
+++ b/pkg/dsrd/evacuate.go
@@ -14,18 +14,18 @@
 // again. The others tell it when they answer its next announcement.
 const agentFanOut = 6
 
-// eralessTime is how long a balancer reads the evacuations itself after one of a release without eras has named them, which may be the one that
+// withoutEraTime is how long a balancer reads the evacuations itself after one of a release without eras has named them, which may be the one that
 // watches for all.
-const eralessTime = 2 * EvacuationWait
+const withoutEraTime = 2 * EvacuationWait
 
 // readsEvacuations reports whether this balancer reads the evacuations: until it knows any, while it checks for others, and while others may not be
 // able to tell it.
 func (b *Balancer) readsEvacuations() bool {
 	b.mu.Lock()
 	known := b.core.Evacuations().Known()
-	untold := !b.eralessAt.IsZero() && time.Since(b.eralessAt) < eralessTime
+	untold := !b.lastWithoutEra.IsZero() && time.Since(b.lastWithoutEra) < withoutEraTime
 	b.mu.Unlock()
-	return !known || untold || b.keeper.watches()
+	return !known || untold || b.configSync.watches()
 }
 
 // knownEvacuations returns the evacuated data centres as this balancer knows them.
@@ -35,60 +35,60 @@
 	return b.core.Evacuations()
 }
 
-// evacuate takes over which data centres are evacuated, and hands it on when that is news.
-func (b *Balancer) evacuate(s evacuation.Set) {
+// applyReadEvacuations takes over which data centres are evacuated, and hands it on when that is news.
+func (b *Balancer) applyReadEvacuations(s evacuation.Set) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.useEvacuations(now, s) {
-		b.tellNews(now)
+	if b.applyEvacuations(now, s) {
+		b.gossipNowLocked(now)
 	}
 }
 
-// hearEvacuations takes over what another balancer says. News goes on at once, as for a change of the configuration. b.mu is held.
-func (b *Balancer) hearEvacuations(now time.Time, m *dsrpb.Evacuations) {
+// receiveEvacuations takes over what another balancer says. News goes on at once, as for a change of the configuration. b.mu is held.
+func (b *Balancer) receiveEvacuations(now time.Time, m *dsrpb.Evacuations) {
 	if m != nil && objectapi.EraOf(m.Version) == 0 && b.eras.Newest() > 0 {
-		b.eralessAt = now
+		b.lastWithoutEra = now
 	}
-	if b.useEvacuations(now, decodeEvacuations(m)) {
-		b.tellNews(now)
+	if b.applyEvacuations(now, decodeEvacuations(m)) {
+		b.gossipNowLocked(now)
 	}
 }
 
-// useEvacuations takes evacuations into force; it reports whether other balancers may not know them. b.mu is held.
-func (b *Balancer) useEvacuations(now time.Time, s evacuation.Set) bool {
+// applyEvacuations takes evacuations into force; it reports whether other balancers may not know them. b.mu is held.
+func (b *Balancer) applyEvacuations(now time.Time, s evacuation.Set) bool {
 	before := b.core.Evacuations()
 	if !b.core.SetEvacuations(now, s) {
 		return false
 	}
-	if b.waiting != nil {
-		b.useRoutes(now, b.waiting)
-		b.waiting = nil
+	if b.pendingRoutes != nil {
+		b.applyRoutes(now, b.pendingRoutes)
+		b.pendingRoutes = nil
 	}
 	changed := s.Changed(before)
 	if len(changed) == 0 {
 		return false
 	}
-	b.alarm.by(b.core.Deadline())
-	b.tellEvacuations(now, changed)
+	b.alarm.schedule(b.core.Deadline())
+	b.notifyAgents(now, changed)
 	b.log.Warn().Str("op", "adopt-evacuations").Uint64("version", s.Version).Strs("data_centres", s.DataCentres).
 		Strs("before", before.DataCentres).Msg("the evacuated data centres are known")
 	return true
 }
 
-// tellEvacuations tells some of the agents of data centres that were evacuated or are used again. b.mu is held.
-func (b *Balancer) tellEvacuations(now time.Time, dataCentres []string) {
+// notifyAgents tells some of the agents of data centres that were evacuated or are used again. b.mu is held.
+func (b *Balancer) notifyAgents(now time.Time, dataCentres []string) {
 	for _, d := range dataCentres {
 		for _, a := range b.core.AgentsOf(now, d) {
-			if b.tellsAtOnce() {
+			if b.isNotifier() {
 				b.send(a.Address, b.welcomeMessage(now, a.Service))
 			}
 		}
 	}
 }
 
-// tellsAtOnce draws whether this balancer is one of those that tell an agent at once. b.mu is held.
-func (b *Balancer) tellsAtOnce() bool {
+// isNotifier draws whether this balancer is one of those that tell an agent at once. b.mu is held.
+func (b *Balancer) isNotifier() bool {
 	others := b.balancers.Len()
 	return others < agentFanOut || rand.IntN(others+1) < agentFanOut
 }
--- a/pkg/dsrd/evacuations.go
+++ b/pkg/dsrd/evacuations.go
@@ -15,9 +15,9 @@
 // declaration is in force within the 5 s that operators are promised.
 const EvacuationWait = 2400 * time.Millisecond
 
-// evacuations reads which data centres operators have evacuated. It runs beside the keeper: the balancer that compares the
-// configuration with the object API for all others also watches the evacuations for them. No lock is held during a call.
-type evacuations struct {
+// evacuationReader reads which data centres operators have evacuated. It runs beside the keeper: the balancer that compares the
+// configuration with the object API for all others also watches the evacuationReader for them. No lock is held during a call.
+type evacuationReader struct {
 	store objectapi.Store
 	kind  objectapi.Kind
 	log   zerolog.Logger
@@ -30,16 +30,16 @@
 	// revision is the store version that members stands for, 0 when a whole reading is needed.
 	revision uint64
 	members  map[string]bool
-	// lostUntil is until when evacuations stay in force that an object API which came back older does not name; zero outside of such a time.
-	lostUntil time.Time
+	// keepUntil is until when evacuations stay in force that an object API which came back older does not name; zero outside of such a time.
+	keepUntil time.Time
 	// pauseUntil is the time before which nothing is read, failures the number of readings that have failed in a row.
 	pauseUntil time.Time
 	failures   int
 }
 
 // run reads until the context ends.
-func (e *evacuations) run(ctx context.Context) error {
-	return every(ctx, keeperInterval, func(now time.Time) {
+func (e *evacuationReader) run(ctx context.Context) error {
+	return every(ctx, syncInterval, func(now time.Time) {
 		if !e.wanted() {
 			// What changes until this balancer watches again is not heard of.
 			e.revision = 0
@@ -48,15 +48,15 @@
 		if now.Before(e.pauseUntil) {
 			return
 		}
-		if !e.lostUntil.IsZero() && !now.Before(e.lostUntil) {
-			e.lostUntil, e.revision = time.Time{}, 0
+		if !e.keepUntil.IsZero() && !now.Before(e.keepUntil) {
+			e.keepUntil, e.revision = time.Time{}, 0
 		}
-		e.note(e.read(ctx))
+		e.recordResult(e.read(ctx))
 	})
 }
 
 // read makes one call.
-func (e *evacuations) read(ctx context.Context) error {
+func (e *evacuationReader) read(ctx context.Context) error {
 	if e.revision == 0 {
 		return e.list(ctx)
 	}
@@ -64,7 +64,7 @@
 }
 
 // list reads all evacuations.
-func (e *evacuations) list(ctx context.Context) error {
+func (e *evacuationReader) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	objects, revision, err := e.store.List(ctx, e.kind)
@@ -81,14 +81,14 @@
 
 // adoptMembers takes what was read into force. Evacuations that a later era of the object API does not name stay for a while: they may have been
 // lost, and are written again then.
-func (e *evacuations) adoptMembers() {
+func (e *evacuationReader) adoptMembers() {
 	read, known := evacuation.FromMembers(e.revision, e.members), e.known()
 	if known.Known() && objectapi.EraOf(known.Version) < objectapi.EraOf(e.revision) {
-		e.lostUntil = time.Now().Add(objectapi.RestoredWait)
+		e.keepUntil = time.Now().Add(objectapi.RestoredWait)
 	}
 	both := read.Union(known)
-	if e.lostUntil.IsZero() || both.Same(read) {
-		e.lostUntil = time.Time{}
+	if e.keepUntil.IsZero() || both.Equal(read) {
+		e.keepUntil = time.Time{}
 		e.adopt(read)
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // watch waits for a change. Whatever fails, the next call is a whole reading.
-func (e *evacuations) watch(ctx context.Context) error {
+func (e *evacuationReader) watch(ctx context.Context) error {
 	from := e.revision
 	e.revision = 0
 	events, next, err := e.store.Watch(ctx, e.kind, from)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (e *evacuations) apply(event objectapi.Event) {
+func (e *evacuationReader) apply(event objectapi.Event) {
 	if event.Type == objectapi.EventDelete {
 		delete(e.members, event.Object.Name)
 		return
@@ -131,8 +131,8 @@
 	e.members[event.Object.Name] = true
 }
 
-// note keeps the outcome of a call and logs when calls begin to fail or to work.
-func (e *evacuations) note(err error) {
+// recordResult keeps the outcome of a call and logs when calls begin to fail or to work.
+func (e *evacuationReader) recordResult(err error) {
 	if err == nil {
 		if e.failures > 0 {
 			e.log.Warn().Str("op", "read-evacuations").Msg("the evacuations are read again")
--- a/pkg/dsrd/evacuations_test.go
+++ b/pkg/dsrd/evacuations_test.go
@@ -27,7 +27,7 @@
 // newEvacuationFixture must be called in a synctest bubble.
 func newEvacuationFixture(t *testing.T) *evacuationFixture {
 	f := &evacuationFixture{T: t, store: store.New(store.Config{WatchWait: EvacuationWait, History: 8}), watch: true}
-	e := &evacuations{store: f.store, kind: evacuation.Kind, log: zerolog.Nop(), wanted: f.wanted, known: f.inForce, adopt: f.adopt}
+	e := &evacuationReader{store: f.store, kind: evacuation.Kind, log: zerolog.Nop(), wanted: f.shouldRead, known: f.inForce, adopt: f.adopt}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -41,7 +41,7 @@
 	return f
 }
 
-func (f *evacuationFixture) wanted() bool {
+func (f *evacuationFixture) shouldRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watch || !f.set.Known()
@@ -61,7 +61,7 @@
 	return f.set
 }
 
-func (f *evacuationFixture) known() []string { return f.inForce().DataCentres }
+func (f *evacuationFixture) dataCentres() []string { return f.inForce().DataCentres }
 
 func (f *evacuationFixture) setWatch(on bool) {
 	f.mu.Lock()
@@ -121,15 +121,15 @@
 					c.after(f)
 				}
 				f.pass(evacuationBound)
-				require.Equal(t, []string{"marka", "zarqa"}, f.known())
+				require.Equal(t, []string{"marka", "zarqa"}, f.dataCentres())
 				f.withdraw("marka", marka)
 				if c.after != nil {
 					c.after(f)
 				}
 				f.pass(evacuationBound)
-				require.Equal(t, []string{"zarqa"}, f.known())
+				require.Equal(t, []string{"zarqa"}, f.dataCentres())
 				f.pass(5 * time.Second)
-				require.Equal(t, []string{"zarqa"}, f.known(), "a withdrawn evacuation does not come back")
+				require.Equal(t, []string{"zarqa"}, f.dataCentres(), "a withdrawn evacuation does not come back")
 			})
 		})
 	}
@@ -142,7 +142,7 @@
 		f.declare("marka")
 		f.setWatch(false)
 		f.pass(time.Second)
-		require.Equal(t, []string{"marka"}, f.known())
+		require.Equal(t, []string{"marka"}, f.dataCentres())
 		before := f.store.Counts()
 		f.pass(10 * time.Second)
 		require.Equal(t, before.Reads(), f.store.Counts().Reads())
@@ -163,11 +163,11 @@
 		f.store.Restore(older)
 		for range 17 {
 			f.pass(100 * time.Millisecond)
-			require.Equal(t, []string{"marka"}, f.known())
+			require.Equal(t, []string{"marka"}, f.dataCentres())
 		}
 		f.declare("marka")
 		f.pass(10 * time.Second)
-		require.Equal(t, []string{"marka"}, f.known())
+		require.Equal(t, []string{"marka"}, f.dataCentres())
 	})
 }
 
@@ -183,12 +183,12 @@
 		f.pass(500 * time.Millisecond)
 		sahab := f.declare("sahab")
 		f.pass(evacuationBound)
-		require.Equal(t, []string{"marka", "sahab", "zarqa"}, f.known())
+		require.Equal(t, []string{"marka", "sahab", "zarqa"}, f.dataCentres())
 		f.declare("marka")
 		f.pass(50 * time.Millisecond)
 		f.withdraw("sahab", sahab)
 		f.pass(50 * time.Millisecond)
-		require.Equal(t, []string{"marka", "zarqa"}, f.known(), "nothing is lost any more")
+		require.Equal(t, []string{"marka", "zarqa"}, f.dataCentres(), "nothing is lost any more")
 	})
 }
 
@@ -202,10 +202,10 @@
 		f.pass(time.Second)
 		f.store.Restore(older)
 		f.pass(5 * time.Second)
-		require.Equal(t, []string{"zarqa"}, f.known())
+		require.Equal(t, []string{"zarqa"}, f.dataCentres())
 		f.declare("sahab")
 		f.pass(evacuationBound)
-		require.Equal(t, []string{"sahab", "zarqa"}, f.known())
+		require.Equal(t, []string{"sahab", "zarqa"}, f.dataCentres())
 	})
 }
 
@@ -219,23 +219,23 @@
 		f.pass(time.Second)
 		f.store.Restore(older, evacuation.Kind)
 		f.pass(evacuationBound)
-		require.Empty(t, f.known())
+		require.Empty(t, f.dataCentres())
 	})
 }
 
 func TestABalancerReadsEvacuationsWhileAnOlderReleaseWatchesThem(t *testing.T) {
 	b := testBalancer(t)
 	b.eras.See(1)
-	b.evacuate(evacuation.NewSet(store.Version(1, 9), nil))
+	b.applyReadEvacuations(evacuation.NewSet(store.Version(1, 9), nil))
 	require.False(t, b.readsEvacuations(), "another balancer watches")
 	now := time.Now()
 	b.mu.Lock()
-	b.hearEvacuations(now, &dsrpb.Evacuations{Version: store.Version(1, 12), DataCentres: []string{"marka"}})
+	b.receiveEvacuations(now, &dsrpb.Evacuations{Version: store.Version(1, 12), DataCentres: []string{"marka"}})
 	b.mu.Unlock()
 	require.False(t, b.readsEvacuations())
 	require.Equal(t, []string{"marka"}, b.knownEvacuations().DataCentres)
 	b.mu.Lock()
-	b.hearEvacuations(now, &dsrpb.Evacuations{Version: 900})
+	b.receiveEvacuations(now, &dsrpb.Evacuations{Version: 900})
 	b.mu.Unlock()
 	require.True(t, b.readsEvacuations(), "its word has no era")
 	require.Equal(t, []string{"marka"}, b.knownEvacuations().DataCentres)
--- a/pkg/dsrd/keeper.go
+++ b/pkg/dsrd/keeper.go
@@ -30,8 +30,8 @@
 	checkStagger = 150 * time.Millisecond
 	// maxStagger bounds the sum of the additions.
 	maxStagger = 900 * time.Millisecond
-	// spreadTime is how long the word of a check takes to all balancers where it is handed on from one to the next.
-	spreadTime = 500 * time.Millisecond
+	// propagationTime is how long the word of a check takes to all balancers where it is handed on from one to the next.
+	propagationTime = 500 * time.Millisecond
 	// readTimeout bounds the reading of a whole configuration; one of 300 kB takes a link of 10 Mbit/s 0.25 s.
 	readTimeout = time.Second
 	// readInterval is the time between two whole readings while objects of other kinds change. A watch that has missed a change
@@ -40,37 +40,37 @@
 	// changePause is the time between two readings while the configuration keeps changing: of a series of changes only the
 	// newest is read, decoded and handed on.
 	changePause = 400 * time.Millisecond
-	// handOverTimeout bounds the fetch of a configuration from another balancer.
-	handOverTimeout = 500 * time.Millisecond
-	// keeperInterval is the time between two looks at whether a check is due.
-	keeperInterval = 100 * time.Millisecond
+	// fetchTimeout bounds the fetch of a configuration from another balancer.
+	fetchTimeout = 500 * time.Millisecond
+	// syncInterval is the time between two looks at whether a check is due.
+	syncInterval = 100 * time.Millisecond
 	// failurePause is the pause after a failed check, doubled with each further one up to maxFailurePause, since each call of an outage is
 	// charged to the object API's budget.
 	failurePause    = 200 * time.Millisecond
 	maxFailurePause = 800 * time.Millisecond
-	// maxHandOver bounds a configuration that is handed over, in bytes.
-	maxHandOver = 4 << 20
+	// maxFetchSize bounds a configuration that is handed over, in bytes.
+	maxFetchSize = 4 << 20
 	// configurationPath is where a balancer hands its configuration over.
 	configurationPath = "/v2/configuration"
 )
 
-// keeper keeps the configuration of a balancer up to date. No lock is held during a call.
-type keeper struct {
+// configSync keeps the configuration of a balancer up to date. No lock is held during a call.
+type configSync struct {
 	platform Platform
 	log      zerolog.Logger
 	client   *http.Client
 	wake     chan struct{}
 	// adopt takes a newer configuration into force.
 	adopt func(configuration.Configuration)
-	// checkedNow is called after each check that worked and after each change, so that the other balancers need not check.
-	checkedNow func()
-	// before is the number of living balancers that check before this one; spread is how long the word of a check may take.
-	before func() int
-	spread func() time.Duration
-
-	// taking lets one configuration be taken into force at a time, encoding one be encoded; both are locked before mu.
-	taking   sync.Mutex
-	encoding sync.Mutex
+	// onChecked is called after each check that worked and after each change, so that the other balancers need not check.
+	onChecked func()
+	// checkersBefore is the number of living balancers that check checkersBefore this one; spread is how long the word of a check may take.
+	checkersBefore func() int
+	propagation    func() time.Duration
+
+	// adoptMu lets one configuration be taken into force at a time, encoding one be encoded; both are locked before mu.
+	adoptMu  sync.Mutex
+	encodeMu sync.Mutex
 	// cursor and lastRead are used by the check loop alone.
 	cursor   cursor
 	lastRead readVersion
@@ -87,11 +87,11 @@
 	// pauseUntil is the time before which no check is made, failures the number of checks that have failed in a row.
 	pauseUntil time.Time
 	failures   int
-	// wanted is a version that another process has named, wantedAt when the first newer one was; source is the balancer that
+	// newerVersion is a version that another process has named, wantedAt when the first newer one was; source is the balancer that
 	// has it, if known.
-	wanted   uint64
-	wantedAt time.Time
-	source   netip.AddrPort
+	newerVersion uint64
+	newerSince   time.Time
+	newerSource  netip.AddrPort
 	// adopted is when the configuration in force was taken over.
 	adopted time.Time
 }
@@ -110,41 +110,41 @@
 	object, configuration uint64
 }
 
-func newKeeper(p Platform, log zerolog.Logger) *keeper {
-	return &keeper{
+func newConfigSync(p Platform, log zerolog.Logger) *configSync {
+	return &configSync{
 		platform: p,
 		log:      log,
-		client:   &http.Client{Timeout: handOverTimeout},
+		client:   &http.Client{Timeout: fetchTimeout},
 		wake:     make(chan struct{}, 1),
 	}
 }
 
 // state returns the version in force, and how long ago it was known to be the newest.
-func (k *keeper) state(now time.Time) (version uint64, age time.Duration, checked bool) {
+func (k *configSync) state(now time.Time) (version uint64, age time.Duration, checked bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inForce.Version, now.Sub(k.checked), !k.checked.IsZero()
 }
 
-// want tells that a newer version exists. Source is the balancer that has it, or the zero value.
-func (k *keeper) want(version uint64, source netip.AddrPort) {
+// notifyNewer tells that a newer version exists. Source is the balancer that has it, or the zero value.
+func (k *configSync) notifyNewer(version uint64, source netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version <= k.inForce.Version {
 		return
 	}
-	if k.wanted <= k.inForce.Version {
-		k.wantedAt = time.Now()
+	if k.newerVersion <= k.inForce.Version {
+		k.newerSince = time.Now()
 	}
-	k.wanted = max(k.wanted, version)
+	k.newerVersion = max(k.newerVersion, version)
 	if source.IsValid() {
-		k.source = source
+		k.newerSource = source
 	}
 	signal(k.wake)
 }
 
-// vouched notes that a version was the newest at a time, as a check or another balancer says.
-func (k *keeper) vouched(version uint64, at time.Time) {
+// confirm notes that a version was the newest at a time, as a check or another balancer says.
+func (k *configSync) confirm(version uint64, at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version == k.inForce.Version && at.After(k.checked) {
@@ -154,7 +154,7 @@
 
 // run keeps the configuration until the context ends. Checks and fetches do not wait for each other: a balancer that starts
 // while the object API is slow has the configuration of its peers within milliseconds.
-func (k *keeper) run(ctx context.Context) error {
+func (k *configSync) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.checkLoop(ctx) })
 	g.Go(func() error { return k.fetchLoop(ctx) })
@@ -162,8 +162,8 @@
 }
 
 // checkLoop compares the configuration with the object API when that is due.
-func (k *keeper) checkLoop(ctx context.Context) error {
-	return every(ctx, keeperInterval, func(now time.Time) {
+func (k *configSync) checkLoop(ctx context.Context) error {
+	return every(ctx, syncInterval, func(now time.Time) {
 		if k.due(now) {
 			k.check(ctx)
 		}
@@ -171,7 +171,7 @@
 }
 
 // fetchLoop takes newer configurations from the balancers that have them.
-func (k *keeper) fetchLoop(ctx context.Context) error {
+func (k *configSync) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -189,16 +189,16 @@
 }
 
 // behind reports whether a newer version is known of, and the balancer that has it, if any.
-func (k *keeper) behind() (netip.AddrPort, bool) {
+func (k *configSync) behind() (netip.AddrPort, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.source, k.wanted > k.inForce.Version
+	return k.newerSource, k.newerVersion > k.inForce.Version
 }
 
 // due reports whether the configuration is to be compared with the object API. The balancer that comes first always watches;
 // the others step in when it does not tell them that it does.
-func (k *keeper) due(now time.Time) bool {
-	before, spread := k.before(), k.spread()
+func (k *configSync) due(now time.Time) bool {
+	before, spread := k.checkersBefore(), k.propagation()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now.Before(k.pauseUntil) {
@@ -208,7 +208,7 @@
 		return true
 	}
 	// Other balancers hand a newer version over in less time and bytes than the object API.
-	if k.wanted > k.inForce.Version && now.Sub(k.wantedAt) >= handOverTimeout {
+	if k.newerVersion > k.inForce.Version && now.Sub(k.newerSince) >= fetchTimeout {
 		return true
 	}
 	last := k.checked
@@ -220,7 +220,7 @@
 
 // check learns from the object API whether the configuration in force is the newest, and takes the newer one if there is. It
 // ends at once when something is new, and after WatchWait when nothing is.
-func (k *keeper) check(ctx context.Context) {
+func (k *configSync) check(ctx context.Context) {
 	began := time.Now()
 	version, _, _ := k.state(began)
 	var err error
@@ -229,22 +229,22 @@
 	} else {
 		err = k.watch(ctx)
 	}
-	k.note(began, err)
+	k.recordCheck(began, err)
 	k.setWatching(version > 0 && err == nil)
 	if err == nil {
-		k.checkedNow()
+		k.onChecked()
 	}
 }
 
 // setWatching notes whether this balancer checks for others. A reading at its start is none for others.
-func (k *keeper) setWatching(on bool) {
+func (k *configSync) setWatching(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.watching = on
 }
 
 // watches reports whether this balancer checks for others.
-func (k *keeper) watches() bool {
+func (k *configSync) watches() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.watching
@@ -252,7 +252,7 @@
 
 // mustRead reports whether a whole reading is needed: at the start, after a change or a failure, when another process knows of
 // a newer version, and now and then while anything changes in the object API.
-func (k *keeper) mustRead(now time.Time) bool {
+func (k *configSync) mustRead(now time.Time) bool {
 	if _, behind := k.behind(); behind || k.cursor.revision == 0 {
 		return true
 	}
@@ -260,7 +260,7 @@
 }
 
 // read reads the whole configuration.
-func (k *keeper) read(ctx context.Context, began time.Time) error {
+func (k *configSync) read(ctx context.Context, began time.Time) error {
 	k.cursor = cursor{}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -273,7 +273,7 @@
 		if o.Name != k.platform.ConfigurationName {
 			continue
 		}
-		changed, err := k.takeObject(o, began)
+		changed, err := k.adoptObject(o, began)
 		if err != nil {
 			return err
 		}
@@ -292,7 +292,7 @@
 var errNoConfiguration = errors.New("the object API holds no configuration")
 
 // watch waits for a change of the configuration.
-func (k *keeper) watch(ctx context.Context) error {
+func (k *configSync) watch(ctx context.Context) error {
 	from := k.cursor
 	k.cursor = cursor{}
 	events, next, err := k.platform.Store.Watch(ctx, k.platform.ConfigurationKind, from.revision)
@@ -309,7 +309,7 @@
 		if e.Type != objectapi.EventPut || e.Object.Name != k.platform.ConfigurationName {
 			continue
 		}
-		if _, err := k.takeObject(e.Object, answered); err != nil {
+		if _, err := k.adoptObject(e.Object, answered); err != nil {
 			return err
 		}
 		changes++
@@ -324,30 +324,30 @@
 	from.revision = max(from.revision, next)
 	k.cursor = from
 	version, _, _ := k.state(answered)
-	k.vouched(version, answered)
+	k.confirm(version, answered)
 	return nil
 }
 
-func (k *keeper) pause(until time.Time) {
+func (k *configSync) pause(until time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.pauseUntil = until
 }
 
-// note keeps the outcome of a check and logs when checks begin to fail or to work.
-func (k *keeper) note(began time.Time, err error) {
+// recordCheck keeps the outcome of a check and logs when checks begin to fail or to work.
+func (k *configSync) recordCheck(began time.Time, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
 		if k.failures > 0 {
-			k.log.Warn().Str("op", "check-configuration").Uint64("configuration", configuration.ShownVersion(k.inForce.Version)).
+			k.log.Warn().Str("op", "check-configuration").Uint64("configuration", configuration.DisplayVersion(k.inForce.Version)).
 				Dur("took_ms", time.Since(began)).Msg("the configuration is checked again")
 		}
 		k.failures = 0
 		return
 	}
 	if k.failures == 0 {
-		k.log.Warn().Err(err).Str("op", "check-configuration").Uint64("configuration", configuration.ShownVersion(k.inForce.Version)).
+		k.log.Warn().Err(err).Str("op", "check-configuration").Uint64("configuration", configuration.DisplayVersion(k.inForce.Version)).
 			Dur("age_ms", time.Since(k.checked)).Msg("the configuration cannot be checked; the last one stays in force")
 	}
 	k.pauseUntil = time.Now().Add(pauseAfter(k.failures))
@@ -359,8 +359,8 @@
 	return min(failurePause<<min(failures, 8), maxFailurePause)
 }
 
-// takeObject takes a stored object into force when it is newer. At is when it was known to be the newest.
-func (k *keeper) takeObject(o objectapi.Object, at time.Time) (changed bool, err error) {
+// adoptObject takes a stored object into force when it is newer. At is when it was known to be the newest.
+func (k *configSync) adoptObject(o objectapi.Object, at time.Time) (changed bool, err error) {
 	stored, known := k.storedVersion(o)
 	if !known {
 		c, err := k.platform.Decode(o)
@@ -368,7 +368,7 @@
 			return false, trace.Wrap(err, "reading the configuration of version %d", objectapi.RevisionOf(o.Version))
 		}
 		k.lastRead = readVersion{object: o.Version, configuration: c.Version}
-		if k.take(c, nil, at) {
+		if k.adoptIfNewer(c, nil, at) {
 			return true, nil
 		}
 		k.logNotNewer(c)
@@ -379,12 +379,12 @@
 		version, _, _ := k.state(at)
 		stored = version
 	}
-	k.vouched(stored, at)
+	k.confirm(stored, at)
 	return false, nil
 }
 
 // storedVersion returns the version of a stored configuration that is not newer than the one in force, as far as that is known without decoding it.
-func (k *keeper) storedVersion(o objectapi.Object) (version uint64, known bool) {
+func (k *configSync) storedVersion(o objectapi.Object) (version uint64, known bool) {
 	if o.Version == k.lastRead.object {
 		return k.lastRead.configuration, true
 	}
@@ -393,36 +393,36 @@
 }
 
 // logNotNewer logs that the object API holds an earlier configuration than the one in force.
-func (k *keeper) logNotNewer(stored configuration.Configuration) {
+func (k *configSync) logNotNewer(stored configuration.Configuration) {
 	inForce, _, _ := k.state(time.Time{})
 	if stored.Version == inForce {
 		return
 	}
-	k.log.Warn().Str("op", "check-configuration").Uint64("configuration", configuration.ShownVersion(inForce)).
-		Uint64("stored", configuration.ShownVersion(stored.Version)).Str("label", stored.Label).
+	k.log.Warn().Str("op", "check-configuration").Uint64("configuration", configuration.DisplayVersion(inForce)).
+		Uint64("stored", configuration.DisplayVersion(stored.Version)).Str("label", stored.Label).
 		Msg("the object API holds an earlier configuration; the one in force stays")
 }
 
-// take takes a configuration into force when it is newer, and reports whether it was. At is when it was known to be the newest; one that is not newer
+// adoptIfNewer takes a configuration into force when it is newer, and reports whether it was. At is when it was known to be the newest; one that is not newer
 // only tells that. Encoded is its form for other balancers, if known.
-func (k *keeper) take(c configuration.Configuration, encoded []byte, at time.Time) bool {
-	k.taking.Lock()
-	defer k.taking.Unlock()
+func (k *configSync) adoptIfNewer(c configuration.Configuration, encoded []byte, at time.Time) bool {
+	k.adoptMu.Lock()
+	defer k.adoptMu.Unlock()
 	if configuration.IsNumbered(c.Version) {
-		k.number()
+		k.useOperatorNumber()
 	}
 	version, _, _ := k.state(at)
 	newer := c.Version > version
 	if newer {
-		k.put(c, encoded)
+		k.setInForce(c, encoded)
 	}
-	k.vouched(c.Version, at)
+	k.confirm(c.Version, at)
 	return newer
 }
 
-// number gives the configuration in force its operator's number as version, which it lacks when it was taken before the object API first named an
+// useOperatorNumber gives the configuration in force its operator's useOperatorNumber as version, which it lacks when it was taken before the object API first named an
 // era. k.taking is held.
-func (k *keeper) number() {
+func (k *configSync) useOperatorNumber() {
 	k.mu.Lock()
 	c := k.inForce
 	k.mu.Unlock()
@@ -431,11 +431,11 @@
 		return
 	}
 	c.Version = numbered
-	k.put(c, nil)
+	k.setInForce(c, nil)
 }
 
-// put takes a configuration into force. k.taking is held.
-func (k *keeper) put(c configuration.Configuration, encoded []byte) {
+// setInForce takes a configuration into force. k.taking is held.
+func (k *configSync) setInForce(c configuration.Configuration, encoded []byte) {
 	k.adopt(c)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -443,7 +443,7 @@
 }
 
 // fetch takes the configuration of another balancer.
-func (k *keeper) fetch(ctx context.Context, from netip.AddrPort) error {
+func (k *configSync) fetch(ctx context.Context, from netip.AddrPort) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.String()+configurationPath, nil)
 	if err != nil {
 		return trace.Wrap(err)
@@ -456,7 +456,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxHandOver))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxFetchSize))
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -464,14 +464,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	k.take(c, b, time.Time{})
-	k.checkedNow()
+	k.adoptIfNewer(c, b, time.Time{})
+	k.onChecked()
 	return nil
 }
 
 // ServeHTTP hands the configuration in force to another balancer.
-func (k *keeper) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	encoded, err := k.handOver()
+func (k *configSync) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	encoded, err := k.encodedConfiguration()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -480,25 +480,25 @@
 	_, _ = w.Write(encoded)
 }
 
-// errNothingInForce answers a balancer that asks one that has just started.
-var errNothingInForce = errors.New("no configuration yet")
+// errNotConfigured answers a balancer that asks one that has just started.
+var errNotConfigured = errors.New("no configuration yet")
 
-// handOver is the configuration in force for other balancers. It is encoded when the first of them asks.
-func (k *keeper) handOver() ([]byte, error) {
-	k.encoding.Lock()
-	defer k.encoding.Unlock()
+// encodedConfiguration is the configuration in force for other balancers. It is encoded when the first of them asks.
+func (k *configSync) encodedConfiguration() ([]byte, error) {
+	k.encodeMu.Lock()
+	defer k.encodeMu.Unlock()
 	k.mu.Lock()
 	c, encoded := k.inForce, k.encoded
 	k.mu.Unlock()
 	if c.Version == 0 {
-		return nil, errNothingInForce
+		return nil, errNotConfigured
 	}
 	if encoded != nil {
 		return encoded, nil
 	}
 	encoded, err := dsrpb.EncodeConfiguration(c)
 	if err != nil {
-		return nil, trace.Wrap(err, "encoding configuration %d", configuration.ShownVersion(c.Version))
+		return nil, trace.Wrap(err, "encoding configuration %d", configuration.DisplayVersion(c.Version))
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/dsrd/keeper_test.go
+++ b/pkg/dsrd/keeper_test.go
@@ -121,20 +121,20 @@
 	firstAddress = netip.MustParseAddrPort("10.1.0.1:7720")
 )
 
-// keeperFixture is a keeper that notes what it takes into force.
-type keeperFixture struct {
-	*keeper
-	store   *fakeStore
-	adopted []uint64
-	decoded int
-	ahead   int
-	slack   time.Duration
+// configSyncFixture is a keeper that notes what it takes into force.
+type configSyncFixture struct {
+	*configSync
+	store          *fakeStore
+	adopted        []uint64
+	decoded        int
+	ahead          int
+	maxPropagation time.Duration
 }
 
-func newKeeperFixture() *keeperFixture {
-	f := &keeperFixture{store: &fakeStore{}}
+func newConfigSyncFixture() *configSyncFixture {
+	f := &configSyncFixture{store: &fakeStore{}}
 	f.store.write(5, "")
-	f.keeper = newKeeper(Platform{
+	f.configSync = newConfigSync(Platform{
 		Store: f.store, ConfigurationKind: "config", ConfigurationName: "main",
 		Decode: func(o objectapi.Object) (configuration.Configuration, error) {
 			f.decoded++
@@ -145,14 +145,14 @@
 		},
 	}, zerolog.Nop())
 	f.adopt = func(c configuration.Configuration) { f.adopted = append(f.adopted, c.Version) }
-	f.before = func() int { return f.ahead }
-	f.spread = func() time.Duration { return f.slack }
-	f.checkedNow = func() {}
+	f.checkersBefore = func() int { return f.ahead }
+	f.propagation = func() time.Duration { return f.maxPropagation }
+	f.onChecked = func() {}
 	return f
 }
 
-// during runs the keeper for a time.
-func (f *keeperFixture) during(t *testing.T, d time.Duration) {
+// runFor runs the keeper for a time.
+func (f *configSyncFixture) runFor(t *testing.T, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	require.ErrorIs(t, f.run(ctx), context.DeadlineExceeded)
@@ -161,12 +161,12 @@
 // A change is heard of by the watch: within milliseconds, where reading every 0.6 s took up to that.
 func TestAChangeIsInForceAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		go func() {
 			time.Sleep(2 * time.Second)
 			f.store.write(6, "")
 		}()
-		f.during(t, 2*time.Second+50*time.Millisecond)
+		f.runFor(t, 2*time.Second+50*time.Millisecond)
 		require.Equal(t, []uint64{5, 6}, f.adopted)
 	})
 }
@@ -174,10 +174,10 @@
 // While nothing changes, no document is read; what others write causes one reading in 10 s.
 func TestAQuietConfigurationIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
-		f.during(t, time.Second)
+		f := newConfigSyncFixture()
+		f.runFor(t, time.Second)
 		f.store.calls()
-		f.during(t, 30*time.Second)
+		f.runFor(t, 30*time.Second)
 		reads, watches := f.store.calls()
 		require.LessOrEqual(t, reads, 1, "the watch that the end of the last run broke off")
 		require.LessOrEqual(t, watches, 51)
@@ -188,12 +188,12 @@
 				f.store.set(func(s *fakeStore) { s.revision++ })
 			}
 		}()
-		f.during(t, 30*time.Second)
+		f.runFor(t, 30*time.Second)
 		reads, _ = f.store.calls()
 		require.LessOrEqual(t, reads, 4)
 		require.Equal(t, 1, f.decoded)
 		_, age, _ := f.state(time.Now())
-		require.LessOrEqual(t, age, WatchWait+keeperInterval)
+		require.LessOrEqual(t, age, WatchWait+syncInterval)
 	})
 }
 
@@ -212,8 +212,8 @@
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newKeeperFixture()
-			f.during(t, time.Second)
+			f := newConfigSyncFixture()
+			f.runFor(t, time.Second)
 			ctx, cancel := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 			defer cancel()
 			time.AfterFunc(time.Second, func() {
@@ -230,9 +230,9 @@
 // A single change is read once: by the watch that hears of it.
 func TestASingleChangeIsReadOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		time.AfterFunc(2*time.Second, func() { f.store.write(6, "") })
-		f.during(t, 4*time.Second)
+		f.runFor(t, 4*time.Second)
 		require.Equal(t, []uint64{5, 6}, f.adopted)
 		require.Equal(t, 2, f.decoded)
 		reads, _ := f.store.calls()
@@ -242,14 +242,14 @@
 
 func TestAStormOfChangesIsTakenAtABoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		go func() {
 			for v := range 60 {
 				time.Sleep(150 * time.Millisecond)
 				f.store.write(uint64(6+v), "")
 			}
 		}()
-		f.during(t, 9*time.Second+600*time.Millisecond)
+		f.runFor(t, 9*time.Second+600*time.Millisecond)
 		require.Equal(t, uint64(65), f.adopted[len(f.adopted)-1])
 		require.LessOrEqual(t, f.decoded, 26)
 		require.IsIncreasing(t, f.adopted)
@@ -258,11 +258,11 @@
 
 func TestAnOldAnswerTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
-		f.during(t, time.Second)
+		f := newConfigSyncFixture()
+		f.runFor(t, time.Second)
 		f.store.write(4, "")
 		f.store.expired = true
-		f.during(t, 2*time.Second)
+		f.runFor(t, 2*time.Second)
 		require.Equal(t, []uint64{5}, f.adopted)
 		version, age, checked := f.state(time.Now())
 		require.Equal(t, uint64(5), version)
@@ -273,17 +273,17 @@
 
 func TestOneBalancerChecksForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		f.ahead = 1
-		f.during(t, 50*time.Millisecond)
+		f.runFor(t, 50*time.Millisecond)
 		f.store.calls()
 		for range 20 {
-			f.vouched(5, time.Now())
-			f.during(t, 900*time.Millisecond)
+			f.confirm(5, time.Now())
+			f.runFor(t, 900*time.Millisecond)
 		}
 		reads, watches := f.store.calls()
 		require.Zero(t, reads+watches, "another balancer has checked within 0.9 s each time")
-		f.during(t, 1200*time.Millisecond)
+		f.runFor(t, 1200*time.Millisecond)
 		reads, watches = f.store.calls()
 		require.Positive(t, reads+watches, "it goes on when the other falls silent")
 	})
@@ -292,17 +292,17 @@
 // The others hear late that the first balancer is gone; meanwhile one of them watches without a gap.
 func TestABalancerThatHasSteppedInGoesOnUntilTheFirstOneChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		f.ahead = 1
-		f.during(t, 50*time.Millisecond)
-		f.during(t, 2*time.Second)
+		f.runFor(t, 50*time.Millisecond)
+		f.runFor(t, 2*time.Second)
 		f.store.calls()
-		f.during(t, 6*time.Second)
+		f.runFor(t, 6*time.Second)
 		_, watches := f.store.calls()
 		require.GreaterOrEqual(t, watches, 8, "one each 0.6 to 0.7 s")
 		f.setWatching(false)
-		f.vouched(5, time.Now())
-		f.during(t, 900*time.Millisecond)
+		f.confirm(5, time.Now())
+		f.runFor(t, 900*time.Millisecond)
 		reads, watches := f.store.calls()
 		require.Zero(t, reads+watches, "the first one checks again")
 	})
@@ -311,40 +311,40 @@
 // A balancer that hears of a newer version leaves the object API to others while one of them may hand it over.
 func TestANewerVersionIsFetchedBeforeItIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
+		f := newConfigSyncFixture()
 		f.ahead = 3
-		f.during(t, 50*time.Millisecond)
+		f.runFor(t, 50*time.Millisecond)
 		f.store.calls()
-		f.want(6, netip.AddrPort{})
+		f.notifyNewer(6, netip.AddrPort{})
 		f.store.write(6, "")
-		f.during(t, handOverTimeout-50*time.Millisecond)
+		f.runFor(t, fetchTimeout-50*time.Millisecond)
 		reads, _ := f.store.calls()
 		require.Zero(t, reads)
-		f.during(t, 250*time.Millisecond)
+		f.runFor(t, 250*time.Millisecond)
 		require.Equal(t, []uint64{5, 6}, f.adopted)
 	})
 }
 
 func TestAWordAboutAnotherVersionVouchesForNothing(t *testing.T) {
-	f := newKeeperFixture()
-	f.vouched(6, time.Now())
+	f := newConfigSyncFixture()
+	f.confirm(6, time.Now())
 	_, _, checked := f.state(time.Now())
 	require.False(t, checked)
 }
 
 func TestAConfigurationThatCannotBeReadLeavesTheLastInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
-		f.during(t, 50*time.Millisecond)
+		f := newConfigSyncFixture()
+		f.runFor(t, 50*time.Millisecond)
 		f.store.write(6, "broken")
 		f.store.calls()
-		f.during(t, 3*time.Second)
+		f.runFor(t, 3*time.Second)
 		reads, _ := f.store.calls()
 		require.LessOrEqual(t, reads, 6, "it is not asked for often")
 		version, _, _ := f.state(time.Now())
 		require.Equal(t, uint64(5), version)
 		f.store.write(7, "")
-		f.during(t, 2*time.Second)
+		f.runFor(t, 2*time.Second)
 		require.Equal(t, []uint64{5, 7}, f.adopted)
 	})
 }
@@ -352,32 +352,32 @@
 // In an outage of 4 s a balancer asks a few times, and is back within a second of its end.
 func TestAnOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newKeeperFixture()
-		f.during(t, time.Second)
+		f := newConfigSyncFixture()
+		f.runFor(t, time.Second)
 		f.store.err = objectapi.ErrUnavailable
 		f.store.calls()
-		f.during(t, 4*time.Second)
+		f.runFor(t, 4*time.Second)
 		reads, watches := f.store.calls()
 		require.LessOrEqual(t, reads+watches, 8)
 		f.store.err = nil
 		f.store.write(6, "")
-		f.during(t, time.Second)
+		f.runFor(t, time.Second)
 		require.Equal(t, []uint64{5, 6}, f.adopted)
 	})
 }
 
 // A balancer that starts while the object API does not answer has a peer's configuration at once.
 func TestAPeersConfigurationDoesNotWaitForTheObjectAPI(t *testing.T) {
-	peer := newKeeperFixture()
-	peer.take(configuration.Configuration{Version: 9}, nil, time.Now())
-	server := httptest.NewServer(peer.keeper)
+	peer := newConfigSyncFixture()
+	peer.adoptIfNewer(configuration.Configuration{Version: 9}, nil, time.Now())
+	server := httptest.NewServer(peer.configSync)
 	defer server.Close()
-	f := newKeeperFixture()
+	f := newConfigSyncFixture()
 	f.store.err, f.store.delay = objectapi.ErrUnavailable, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- f.run(ctx) }()
-	f.want(9, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
+	f.notifyNewer(9, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	require.Eventually(t, func() bool {
 		version, _, _ := f.state(time.Now())
 		return version == 9
@@ -387,9 +387,9 @@
 }
 
 func TestABalancerWithoutAConfigurationHandsNothingOver(t *testing.T) {
-	server := httptest.NewServer(newKeeperFixture().keeper)
+	server := httptest.NewServer(newConfigSyncFixture().configSync)
 	defer server.Close()
-	f := newKeeperFixture()
+	f := newConfigSyncFixture()
 	require.ErrorContains(t, f.fetch(t.Context(), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))), "status 503")
 	require.Empty(t, f.adopted)
 }
@@ -399,15 +399,15 @@
 	require.Greater(t, large, small)
 	require.Greater(t, large, narrow)
 	require.Positive(t, readsPerSecond(0.001, 0.1))
-	require.True(t, readsBefore(large, selfAddress, small, firstAddress))
-	require.True(t, readsBefore(small, firstAddress, small, selfAddress), "of equals the lower address")
-	require.False(t, readsBefore(small, selfAddress, small, firstAddress))
-	require.False(t, readsBefore(0, firstAddress, small, selfAddress), "one that has not said how much it can")
+	require.True(t, checksBefore(large, selfAddress, small, firstAddress))
+	require.True(t, checksBefore(small, firstAddress, small, selfAddress), "of equals the lower address")
+	require.False(t, checksBefore(small, selfAddress, small, firstAddress))
+	require.False(t, checksBefore(0, firstAddress, small, selfAddress), "one that has not said how much it can")
 }
 
 // numberedFixture is a keeper of an object API that has named its first era.
-func numberedFixture(label string) *keeperFixture {
-	f := newKeeperFixture()
+func numberedFixture(label string) *configSyncFixture {
+	f := newConfigSyncFixture()
 	f.platform.Decode = func(o objectapi.Object) (configuration.Configuration, error) {
 		f.decoded++
 		label := string(o.Value)
@@ -418,10 +418,10 @@
 }
 
 // shown are the operator's numbers of what was adopted.
-func (f *keeperFixture) shown() []uint64 {
+func (f *configSyncFixture) shown() []uint64 {
 	var out []uint64
 	for _, v := range f.adopted {
-		out = append(out, configuration.ShownVersion(v))
+		out = append(out, configuration.DisplayVersion(v))
 	}
 	return out
 }
@@ -440,21 +440,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := numberedFixture("18")
 				f.store.write(c.first, "18")
-				f.during(t, 2*time.Second)
+				f.runFor(t, 2*time.Second)
 				f.store.set(func(s *fakeStore) { s.revision = store.Version(2, 9) })
 				f.store.write(store.Version(2, 9), "15")
-				f.during(t, 5*time.Second)
+				f.runFor(t, 5*time.Second)
 				require.Equal(t, c.want[:len(c.want)-1], f.shown())
 				f.store.calls()
-				f.during(t, 10*time.Second)
+				f.runFor(t, 10*time.Second)
 				reads, _ := f.store.calls()
 				require.LessOrEqual(t, reads, 2, "an earlier configuration is not read over and over")
 				_, age, _ := f.state(time.Now())
-				require.LessOrEqual(t, age, WatchWait+2*keeperInterval, "the one in force counts as the newest")
+				require.LessOrEqual(t, age, WatchWait+2*syncInterval, "the one in force counts as the newest")
 				f.store.write(store.Version(2, 10), "18")
-				f.during(t, 2*time.Second)
+				f.runFor(t, 2*time.Second)
 				f.store.write(store.Version(2, 11), "20")
-				f.during(t, 2*time.Second)
+				f.runFor(t, 2*time.Second)
 				require.Equal(t, c.want, f.shown())
 			})
 		})
@@ -465,23 +465,23 @@
 func TestAnUpgradeFollowsTheBalancersThatKnowEras(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := numberedFixture("18")
-		f.during(t, 2*time.Second)
-		f.want(900, firstAddress)
+		f.runFor(t, 2*time.Second)
+		f.notifyNewer(900, firstAddress)
 		_, behind := f.behind()
 		require.False(t, behind, "its versions are below all numbers")
-		old := newKeeperFixture()
-		old.take(configuration.Configuration{Version: 900, Label: "16"}, nil, time.Now())
-		old.take(f.inForce, nil, time.Now())
+		old := newConfigSyncFixture()
+		old.adoptIfNewer(configuration.Configuration{Version: 900, Label: "16"}, nil, time.Now())
+		old.adoptIfNewer(f.inForce, nil, time.Now())
 		require.Equal(t, f.inForce.Version, old.inForce.Version, "and it takes what the others hand over")
 	})
 }
 
 func TestAPeerThatReadTheRestoredObjectAPIFirstTakesNothingBack(t *testing.T) {
-	f := newKeeperFixture()
-	f.take(configuration.Configuration{Version: 21, Label: "18"}, nil, time.Now())
-	peer := newKeeperFixture()
-	peer.take(configuration.Configuration{Version: configuration.VersionOf("15", 9, true), Label: "15"}, nil, time.Now())
-	server := httptest.NewServer(peer.keeper)
+	f := newConfigSyncFixture()
+	f.adoptIfNewer(configuration.Configuration{Version: 21, Label: "18"}, nil, time.Now())
+	peer := newConfigSyncFixture()
+	peer.adoptIfNewer(configuration.Configuration{Version: configuration.VersionOf("15", 9, true), Label: "15"}, nil, time.Now())
+	server := httptest.NewServer(peer.configSync)
 	defer server.Close()
 	require.NoError(t, f.fetch(t.Context(), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))))
 	require.Equal(t, "18", f.inForce.Label)
--- a/pkg/dsrd/members.go
+++ b/pkg/dsrd/members.go
@@ -22,10 +22,10 @@
 	memberRetryMax = 3 * time.Second
 	// rejoinSpread bounds the random time until a balancer joins again in a later era, so that not all call at once.
 	rejoinSpread = time.Second
-	// findAgainMin is the time after which an agent that hears of no balancer reads the members again, doubled each time up to findAgainMax: the
+	// rediscoverMin is the time after which an agent that hears of no balancer reads the members again, doubled each time up to findAgainMax: the
 	// balancers may have joined after the last reading.
-	findAgainMin = 3 * time.Second
-	findAgainMax = 30 * time.Second
+	rediscoverMin = 3 * time.Second
+	rediscoverMax = 30 * time.Second
 )
 
 // member is the value of a balancer's object.
--- a/pkg/dsrd/members_test.go
+++ b/pkg/dsrd/members_test.go
@@ -67,8 +67,8 @@
 	a.platform.Store = &lateMembers{member: member}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- a.find(ctx) }()
-	require.Eventually(t, func() bool { return len(balancer.received()) > 0 }, 10*findAgainMin, 10*time.Millisecond)
+	go func() { done <- a.discover(ctx) }()
+	require.Eventually(t, func() bool { return len(balancer.received()) > 0 }, 10*rediscoverMin, 10*time.Millisecond)
 	stop()
 	require.ErrorIs(t, <-done, context.Canceled)
 }
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -61,16 +61,16 @@
 }
 
 func testBalancer(t *testing.T) *Balancer {
-	b := &Balancer{node: testNode(t), welcomed: make(map[netip.AddrPort]time.Time), readers: make(map[netip.AddrPort]uint32)}
+	b := &Balancer{node: testNode(t), lastWelcome: make(map[netip.AddrPort]time.Time), readCapacity: make(map[netip.AddrPort]uint32)}
 	b.out = newBalancerOutput(b)
 	b.core = dispatch.NewBalancer(dispatch.Config{}, dsrtest.Codec{}, b.out, b.started)
-	b.keeper = newKeeper(Platform{}, zerolog.Nop())
-	b.namedEras = objectapi.NewEras()
+	b.configSync = newConfigSync(Platform{}, zerolog.Nop())
+	b.reportedEras = objectapi.NewEras()
 	return b
 }
 
-// strangers are the addresses of processes that do not run.
-func strangers(n int) []netip.AddrPort {
+// unreachable are the addresses of processes that do not run.
+func unreachable(n int) []netip.AddrPort {
 	out := make([]netip.AddrPort, n)
 	for i := range out {
 		out[i] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 9)
@@ -86,7 +86,7 @@
 	a.balancers.Heard(now, known.address())
 	a.announceDue(now)
 	require.Len(t, known.received(), 1)
-	a.welcomed(now, known.address(), &dsrpb.Roster{Balancers: encodeAddresses([]netip.AddrPort{known.address(), fresh.address()})})
+	a.receiveWelcome(now, known.address(), &dsrpb.Roster{Balancers: encodeAddresses([]netip.AddrPort{known.address(), fresh.address()})})
 	require.Empty(t, known.received())
 	require.Len(t, fresh.received(), 1)
 }
@@ -97,14 +97,14 @@
 	b := testBalancer(t)
 	now := b.started
 	b.balancers.Heard(now, peer.address())
-	for _, a := range strangers(58) {
+	for _, a := range unreachable(58) {
 		b.balancers.Heard(now, a)
 	}
-	b.agents.Heard(now, strangers(1)[0])
+	b.agents.Heard(now, unreachable(1)[0])
 	interval := uint32(b.balancers.IntervalTo(peer.address()) / time.Millisecond)
 	require.Greater(t, interval, uint32(roster.LivelyInterval/time.Millisecond))
-	b.tellAgents(now, peer.address())
-	b.tell(now, []netip.AddrPort{peer.address()}, b.gossipMessage(1, 0, true))
+	b.sendAgents(now, peer.address())
+	b.sendGossip(now, []netip.AddrPort{peer.address()}, b.gossipMessage(1, 0, true))
 	sent := peer.received()
 	require.Len(t, sent, 2)
 	for _, m := range sent {
@@ -115,11 +115,11 @@
 func TestAStartingBalancerHearsOfEveryAgent(t *testing.T) {
 	peer := newListener(t)
 	b := testBalancer(t)
-	agents := strangers(400)
+	agents := unreachable(400)
 	for _, a := range agents {
 		b.agents.Heard(b.started, a)
 	}
-	b.tellAgents(b.started, peer.address())
+	b.sendAgents(b.started, peer.address())
 	var named []netip.AddrPort
 	for _, m := range peer.received() {
 		named = append(named, decodeAddresses(m.Roster.Agents)...)
@@ -130,17 +130,17 @@
 func TestWhatIsKeptOfProcessesIsForgottenWithThem(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
-	for _, a := range strangers(100) {
+	for _, a := range unreachable(100) {
 		b.agents.Heard(now, a)
-		b.welcomed[a] = now
+		b.lastWelcome[a] = now
 		b.balancers.Heard(now, a)
-		b.readers[a] = 1
+		b.readCapacity[a] = 1
 	}
 	later := now.Add(roster.ForgetAfter + time.Second)
 	b.balancers.Due(later)
-	b.forget(later)
-	require.Empty(t, b.welcomed)
-	require.Empty(t, b.readers)
+	b.evict(later)
+	require.Empty(t, b.lastWelcome)
+	require.Empty(t, b.readCapacity)
 	require.Zero(t, b.agents.Len())
 }
 
@@ -151,10 +151,10 @@
 func TestControlTrafficOfABalancerIsBounded(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
-	for _, a := range strangers(490) {
+	for _, a := range unreachable(490) {
 		b.balancers.Heard(now, a)
 	}
-	for _, a := range strangers(3300) {
+	for _, a := range unreachable(3300) {
 		b.agents.Heard(now, a)
 	}
 	size := func(m *dsrpb.Message) float64 { return float64(m.SizeVT() + udpHeader) }
@@ -171,7 +171,7 @@
 	announced.Announcement.Answers = answers
 	welcome := b.welcomeMessage(now, "")
 	welcome.Configuration, welcome.Evacuations = 1<<30, evacuated
-	welcome.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, namedPeers))
+	welcome.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, gossipedPeers))
 	welcome.Roster.Usual = answers
 	gossip := b.gossipMessage(1<<30, time.Second, true)
 	gossip.Evacuations = evacuated
@@ -185,7 +185,7 @@
 	)
 	agents := float64(b.agents.Len())
 	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.FarIntervalFor(b.agents.Len()).Seconds()) / early
-	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(strangers(1)[0]).Seconds() / early
+	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(unreachable(1)[0]).Seconds() / early
 	perSecond := heard*size(announced) + heard/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
 	require.LessOrEqual(t, perSecond, 12_000.0)
 	t.Logf("%.0f bytes a second: announcements of %.0f bytes, answers of %.0f, gossip of %.0f", perSecond, size(announced), size(welcome), size(gossip))
--- a/pkg/dsrd/node.go
+++ b/pkg/dsrd/node.go
@@ -19,8 +19,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// tellInterval is the time between two looks at which processes are to be told of this one; the roster says how often each is.
-const tellInterval = roster.EagerInterval
+// sendInterval is the time between two looks at which processes are to be told of this one; the roster says how often each is.
+const sendInterval = roster.EagerInterval
 
 // node is what the daemons have in common.
 type node struct {
@@ -39,9 +39,9 @@
 	alarm    *alarm
 	// eras are those of the object API.
 	eras *objectapi.Eras
-	// life ends when Run returns or Close is called.
-	life context.Context
-	end  context.CancelFunc
+	// ctx ends when Run returns or Close is called.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	// mu guards everything below and the decisions of the daemon.
 	mu        sync.Mutex
@@ -75,12 +75,12 @@
 		n.eras = objectapi.NewEras()
 	}
 	n.balancers.Seed = uint64(n.started.UnixNano())
-	n.life, n.end = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n, nil
 }
 
 // Close ends the daemon at once: it does not leave, and nobody is told.
-func (n *node) Close() { n.end() }
+func (n *node) Close() { n.cancel() }
 
 // seeds are the message addresses of the balancers that the settings name.
 func (n *node) seeds() []netip.AddrPort {
@@ -99,8 +99,8 @@
 // milliseconds reads a time of a message.
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// know adds balancers by hearsay; it reports whether one is new. n.mu is held.
-func (n *node) know(now time.Time, addresses []netip.AddrPort) bool {
+// addBalancers adds balancers by hearsay; it reports whether one is new. n.mu is held.
+func (n *node) addBalancers(now time.Time, addresses []netip.AddrPort) bool {
 	added := false
 	for _, a := range addresses {
 		if a.IsValid() && a != n.self && n.balancers.Add(now, a) {
@@ -110,8 +110,8 @@
 	return added
 }
 
-// noteRegained keeps a balancer that was heard of again for the log. n.mu is held.
-func (n *node) noteRegained(a netip.AddrPort) { n.regained = append(n.regained, a) }
+// recordRegained keeps a balancer that was heard of again for the log. n.mu is held.
+func (n *node) recordRegained(a netip.AddrPort) { n.regained = append(n.regained, a) }
 
 // logBalancers logs which balancers were lost and regained since the last call. n.mu is held.
 func (n *node) logBalancers(now time.Time) {
--- a/pkg/dsrd/peer_changes.go
+++ b/pkg/dsrd/peer_changes.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// changeLines is the number of peers that are logged with a line each when they were lost or regained between two looks. When more
+	// maxChangeLines is the number of peers that are logged with a line each when they were lost or regained between two looks. When more
 	// were, as at the start of all or after a cut, one line counts them: with a line for each pair, 69 balancers and 197 agents wrote
 	// 65,000 lines in a day of two starts.
-	changeLines = 4
-	// changeNames is the number of peers that such a line names.
-	changeNames = 16
+	maxChangeLines = 4
+	// maxChangeNames is the number of peers that such a line names.
+	maxChangeNames = 16
 )
 
 // peerChange is a kind of change of what is known of peers.
@@ -31,7 +31,7 @@
 
 // log writes the peers that have changed in the same way since the last look.
 func (c peerChange) log(log zerolog.Logger, peers []netip.AddrPort) {
-	if len(peers) > changeLines {
+	if len(peers) > maxChangeLines {
 		log.Warn().Str("op", c.op).Int("count", len(peers)).Str("peers", namesOf(peers)).Msg(c.message)
 		return
 	}
@@ -43,7 +43,7 @@
 // namesOf lists the first peers.
 func namesOf(peers []netip.AddrPort) string {
 	var names []string
-	for _, a := range peers[:min(len(peers), changeNames)] {
+	for _, a := range peers[:min(len(peers), maxChangeNames)] {
 		names = append(names, a.String())
 	}
 	return strings.Join(names, " ")
--- a/pkg/dsrd/peer_changes_test.go
+++ b/pkg/dsrd/peer_changes_test.go
@@ -21,7 +21,7 @@
 		agentRegained.log(zerolog.New(&out), peers[:n])
 		return strings.Split(strings.TrimSpace(out.String()), "\n")
 	}
-	require.Len(t, lines(changeLines), changeLines)
+	require.Len(t, lines(maxChangeLines), maxChangeLines)
 	require.Contains(t, lines(1)[0], `"op":"agent-regained","peer":"10.1.0.0:7720"`)
 	all := lines(490)
 	require.Len(t, all, 1)
--- a/pkg/dsrd/platform.go
+++ b/pkg/dsrd/platform.go
@@ -17,7 +17,7 @@
 	// report names no target to use.
 	Announce(a announcement.Announcement) error
 	// Left takes a target's word that its process ends. An error means what it means for Announce.
-	Left(f announcement.Farewell) error
+	Left(f announcement.Deregistration) error
 	// Rejected notes a report that was turned down; id is the name under which it came.
 	Rejected(id string, r *announcement.Rejection)
 }
--- a/pkg/dsrd/readers.go
+++ b/pkg/dsrd/readers.go
@@ -19,38 +19,38 @@
 	return uint32(max(1, 1/seconds))
 }
 
-// readersBefore is the number of living balancers that compare the configuration with the object API before this one does: those
+// checkersBefore is the number of living balancers that compare the configuration with the object API before this one does: those
 // that can read more, and of equals those with a lower address.
-func (b *Balancer) readersBefore() int {
+func (b *Balancer) checkersBefore() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	own := b.reads()
+	own := b.ownReadCapacity()
 	n := 0
 	for _, a := range b.balancers.Living(time.Now()) {
-		if readsBefore(b.readers[a], a, own, b.self) {
+		if checksBefore(b.readCapacity[a], a, own, b.self) {
 			n++
 		}
 	}
 	return n
 }
 
-// reads is how many large configurations this balancer could read in a second.
-func (b *Balancer) reads() uint32 { return readsPerSecond(b.cfg.CPUShare, b.cfg.LinkMbps) }
+// ownReadCapacity is how many large configurations this balancer could read in a second.
+func (b *Balancer) ownReadCapacity() uint32 { return readsPerSecond(b.cfg.CPUShare, b.cfg.LinkMbps) }
 
-// readsBefore reports whether a balancer comes before another one in the order of those that check.
-func readsBefore(reads uint32, a netip.AddrPort, otherReads uint32, other netip.AddrPort) bool {
+// checksBefore reports whether a balancer comes before another one in the order of those that check.
+func checksBefore(reads uint32, a netip.AddrPort, otherReads uint32, other netip.AddrPort) bool {
 	if reads != otherReads {
 		return reads > otherReads
 	}
 	return a.Compare(other) < 0
 }
 
-// spread is how long the word of a check takes to this balancer: nothing where whoever checks tells all others.
-func (b *Balancer) spread() time.Duration {
+// propagation is how long the word of a check takes to this balancer: nothing where whoever checks tells all others.
+func (b *Balancer) propagation() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balancers.Len() <= fanOut {
 		return 0
 	}
-	return spreadTime
+	return propagationTime
 }
