--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// reportedAnswers is the number of addresses of whose answers balancers are told, those that were served most.
+	// reportedAnswers is the number of addresses whose answers are reported to balancers, those served most.
 	reportedAnswers = 4
 	// maxAnswers bounds the addresses whose answers are kept.
 	maxAnswers = 256
 )
 
-// reply is what is seen of the target's answer to the present request.
+// reply is the observed part of the target's answer to the current request.
 type reply struct {
-	// pending is set while the answer is under way; took is the time until it began.
+	// pending is set while the answer is in progress; took is the time until it began.
 	pending bool
 	took    time.Duration
-	// begin is the number of its first byte, end the one after the last that was seen.
+	// begin is the sequence number of its first byte, end the one after the last byte seen.
 	begin, end uint32
 }
 
-// startReply notes the first packet of an answer. Packets may overtake each other, so that its first byte follows the last answer, or the
-// answer to the opening packet where that was seen.
+// startReply records the first packet of an answer. Packets may overtake each other, so the first byte is taken to
+// follow the last answer, or the answer to the opening packet where that was seen.
 func (e *entry) startReply(now time.Time, s segment.Segment) {
 	begin := s.Sequence
 	switch {
@@ -41,15 +41,15 @@
 	e.reply = reply{pending: true, took: now.Sub(e.busySince), begin: begin, end: begin}
 }
 
-// extend notes a packet of the answer.
+// extend records a packet of the answer.
 func (r *reply) extend(s segment.Segment) {
 	if end := s.Sequence + uint32(s.Length); r.pending && int32(end-r.end) > 0 {
 		r.end = end
 	}
 }
 
-// finishReply judges an answer that is whole, since an end closes the flow or the next request comes. One that looks failed beside those of the
-// service's other targets counts as a failure.
+// finishReply evaluates an answer once it is complete: when an end closes the flow or the next request comes. One
+// that looks failed compared with those of the service's other targets counts as a failure.
 func (t *Table) finishReply(now time.Time, key flow.Key, e *entry) {
 	if !e.reply.pending {
 		return
@@ -58,14 +58,14 @@
 	e.reply.pending = false
 	address := flow.AddrHash(key.Destination)
 	t.recordAnswer(address, a)
-	usual := t.medianAnswers[address]
-	failed := a.LooksFailed(usual) && !t.cfg.Without.FailedAnswers
+	median := t.medianAnswers[address]
+	failed := a.LooksFailed(median) && !t.cfg.Without.FailedAnswers
 	if t.recordOutcome(now, failed) {
-		t.reportHealthChange(now, HealthChange{LooksFailed: failed, Answer: a, Median: usual})
+		t.reportHealthChange(now, HealthChange{LooksFailed: failed, Answer: a, Median: median})
 	}
 }
 
-// recordOutcome counts an answered request; it reports whether that changes what the target is taken for.
+// recordOutcome counts an answered request; it reports whether that changes the outlier state of the target.
 func (t *Table) recordOutcome(now time.Time, failed bool) bool {
 	if failed {
 		return t.outcomes.Failed(now)
@@ -85,7 +85,7 @@
 	l.Add(a)
 }
 
-// SetMedianAnswers takes the least answers of the median target, as a balancer says.
+// SetMedianAnswers sets the minimum answers of the median target, as a balancer reports them.
 func (t *Table) SetMedianAnswers(answers []*dsrpb.Answer) {
 	if len(t.medianAnswers) > maxAnswers {
 		clear(t.medianAnswers)
@@ -95,7 +95,7 @@
 	}
 }
 
-// reportedMinAnswers are the least answers for the addresses that the target served most.
+// reportedMinAnswers are the minimum answers for the addresses that the target served most.
 func (t *Table) reportedMinAnswers() []*dsrpb.Answer {
 	most := slices.SortedFunc(maps.Keys(t.minAnswers), func(x, y uint32) int {
 		return cmp.Or(cmp.Compare(t.minAnswers[y].Count(), t.minAnswers[x].Count()), cmp.Compare(x, y))
--- a/pkg/dsr/ownership/answers_test.go
+++ b/pkg/dsr/ownership/answers_test.go
@@ -14,12 +14,12 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// setMedianAnswers are those of the service's other targets: 16 ms and 500 bytes at least.
+// setMedianAnswers sets the minimum answers of the service's other targets: 16 ms and 500 bytes.
 func (f *fixture) setMedianAnswers() {
 	f.table.SetMedianAnswers([]*dsrpb.Answer{{Address: flow.AddrHash(service), LeastUs: 16_000, LeastBytes: 500}})
 }
 
-// answerAfter has the target answer a request after a time, and the caller close the flow.
+// answerAfter makes the target answer a request after a time, and the caller close the flow.
 func (f *fixture) answerAfter(port int, work time.Duration, size int) {
 	f.announce(announcement.Ready)
 	f.request(port)
@@ -28,8 +28,8 @@
 	f.forward(closing(port), &dsrpb.Message{Owner: true})
 }
 
-// A target that answers every request at once with an error looks free and draws the load of others.
-func TestATargetThatAnswersWithErrorsIsLeftOut(t *testing.T) {
+// A target that answers every request at once with an error looks free and attracts the load of others.
+func TestATargetThatAnswersWithErrorsIsEjected(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.setMedianAnswers()
 	for port := 1; port <= 100; port++ {
@@ -46,17 +46,17 @@
 	require.Equal(t, uint32(500), last.Median.Bytes)
 }
 
-func TestHealthyAnswersNeverLeaveATargetOut(t *testing.T) {
+func TestHealthyAnswersNeverEjectATarget(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		work time.Duration
 		size int
-		// failed is set for one request of that many.
+		// failed makes one request of that many fail, 0 none.
 		failed int
 	}{
 		{"much faster", time.Millisecond, 1000, 0},
 		{"compressed", 40 * time.Millisecond, 60, 0},
-		{"one in five says that nothing has changed", 40 * time.Millisecond, 1000, 5},
+		{"one in five is a short not-modified answer", 40 * time.Millisecond, 1000, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, Config{})
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestBalancersAreToldTheLeastAnswers(t *testing.T) {
+func TestAnnouncementsReportTheMinimumAnswers(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= outlier.LeastOf; port++ {
 		require.Empty(t, f.table.Announcement(f.now, true, 0).Announcement.Answers)
--- a/pkg/dsr/ownership/cold.go
+++ b/pkg/dsr/ownership/cold.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// unknownHistory is how long an agent that started beside a living target does not know what an earlier agent handed to it.
+	// unknownHistory is how long an agent that started beside a running target does not know how many flows an
+	// earlier agent gave it: slightly more than the window over which new flows are counted.
 	unknownHistory = time.Second + time.Millisecond
-	// minRestartDelay is the least time between the end of a process and the start of the next one, as supervisors of processes have it.
+	// minRestartDelay is the least time between the end of a process and the start of its successor under a
+	// supervisor.
 	minRestartDelay = 100 * time.Millisecond
 )
 
-// coldState is what the agent knows of its target's warm-up.
+// coldState is the agent's view of its target's warm-up.
 type coldState struct {
-	// perSecond and warmUp are what operators declare of the service, version the configuration that says so.
+	// perSecond and warmUp are what operators declare for the service, version is the configuration that declares it.
 	perSecond float64
 	warmUp    time.Duration
 	version   uint64
-	// window counts the flows that were handed to the target, learner finds out what it takes.
+	// window counts the flows that were given to the target, learner estimates how many it can take.
 	window  warmup.Window
 	learner warmup.Learner
 }
 
-// applyDeclaredLimits takes what operators declare of cold targets, as a balancer says with a new flow. An earlier configuration than that known
-// is left out.
+// applyDeclaredLimits takes the limits that operators declare for cold targets from a balancer's new flow. Those of
+// an earlier configuration are ignored.
 func (t *Table) applyDeclaredLimits(m *dsrpb.Message) {
 	if m.Opening == nil || m.Configuration < t.cold.version {
 		return
@@ -37,7 +39,8 @@
 	t.cold.warmUp = time.Duration(m.Opening.WarmUpMs) * time.Millisecond
 }
 
-// warmAt is when the target is warm: as it says, or the whole warm-up after it was first heard of or its data centre was last evacuated.
+// warmAt is when the target is warm: as it reports, or the whole warm-up after it was first seen or its data centre
+// was last evacuated.
 func (t *Table) warmAt() time.Time {
 	if t.target.warmAtKnown {
 		return t.target.warmAt
@@ -45,36 +48,37 @@
 	return t.target.coldFrom.Add(t.cold.warmUp)
 }
 
-// recordNewFlow counts a new flow that the target is recordNewFlow.
+// recordNewFlow counts a new flow that is passed to the target.
 func (t *Table) recordNewFlow(now time.Time) {
 	t.rate.Note(now)
 	t.cold.window.Record(now)
 	t.cold.learner.RecordFlows(t.cold.window.Count())
 }
 
-// recordIncarnationEnd notes that the target's last process has ended without a word.
+// recordIncarnationEnd records that the target's last incarnation has ended without draining or deregistering.
 func (t *Table) recordIncarnationEnd(now time.Time, last target) {
 	if last.known && last.last.State == announcement.Ready {
 		t.cold.learner.RecordEnd(now.Sub(last.firstSeen))
 	}
 }
 
-// coldRate is what the target takes in any second: as operators declare for one that warms up, or less where earlier processes have
-// ended by less.
+// coldRate is the limit on new flows in any second: the one that operators declare for warming targets, or a lower
+// one where earlier incarnations have failed at less.
 func (t *Table) coldRate(now time.Time) warmup.Limit {
 	var l warmup.Limit
 	if !t.cfg.Without.ColdLimit {
 		l = warmup.Limit{PerSecond: t.cold.perSecond, Until: t.warmAt()}
 	}
 	age := now.Sub(t.target.firstSeen)
-	learnt := t.cold.learner.Rate(age)
-	if learnt == 0 || t.cfg.Without.LearntLimit || l.InForce(now) && l.PerSecond <= learnt {
+	learned := t.cold.learner.Rate(age)
+	if learned == 0 || t.cfg.Without.LearntLimit || l.InForce(now) && l.PerSecond <= learned {
 		return l
 	}
-	return warmup.Limit{PerSecond: learnt, Until: t.target.firstSeen.Add(warmup.EarlyFailureAge)}
+	return warmup.Limit{PerSecond: learned, Until: t.target.firstSeen.Add(warmup.EarlyFailureAge)}
 }
 
-// historyUnknownUntil is when an agent that started beside a living target knows what the target was handed in the last second.
+// historyUnknownUntil is when an agent that started beside a running target knows all flows that the target got in
+// the last second.
 func (t *Table) historyUnknownUntil() time.Time {
 	if t.cfg.First || t.target.sawFirstAnnouncement || t.startedTogether() {
 		return time.Time{}
@@ -82,8 +86,8 @@
 	return t.started.Add(unknownHistory)
 }
 
-// startedTogether reports whether the target started so shortly before the agent that an earlier agent had ended by then, as after a loss
-// of power. What is left of its warm-up tells its age.
+// startedTogether reports whether the target started so shortly before the agent that an earlier agent had ended by
+// then, as after a power failure. The target's age follows from what is left of its warm-up.
 func (t *Table) startedTogether() bool {
 	if !t.target.warmAtKnown {
 		return false
@@ -95,13 +99,13 @@
 // ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is warm.
 func (t *Table) ColdPerSecond(now time.Time) float64 { return t.coldLimit(now).PerSecond }
 
-// hasRoom reports whether the target may be handed a new flow as far as its warm-up goes.
+// hasRoom reports whether the warm-up limit allows a new flow.
 func (t *Table) hasRoom(now time.Time) bool {
 	l := t.coldLimit(now)
 	return !l.InForce(now) || l.Room > 0
 }
 
-// coldLimit is what the target takes now; no limit when it is warm.
+// coldLimit is the current warm-up limit; no limit when the target is warm.
 func (t *Table) coldLimit(now time.Time) warmup.Limit {
 	l := t.coldRate(now)
 	if !l.InForce(now) {
@@ -113,7 +117,7 @@
 	return l
 }
 
-// nextRoomAt is when a cold target without room is looked at again.
+// nextRoomAt is when the queue of a cold target without room is checked again.
 func (t *Table) nextRoomAt(now time.Time) time.Time {
 	l := t.coldRate(now)
 	at := t.cold.window.Next(l.PerSecond)
@@ -126,7 +130,7 @@
 	return at
 }
 
-// reportedCold is what balancers are told of a cold target; nothing when it is warm.
+// reportedCold is what is reported to balancers about a cold target; nil when it is warm.
 func (t *Table) reportedCold(now time.Time) *dsrpb.Cold {
 	l := t.coldLimit(now)
 	if !l.InForce(now) {
--- a/pkg/dsr/ownership/cold_test.go
+++ b/pkg/dsr/ownership/cold_test.go
@@ -24,7 +24,7 @@
 	}})
 }
 
-// serve opens a flow and ends it at once when the target gets it; it reports whether the target did.
+// serve opens a flow and resets it at once when the target gets it; it reports whether the target did.
 func (f *fixture) serve(port int, p dsrpb.Patience) bool {
 	before := len(f.out.target)
 	f.openCold(port, p)
@@ -36,7 +36,7 @@
 	return true
 }
 
-// coldFixture has a target that has just started; the agent has seen its first report.
+// coldFixture has a target that has just started; the agent has received its first report.
 func coldFixture(t *testing.T) *fixture {
 	f := newFixture(t, Config{Without: policy.Without{GiveUpSilent: true}})
 	f.apply(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 4, WarmUp: warmTime, Sequence: 1})
@@ -64,11 +64,11 @@
 	require.GreaterOrEqual(t, len(taken), 2*coldRate-1)
 	f.pass(10 * time.Millisecond)
 	for port := 1000; port < 1030; port++ {
-		require.True(t, f.serve(port, dsrpb.Patience_PATIENCE_FREE_SLOT), "a warm one has no limit")
+		require.True(t, f.serve(port, dsrpb.Patience_PATIENCE_FREE_SLOT), "a warm target has no limit")
 	}
 }
 
-func TestAFlowThatWaitsForAColdTargetGetsItsTurnInTime(t *testing.T) {
+func TestAQueuedFlowIsOfferedWhenAColdTargetHasRoom(t *testing.T) {
 	f := coldFixture(t)
 	for port := 1; port <= coldRate; port++ {
 		require.True(t, f.serve(port, dsrpb.Patience_PATIENCE_QUEUE))
@@ -82,7 +82,7 @@
 	require.Len(t, f.out.target, before+1)
 }
 
-func TestAFlowWhoseTurnAtAColdTargetComesTooLateIsTurnedDownAtOnce(t *testing.T) {
+func TestAFlowThatAColdTargetCannotServeInTimeIsDeclinedAtOnce(t *testing.T) {
 	f := coldFixture(t)
 	declined := 0
 	for port := 1; port <= 60; port++ {
@@ -93,11 +93,11 @@
 		}
 		f.pass(time.Millisecond)
 	}
-	// Ten have their turn at once, and ten in the next second; the time of one more would come 0.4 s later.
+	// Ten are offered at once, and ten in the next second; one more could be offered 0.4 s later.
 	require.InDelta(t, 60-2*coldRate-4, declined, 1)
 }
 
-// An agent that starts beside a living target cannot know what the last agent handed to it.
+// An agent that starts beside a running target cannot know how many flows an earlier agent gave it.
 func TestARestartedAgentHandsAColdTargetNothingForASecond(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - 300*time.Millisecond, Sequence: 9})
@@ -108,8 +108,9 @@
 	require.True(t, f.serve(3, dsrpb.Patience_PATIENCE_FREE_SLOT))
 }
 
-// After a loss of power the first report of a target may find no agent yet: its age says that no earlier agent can have handed it anything.
-func TestAnAgentThatStartsTogetherWithItsTargetKnowsWhatItWasHanded(t *testing.T) {
+// After a power failure a target may send its first report before the agent runs: its age shows that no earlier agent
+// can have given it any flow.
+func TestAnAgentStartedWithItsTargetKnowsItsRecentFlows(t *testing.T) {
 	for _, c := range []struct {
 		age  time.Duration
 		want bool
@@ -121,7 +122,6 @@
 	}
 }
 
-// Until a target says how warm it is, it counts as cold.
 func TestATargetThatOnlyAnsweredAHealthCheckCountsAsCold(t *testing.T) {
 	f := &fixture{T: t, out: &recorder{}, now: start}
 	f.table = newTestTable(f, Config{First: true})
@@ -134,10 +134,10 @@
 	}
 	require.Equal(t, coldRate, served)
 	f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, Sequence: 1})
-	require.True(t, f.serve(100, dsrpb.Patience_PATIENCE_FREE_SLOT), "it says that it is warm")
+	require.True(t, f.serve(100, dsrpb.Patience_PATIENCE_FREE_SLOT), "it reports that it is warm")
 }
 
-func TestBalancersAreToldWhatAColdTargetTakes(t *testing.T) {
+func TestAnnouncementsReportTheColdLimit(t *testing.T) {
 	f := coldFixture(t)
 	require.True(t, f.serve(1, dsrpb.Patience_PATIENCE_FREE_SLOT))
 	cold := f.table.Announcement(f.now, true, time.Second).Cold
@@ -159,7 +159,7 @@
 	for _, m := range f.out.messages {
 		require.Equal(t, dsrpb.Verdict_VERDICT_EVACUATED, m.verdict)
 	}
-	require.NotEmpty(t, f.out.messages, "what waits goes elsewhere at once")
+	require.NotEmpty(t, f.out.messages, "queued flows are returned at once")
 	require.Equal(t, dsrpb.State_STATE_LEAVING, f.table.State(f.now))
 	f.open(20)
 	require.Equal(t, dsrpb.Verdict_VERDICT_EVACUATED, f.out.last(t).verdict)
@@ -169,8 +169,8 @@
 	require.Equal(t, dsrpb.State_STATE_READY, f.table.State(f.now))
 }
 
-// Targets may have gone cold while their data centre was empty; they say so only with their next report.
-func TestAfterAnEvacuationATargetCountsAsColdUntilItSaysOtherwise(t *testing.T) {
+// Targets may have become cold while their data centre was empty; they report that only with their next announcement.
+func TestAfterAnEvacuationATargetCountsAsColdUntilItReportsOtherwise(t *testing.T) {
 	f := newFixture(t, Config{First: true})
 	f.table.SetEvacuated(f.now, true)
 	f.pass(2500 * time.Millisecond)
--- a/pkg/dsr/ownership/doc.go
+++ b/pkg/dsr/ownership/doc.go
@@ -1,7 +1,8 @@
-// Package ownership decides, beside one target of a pass-through service, what becomes of each packet: which new flows the
-// target is offered, which packets belong to flows that it holds, and what the balancers are told.
+// Package ownership decides, at the agent of one target of a pass-through service, what happens to each packet: which
+// new flows are offered to the target, which packets belong to flows that it holds, and what is reported to the
+// balancers.
 //
-// It does no input or output, starts no goroutine and reads no clock. It answers for the load of one target: a new flow is
-// taken only when a slot is free or the wait in the target's queue is short, so that what is handed to the target can
-// still be answered in time; everything else goes back to the balancer, which asks other targets.
+// It does no input or output, starts no goroutine and reads no clock. It limits the load of one target: a new flow is
+// accepted only when a slot is free or the wait in the target's queue is short, so that the target can still answer
+// in time. Every other flow is returned to the balancer, which asks other targets.
 package ownership
--- a/pkg/dsr/ownership/from_balancer.go
+++ b/pkg/dsr/ownership/from_balancer.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Forward takes a packet of a caller that a balancer sent.
+// Forward processes a caller's packet that a balancer forwarded.
 func (t *Table) Forward(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment) {
 	key := s.CallerKey()
 	stale := m.Configuration < t.configuration
@@ -39,7 +39,7 @@
 	t.deliver(now, balancer, key, e, s)
 }
 
-// deliver hands a packet of a known flow to the target.
+// deliver passes a packet of a known flow to the target.
 func (t *Table) deliver(now time.Time, balancer netip.AddrPort, key flow.Key, e *entry, s segment.Segment) {
 	e.origin = balancer
 	e.touched = now
@@ -62,7 +62,8 @@
 	t.out.ToTarget(s.Raw)
 }
 
-// receiveOpening decides about an receiveOpening packet.
+// receiveOpening decides whether an opening packet is offered, queued or declined. A retransmission of a queued flow
+// only updates its state; one of a flow that was offered or is open is passed to the target again.
 func (t *Table) receiveOpening(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key, e *entry, stale bool) {
 	t.applyDeclaredLimits(m)
 	if e != nil && e.phase == queued {
@@ -101,7 +102,7 @@
 	t.enqueue(now, balancer, m, s, key)
 }
 
-// declineReason says why a new flow is not taken, or nothing when it is.
+// declineReason returns why new flows are not taken, or VERDICT_UNSPECIFIED when they are.
 func (t *Table) declineReason(now time.Time, stale bool) dsrpb.Verdict {
 	if t.evacuated {
 		return dsrpb.Verdict_VERDICT_EVACUATED
@@ -118,12 +119,12 @@
 	return dsrpb.Verdict_VERDICT_UNSPECIFIED
 }
 
-// failing reports whether the target is left out as long as others can serve.
+// failing reports whether the target is ejected, and so used only while no other target can serve.
 func (t *Table) failing(now time.Time) bool {
 	return t.outcomes.State(now) == outlier.Resting && !t.cfg.Without.FailingLast
 }
 
-// concurrencyLimit is the number of requests that the target is handed at once.
+// concurrencyLimit is the number of requests that the target is given at once.
 func (t *Table) concurrencyLimit(now time.Time) int {
 	if t.outcomes.State(now) == outlier.Tried && !t.cfg.Without.FailingLast {
 		return 1
@@ -137,7 +138,7 @@
 
 func (t *Table) slots() int { return max(1, t.target.last.Slots) }
 
-// offer hands an opening packet to the target.
+// offer passes an opening packet to the target.
 func (t *Table) offer(now time.Time, key flow.Key, e *entry, raw []byte) {
 	e.phase, e.since, e.packet = offered, now, nil
 	delete(t.notHeld, key)
@@ -151,7 +152,8 @@
 	t.reportDecision(now, EventOffered, key, e.origin, e.configuration, dsrpb.Verdict_VERDICT_UNSPECIFIED)
 }
 
-// receiveUnknown decides about a packet of an open flow that this agent does not know.
+// receiveUnknown decides about a packet of an open flow that this agent does not know. When the balancer names this
+// target as the owner and the agent cannot exclude it, the packet probes the target; otherwise it is returned.
 func (t *Table) receiveUnknown(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key) {
 	if !m.Owner || t.verdict(now, key) != dsrpb.Verdict_VERDICT_UNKNOWN {
 		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_NOT_HELD, s.Raw)
--- a/pkg/dsr/ownership/from_target.go
+++ b/pkg/dsr/ownership/from_target.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// FromTarget takes a packet that the target sent.
+// FromTarget processes a packet that the target sent.
 func (t *Table) FromTarget(now time.Time, s segment.Segment) {
 	t.silentSince = time.Time{}
 	if s.Has(segment.Returned) {
@@ -27,7 +27,7 @@
 	t.offerQueued(now)
 }
 
-// recover notes a flow that the target holds since before the agent started.
+// recover adds a flow that the target has held since before the agent started.
 func (t *Table) recover(now time.Time, key flow.Key) *entry {
 	e := &entry{phase: open, since: now, touched: now, requested: true}
 	t.flows[key] = e
@@ -36,7 +36,7 @@
 	return e
 }
 
-// applyTargetPacket takes over what a packet of the target says of its flow.
+// applyTargetPacket updates a flow's state from a packet of the target.
 func (t *Table) applyTargetPacket(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if s.Has(segment.SYN | segment.ACK) {
 		e.hasSequence, e.initialSequence = true, s.Sequence
@@ -64,7 +64,7 @@
 	}
 }
 
-// receiveReturned takes a packet that the target returned.
+// receiveReturned processes a packet that the target returned.
 func (t *Table) receiveReturned(now time.Time, s segment.Segment) {
 	key := s.CallerKey()
 	t.codec.Restore(s.Raw)
--- a/pkg/dsr/ownership/life.go
+++ b/pkg/dsr/ownership/incarnation.go
@@ -11,8 +11,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Announce takes a heartbeat of the target. It reports whether the balancers should be told at once. The error is an
-// *announcement.Rejection: the heartbeat has changed nothing.
+// Announce applies a heartbeat of the target. It reports whether the balancers should be notified at once. The error
+// is an *announcement.Rejection: the heartbeat has changed nothing.
 func (t *Table) Announce(now time.Time, a announcement.Announcement) (bool, error) {
 	if a.Service != t.cfg.Service {
 		return false, &announcement.Rejection{Reason: announcement.WrongService}
@@ -34,20 +34,20 @@
 	return n == newIncarnation || before != t.State(now), nil
 }
 
-// silence is how long a target may say nothing until it is taken for gone.
+// silence is how long a target may send no heartbeat until it counts as absent.
 func (t *Table) silence() time.Duration { return MissedHeartbeats * t.cfg.HeartbeatInterval }
 
-// Probed takes a target's answer that it is ready, for an agent that has not heard its heartbeat yet. Slots are not known
-// then. It reports whether the balancers should be told.
-func (t *Table) Probed(now time.Time, id string, born uint64) bool {
+// Probed records a target's answer to a health check that it is ready, when the agent has not received its heartbeat
+// yet. The number of slots is then assumed. It reports whether the balancers should be notified.
+func (t *Table) Probed(now time.Time, id string, startedMs uint64) bool {
 	if t.target.known {
 		return false
 	}
-	tell, err := t.Announce(now, announcement.Announcement{ID: id, StartedMs: born, Service: t.cfg.Service, Slots: AssumedSlots})
-	return tell && err == nil
+	notify, err := t.Announce(now, announcement.Announcement{ID: id, StartedMs: startedMs, Service: t.cfg.Service, Slots: AssumedSlots})
+	return notify && err == nil
 }
 
-// TargetLeft takes a target's word that its process is gone. The error is an *announcement.Rejection.
+// TargetLeft applies the deregistration of a target's process. The error is an *announcement.Rejection.
 func (t *Table) TargetLeft(now time.Time, f announcement.Deregistration) error {
 	if err := t.target.deregister(f); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// TargetIncarnation describes the present life of the target, for operators.
+// TargetIncarnation describes the current incarnation of the target, for operators.
 func (t *Table) TargetIncarnation() TargetIncarnation {
 	return TargetIncarnation{
 		ID:        t.target.last.ID,
@@ -70,19 +70,20 @@
 // TargetIncarnation is one process of a target.
 type TargetIncarnation struct {
 	ID string
-	// StartedMs is its start in Unix milliseconds, 0 when it does not say.
+	// StartedMs is its start in Unix milliseconds, 0 when it does not report one.
 	StartedMs uint64
-	// FirstSeen is when the agent first heard of it; Sequence is the number of its last announcement.
+	// FirstSeen is when the agent first saw it; Sequence is the number of its last announcement.
 	FirstSeen time.Time
 	Sequence  uint64
 	Slots     int
 }
 
-// discardIncarnation forgets what belonged to the target's last process. Openings that wait for their turn are offered to the new one.
+// discardIncarnation removes what belonged to the target's last incarnation. Queued flows are offered to the new one.
 //
-// A caller whose request the last process was working on would wait until its time is over, for an answer that cannot come. Its
-// request is handed to the target once more: a process that does not hold the flow returns it, and the caller is reset at once.
-// Resetting the flows outright would be wrong, since the new process may have taken some before its first report.
+// A caller whose request the last incarnation was working on would wait until its timeout for an answer that cannot
+// come. Its request is sent to the target again: a process that does not hold the flow returns it, and the caller is
+// reset at once. Resetting these flows directly would be wrong, since the new incarnation may have accepted some
+// before its first report.
 func (t *Table) discardIncarnation(now time.Time) {
 	t.silentSince, t.meanWork, t.outcomes = time.Time{}, estimate.Mean{}, outlier.Detector{}
 	clear(t.notHeld)
@@ -101,7 +102,7 @@
 	t.offerQueued(now)
 }
 
-// notifyReset tells the balancer that a flow was reset; it keeps the record.
+// notifyReset tells the balancer that a flow was reset, for its records.
 func (t *Table) notifyReset(now time.Time, origin netip.AddrPort, key flow.Key) {
 	if origin.IsValid() {
 		t.sendReturned(now, origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_RESET, nil)
--- a/pkg/dsr/ownership/lifetime.go
+++ b/pkg/dsr/ownership/lifetime.go
@@ -8,8 +8,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// markBusy notes that the target has something to do for the flow, or soon will have: an opening packet counts until its caller has
-// sent the request.
+// markBusy marks that the target has work for the flow or soon will have: an opening packet counts until its caller
+// has sent the request.
 func (t *Table) markBusy(now time.Time, e *entry) {
 	if e.busy {
 		return
@@ -18,7 +18,7 @@
 	t.busy++
 }
 
-// startRequest notes that the target has a startRequest to work on.
+// startRequest marks that the target has a request to work on.
 func (t *Table) startRequest(now time.Time, e *entry) {
 	t.markBusy(now, e)
 	if e.working {
@@ -29,7 +29,7 @@
 	t.working++
 }
 
-// clearBusy notes that the target has answered.
+// clearBusy marks that the target has no work for the flow any more.
 func (t *Table) clearBusy(e *entry) {
 	if !e.busy {
 		return
@@ -41,7 +41,7 @@
 	t.busy--
 }
 
-// endIfClosed ends the flow when both ends have endIfClosed it.
+// endIfClosed ends the flow when both ends have closed it.
 func (t *Table) endIfClosed(now time.Time, e *entry) {
 	if e.callerClosed && e.targetClosed {
 		t.end(now, e)
@@ -58,7 +58,7 @@
 	delete(t.flows, key)
 }
 
-// schedule puts a flow into the queue of those that are looked at after a time.
+// schedule adds a timer for a flow and keeps the timers sorted.
 func (t *Table) schedule(key flow.Key, at time.Time) {
 	i := len(t.due)
 	t.due = append(t.due, timer{key: key, at: at})
@@ -80,7 +80,7 @@
 	return next
 }
 
-// Tick carries out what has become due.
+// Tick fires the timers that are due.
 func (t *Table) Tick(now time.Time) {
 	for len(t.due) > 0 && !t.due[0].at.After(now) {
 		w := t.due[0]
@@ -95,7 +95,8 @@
 	}
 }
 
-// expire decides about a flow whose target has not answered in time.
+// expire applies a flow's timer: a half-open flow stops counting as work, an offer fails, or a probed flow is taken
+// as held.
 func (t *Table) expire(now time.Time, key flow.Key) {
 	e := t.flows[key]
 	if e == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// offerTimedOut gives an opening packet back to the balancer. The entry stays for a late answer of the target.
+// offerTimedOut declines a flow whose opening packet the target has not answered. The entry stays for a late answer.
 func (t *Table) offerTimedOut(now time.Time, key flow.Key, e *entry) {
 	if t.silentSince.IsZero() {
 		t.silentSince, t.lastSilentOffer = now, now
@@ -124,7 +125,7 @@
 	t.decline(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_SILENT, nil)
 }
 
-// sweep forgets flows that have ended or were idle for too long.
+// sweep removes flows that have ended or were idle for too long, and fails overdue requests.
 func (t *Table) sweep(now time.Time) {
 	t.swept = now
 	for key, e := range t.flows {
--- a/pkg/dsr/ownership/locate_test.go
+++ b/pkg/dsr/ownership/locate_test.go
@@ -6,7 +6,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// locate is a balancer's question for a flow.
+// locate is a balancer's query for the owner of a flow.
 func locate(key flow.Key) *dsrpb.Message {
 	return &dsrpb.Message{
 		Kind:        dsrpb.Kind_KIND_LOCATE,
--- a/pkg/dsr/ownership/tell.go
+++ b/pkg/dsr/ownership/messages.go
@@ -8,8 +8,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Announcement describes the agent and its target for the balancers; it is valid until the next call. Joined tells the receiver
-// that the agent hears of it, next is the time until the next announcement.
+// Announcement describes the agent and its target for the balancers; it is valid until the next call. Joined tells
+// the receiver that the agent has received messages from it lately, next is the time until the next announcement.
 func (t *Table) Announcement(now time.Time, joined bool, next time.Duration) *dsrpb.Message {
 	t.announcementMsg = dsrpb.Announcement{
 		DataCentre:  t.cfg.DataCentre,
@@ -27,7 +27,8 @@
 	return &t.msg
 }
 
-// startMessage begins a message with what each one tells balancers of the target; it is valid until the next message.
+// startMessage initialises a message with the target's state that every message carries; it is valid until the next
+// message.
 func (t *Table) startMessage(now time.Time, k dsrpb.Kind) {
 	t.msg = dsrpb.Message{
 		Kind:           k,
@@ -40,7 +41,7 @@
 	}
 }
 
-// verdict says whether the target holds a flow.
+// verdict returns whether the target holds a flow.
 func (t *Table) verdict(now time.Time, key flow.Key) dsrpb.Verdict {
 	if e := t.flows[key]; e != nil && e.phase >= open {
 		return dsrpb.Verdict_VERDICT_HELD
@@ -88,13 +89,13 @@
 	t.out.ToBalancer(e.origin, &t.msg)
 }
 
-// decline answers a balancer that a packet was not taken, and reports it.
+// decline returns a packet to a balancer and reports the decision.
 func (t *Table) decline(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
 	t.reportDecision(now, EventDeclined, key, balancer, m.Configuration, v)
 	t.sendReturned(now, balancer, m, key, v, raw)
 }
 
-// sendReturned answers a balancer that a packet was not taken.
+// sendReturned returns a packet to a balancer.
 func (t *Table) sendReturned(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
 	t.startMessage(now, dsrpb.Kind_KIND_RETURNED)
 	t.msg.Flow = m.Flow
--- a/pkg/dsr/ownership/outcome_test.go
+++ b/pkg/dsr/ownership/outcome_test.go
@@ -23,18 +23,18 @@
 	return f.table.Announcement(f.now, true, 0).Announcement.Failing
 }
 
-// breaking is a packet by which a caller breaks a flow off.
+// breaking is a packet by which a caller resets a flow.
 func breaking(port int) dsrtest.Packet {
 	p := closing(port)
 	p.Flags |= segment.RST
 	return p
 }
 
-// Each way in which a target leaves a request without an answer counts; eight take the target out.
-func TestATargetThatFailsIsLeftOut(t *testing.T) {
+// Each way in which a target leaves a request without an answer counts; eight failures eject the target.
+func TestATargetThatFailsIsEjected(t *testing.T) {
 	for name, fail := range map[string]func(f *fixture, port int){
-		"resets":                func(f *fixture, port int) { f.target(port, segment.RST, uint32(port)*1000+1, "") },
-		"closes without a word": func(f *fixture, port int) { f.target(port, segment.FIN, uint32(port)*1000+1, "") },
+		"resets":              func(f *fixture, port int) { f.target(port, segment.RST, uint32(port)*1000+1, "") },
+		"closes without data": func(f *fixture, port int) { f.target(port, segment.FIN, uint32(port)*1000+1, "") },
 		"never answers": func(f *fixture, port int) {
 			f.pass(sweepInterval)
 			f.pass(sweepInterval)
@@ -61,9 +61,9 @@
 	}
 }
 
-// A target that is left out takes no flow that another could take, serves when nobody else can, and is tried with one flow at a
-// time after its rest.
-func TestATargetThatIsLeftOutIsTriedAgain(t *testing.T) {
+// An ejected target takes no flow that another could take, serves when no other can, and is retried with one flow at
+// a time after its ejection.
+func TestAnEjectedTargetIsRetried(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
@@ -95,7 +95,7 @@
 }
 
 // Callers that leave early, targets that close after their answer, and slow but answered requests are no failures.
-func TestAHealthyTargetIsNotLeftOut(t *testing.T) {
+func TestAHealthyTargetIsNotEjected(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= 60; port++ {
 		f.request(port)
@@ -117,8 +117,8 @@
 	require.Empty(t, f.out.judgements)
 }
 
-// An address that the target does not serve: what fails there takes the target out for nobody.
-func TestOneAddressThatIsNotServedTakesNoTargetOut(t *testing.T) {
+// Failures at an address that the target does not serve do not count.
+func TestOneUnservedAddressEjectsNoTarget(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.request(1)
 	f.target(1, segment.ACK, 1001, "200")
@@ -138,7 +138,7 @@
 	require.Len(t, f.out.judgements, 1)
 }
 
-func TestANewLifeIsNotJudgedByTheEarlierOne(t *testing.T) {
+func TestOutlierStateEndsWithTheIncarnation(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
@@ -149,9 +149,9 @@
 	require.False(t, f.announcedFailing())
 }
 
-// A request that its caller repeats after the answer, as it does when the answer or an acknowledgement is late, is no new request:
-// it neither keeps a slot busy nor counts as one that got no answer.
-func TestARepeatedRequestIsNoNewOne(t *testing.T) {
+// A request that its caller retransmits after the answer, since the answer or an acknowledgement is late, neither
+// keeps a slot busy nor counts as a request without an answer.
+func TestARetransmittedRequestIsNotANewOne(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
@@ -163,10 +163,10 @@
 		f.announce(0)
 	}
 	require.Empty(t, f.out.judgements)
-	require.Equal(t, "GET", string(dsrtest.Data(f.out.target[len(f.out.target)-1])), "it is handed over all the same")
+	require.Equal(t, "GET", string(dsrtest.Data(f.out.target[len(f.out.target)-1])), "it is passed on nevertheless")
 }
 
-// The first data that a restarted agent sees of an older flow is a request, whatever its number.
+// The first data that a restarted agent sees of an older flow is a request, whatever its sequence number.
 func TestTheFirstDataOfAnOlderFlowIsARequest(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.target(1, segment.ACK, 1001, "200")
@@ -176,7 +176,6 @@
 	require.Equal(t, 1, f.table.Busy())
 }
 
-// The next request of a flow counts.
 func TestTheNextRequestOfAFlowCounts(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.request(1)
@@ -187,8 +186,8 @@
 	require.Equal(t, 1, f.table.Busy())
 }
 
-// A target that closes without an answer after its caller has closed only answers that; after an outage many callers open their
-// flows when their time is over, and close at once.
+// A target that closes without an answer only follows its caller's close; after an outage many callers open their
+// flows when their timeout is over, and close at once.
 func TestATargetThatClosesAfterItsCallerDoesNotFail(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := 1; port <= 3*outlier.Failures; port++ {
--- a/pkg/dsr/ownership/output.go
+++ b/pkg/dsr/ownership/output.go
@@ -7,9 +7,9 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Output carries decisions out. Its methods are called while a decision is made, and must not call back or block.
+// Output carries out decisions. Its methods are called while a decision is made, and must not call back or block.
 type Output interface {
-	// ToTarget hands a caller's packet to the target.
+	// ToTarget passes a caller's packet to the target.
 	ToTarget(raw []byte)
 	// ToCaller sends a packet of the target to the flow's caller.
 	ToCaller(key flow.Key, raw []byte)
@@ -19,7 +19,8 @@
 	ToBalancer(balancer netip.AddrPort, m *dsrpb.Message)
 	// Decided reports a decision, for logs and counters.
 	Decided(d Decision)
-	// HealthChanged reports that the target is left out since it fails, or in use again. The balancers are to be told.
+	// HealthChanged reports that the target was ejected since it fails, or is in use again. The balancers are to be
+	// notified.
 	HealthChanged(j HealthChange)
 }
 
@@ -29,33 +30,32 @@
 	Key     flow.Key
 	Hash    uint64
 	Verdict dsrpb.Verdict
-	// Busy and Slots are the target's load when it was decided.
+	// Busy and Slots are the target's load at the time of the decision.
 	Busy  int
 	Slots int
-	// ColdPerSecond is the number of new flows that the target took in any second when it was decided; 0 when it was warm.
+	// ColdPerSecond is the number of new flows that the target took in any second at that time; 0 when it was warm.
 	ColdPerSecond float64
-	// Balancer is the balancer that sent the packet.
-	Balancer netip.AddrPort
-	// Configuration is the version under which the balancer sent it.
+	Balancer      netip.AddrPort
+	// Configuration is the version under which the balancer sent the packet.
 	Configuration uint64
 }
 
-// Event names a kind of decision.
+// Event is a kind of decision.
 type Event string
 
 // Events.
 const (
 	// EventOffered: a new flow is offered to the target.
 	EventOffered Event = "offered"
-	// EventQueued: a new flow waits for the target to have room.
+	// EventQueued: a new flow is queued until the target has room.
 	EventQueued Event = "queued"
-	// EventAbandoned: a waiting flow's caller is gone.
+	// EventAbandoned: a queued flow's caller is gone.
 	EventAbandoned Event = "given-up"
-	// EventAccepted: the target has taken the flow.
+	// EventAccepted: the target has accepted the flow.
 	EventAccepted Event = "accepted"
 	// EventDeclined: the agent or its target did not take a packet; the verdict says why.
 	EventDeclined Event = "declined"
-	// EventRecovered: a flow that is older than the agent was found with the target.
+	// EventRecovered: a flow that is older than the agent was found at the target.
 	EventRecovered Event = "recovered"
 	// EventReset: an open flow was reset since its target has lost it.
 	EventReset Event = "reset"
--- a/pkg/dsr/ownership/queueing.go
+++ b/pkg/dsr/ownership/queueing.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// enqueue lets a new flow wait for the target, or declines it when its caller would leave before its turn or a free slot
-// is asked for.
+// enqueue queues a new flow for the target, or declines it when its caller would leave before its turn or the
+// balancer asks only for a free slot.
 func (t *Table) enqueue(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment, key flow.Key) {
 	t.queue.Cold = t.coldLimit(now)
 	if m.Patience == dsrpb.Patience_PATIENCE_FREE_SLOT || !t.queue.Add(now, openingOf(now, key, m.Opening, s), t.workTime(), t.slots()) {
@@ -31,7 +31,7 @@
 	t.offerQueued(now)
 }
 
-// openingOf reads what a balancer and the opening packet say of a new flow.
+// openingOf combines what a balancer and the opening packet say about a new flow.
 func openingOf(now time.Time, key flow.Key, o *dsrpb.Opening, s segment.Segment) admission.Opening {
 	out := admission.Opening{Key: key, Arrived: now.Add(-s.Age), Timeout: DefaultTimeout}
 	if o != nil {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// offerQueued hands waiting flows to the target while it has room, and gives up those whose callers are gone.
+// offerQueued offers queued flows to the target while it has room, and abandons those whose callers are gone.
 func (t *Table) offerQueued(now time.Time) {
 	for {
 		o, ok := t.queue.Expired(now, t.workTime())
@@ -70,7 +70,7 @@
 	}
 }
 
-// cancelQueued takes a packet of a waiting flow other than a copy of its opening packet: its caller gives it up.
+// cancelQueued removes a queued flow when its caller resets or closes it.
 func (t *Table) cancelQueued(key flow.Key, s segment.Segment) {
 	if !s.Has(segment.RST) && !s.Has(segment.FIN) {
 		return
@@ -79,7 +79,7 @@
 	delete(t.flows, key)
 }
 
-// returnQueued takes a flow that no longer waits back to its balancer.
+// returnQueued returns a flow that is no longer queued to its balancer.
 func (t *Table) returnQueued(now time.Time, key flow.Key, v dsrpb.Verdict, ev Event) {
 	e := t.flows[key]
 	delete(t.flows, key)
@@ -87,14 +87,14 @@
 	t.sendReturned(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, v, nil)
 }
 
-// returnQueuedUnlessReady returns the waiting flows to their balancers when the target takes no more.
+// returnQueuedUnlessReady returns the queued flows to their balancers when the target takes no more.
 func (t *Table) returnQueuedUnlessReady(now time.Time) {
 	if t.State(now) != dsrpb.State_STATE_READY {
 		t.returnAllQueued(now, dsrpb.Verdict_VERDICT_LEAVING)
 	}
 }
 
-// returnAllQueued returns every waiting flow to its balancer.
+// returnAllQueued returns every queued flow to its balancer.
 func (t *Table) returnAllQueued(now time.Time, v dsrpb.Verdict) {
 	for {
 		o, ok := t.queue.Next(now, t.workTime())
@@ -105,7 +105,8 @@
 	}
 }
 
-// requestAnswered notes that the target has requestAnswered a request, and learns its pace from requests that had a slot at once.
+// requestAnswered records that the target has answered, and samples the work time of a request that had a slot at
+// once.
 func (t *Table) requestAnswered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if e.working {
 		t.recordServed(key.Destination)
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// timer is a flow whose answer is due at a time.
+// timer is the time at which a flow is checked.
 type timer struct {
 	key flow.Key
 	at  time.Time
@@ -27,38 +27,39 @@
 	target  target
 	leaving bool
 	flows   map[flow.Key]*entry
-	// busy is the number of flows with busy set, working of those with working set.
+	// busy is the number of flows with busy set, working the number of those with working set.
 	busy    int
 	working int
-	// queue holds the flows in phase queued; worked is the target's time for one request, paced when it was last learnt. trip is the
-	// time from the target's answer to an opening packet to the caller's request.
+	// queue holds the flows in phase queued. meanWork is the target's time for one request, last updated at
+	// workUpdated. roundTrip is the time from the target's answer to an opening packet to the caller's request.
 	queue       admission.Queue
 	meanWork    estimate.Mean
 	workUpdated time.Time
 	roundTrip   estimate.Answer
-	// due are the flows that are looked at after a time, in order of their time.
+	// due are the pending timers, sorted by time.
 	due []timer
-	// outcomes judges the target by the ends of its requests.
+	// outcomes detects a failing target by the results of its requests.
 	outcomes outlier.Detector
 	// served are the addresses for which the target has answered a request.
 	served map[netip.AddrPort]bool
-	// minAnswers are the target's last minAnswers by the hash of the address, usual the least minAnswers of the median target of the service.
+	// minAnswers are the target's minimum answers by the hash of the address, medianAnswers those of the median
+	// target of the service.
 	minAnswers    map[uint32]*outlier.Least
 	medianAnswers map[uint32]outlier.Answer
-	// notHeld are flows that the target has returned since the agent started.
+	// notHeld are flows that the target has returned, by the time when it did.
 	notHeld map[flow.Key]time.Time
-	// silentSince is when the target first left an opening packet unanswered; zero when it answers. silentOffer is the time of
-	// the last offer since then.
+	// silentSince is when the target first left an opening packet unanswered, zero while it answers. lastSilentOffer
+	// is the time of the last offer since then.
 	silentSince     time.Time
 	lastSilentOffer time.Time
 	// configuration is the highest version that a balancer has named.
 	configuration uint64
 	// evacuated is set while the agent's data centre takes no new flows.
 	evacuated bool
-	// rate is the number of new flows that the target gets.
+	// rate is the rate of new flows that the target gets.
 	rate estimate.Rate
-	// cold is what is known of the target's warm-up, roomAgain when the queue is looked at again since the target is cold; zero when
-	// something else has to happen first.
+	// cold is the state of the target's warm-up. recheckAt is when the queue is checked again because the target is
+	// cold; zero when something else has to happen first.
 	cold            coldState
 	recheckAt       time.Time
 	swept           time.Time
@@ -67,7 +68,6 @@
 	coldMsg         dsrpb.Cold
 }
 
-// NewTable returns a table without flows.
 func NewTable(cfg Config, codec segment.Codec, out Output, now time.Time) *Table {
 	return &Table{
 		cfg:           cfg,
@@ -84,14 +84,14 @@
 	}
 }
 
-// Leave makes the agent take no new flows any more.
+// Leave stops the agent from taking new flows and returns the queued ones.
 func (t *Table) Leave(now time.Time) {
 	t.leaving = true
 	t.returnQueuedUnlessReady(now)
 }
 
-// SetEvacuated says whether the agent's data centre takes no new flows. What waits for the target goes elsewhere at once; open flows
-// stay. It reports whether that is new.
+// SetEvacuated sets whether the agent's data centre is evacuated and takes no new flows. Queued flows are then
+// returned to their balancers at once; open flows stay. It reports whether the setting changed.
 func (t *Table) SetEvacuated(now time.Time, on bool) bool {
 	if t.evacuated == on {
 		return false
@@ -105,10 +105,9 @@
 	return true
 }
 
-// Evacuated reports whether the agent's data centre takes no new flows.
 func (t *Table) Evacuated() bool { return t.evacuated }
 
-// State is what the balancers are told.
+// State is the target's state as announced to the balancers.
 func (t *Table) State(now time.Time) dsrpb.State {
 	if t.leaving || t.evacuated && t.target.known {
 		return dsrpb.State_STATE_LEAVING
@@ -116,19 +115,19 @@
 	return t.target.state(now, t.silence())
 }
 
-// TargetKnown reports whether the target has been heard of.
+// TargetKnown reports whether a running incarnation of the target is known.
 func (t *Table) TargetKnown() bool { return t.target.known }
 
 // Busy is the number of requests that the target works on or has queued, as far as its packets show.
 func (t *Table) Busy() int { return t.busy + t.queue.Len() }
 
-// Flows is the number of flows that are known, ended ones included.
+// Flows is the number of known flows, including ended ones.
 func (t *Table) Flows() int { return len(t.flows) }
 
 // Configuration is the highest version of the configuration that a balancer has named.
 func (t *Table) Configuration() uint64 { return t.configuration }
 
-// Unfinished is the number of flows that have not ended and saw a packet within the time.
+// Unfinished is the number of flows that have not ended and had a packet within the given time.
 func (t *Table) Unfinished(now time.Time, within time.Duration) int {
 	n := 0
 	for _, e := range t.flows {
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -31,7 +31,7 @@
 	initial    uint32
 }
 
-// recorder keeps what a table sends.
+// recorder records a table's output.
 type recorder struct {
 	target, caller [][]byte
 	resets         []flow.Key
@@ -54,7 +54,7 @@
 	})
 }
 
-// last returns the last message to a balancer and forgets all.
+// last returns the last message to a balancer and clears all.
 func (r *recorder) last(t *testing.T) sent {
 	t.Helper()
 	require.NotEmpty(t, r.messages)
@@ -87,7 +87,7 @@
 	return f
 }
 
-// newTestTable returns a table whose target has not been heard of.
+// newTestTable returns a table whose target has sent no report.
 func newTestTable(f *fixture, cfg Config) *Table {
 	cfg.Service, cfg.HeartbeatInterval = "route-svc", time.Second
 	return NewTable(cfg, dsrtest.Codec{}, f.out, f.now)
@@ -95,16 +95,16 @@
 
 func (f *fixture) announce(s announcement.State) bool {
 	f.beat++
-	// Beats of a target that is older than the agent: the first one is not seen.
+	// Heartbeats of a target that is older than the agent: the first one is not seen.
 	return f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 2, State: s, Sequence: f.beat})
 }
 
-// apply hands the table a report that is taken; it returns whether the balancers are told.
+// apply passes the table a report that is accepted; it returns whether the balancers are to be notified.
 func (f *fixture) apply(a announcement.Announcement) bool {
 	f.Helper()
-	tell, err := f.table.Announce(f.now, a)
+	notify, err := f.table.Announce(f.now, a)
 	require.NoError(f, err)
-	return tell
+	return notify
 }
 
 func (f *fixture) pass(d time.Duration) {
@@ -112,7 +112,7 @@
 	f.table.Tick(f.now)
 }
 
-// forward hands the table a caller's packet.
+// forward passes a caller's packet to the table.
 func (f *fixture) forward(p dsrtest.Packet, m *dsrpb.Message) {
 	s, err := dsrtest.Codec{}.Decode(dsrtest.Encode(p))
 	require.NoError(f, err)
@@ -123,7 +123,7 @@
 	f.table.Forward(f.now, balancer, m, s)
 }
 
-// opening and closing are packets by which a caller opens a flow and leaves it.
+// opening and closing are packets by which a caller opens and closes a flow.
 func opening(port int) dsrtest.Packet {
 	return dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Sequence: 7}
 }
@@ -193,7 +193,7 @@
 			require.NoError(f, f.table.TargetLeft(f.now, announcement.Deregistration{ID: "i-1"}))
 		}, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"leaving agent", func(f *fixture) { f.table.Leave(f.now) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
-		{"no heartbeats any more", func(f *fixture) { f.now = f.now.Add(4 * time.Second) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
+		{"silent target", func(f *fixture) { f.now = f.now.Add(4 * time.Second) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"balancer with an old configuration", func(f *fixture) { f.table.configuration = 9 }, &dsrpb.Message{Configuration: 8}, dsrpb.Verdict_VERDICT_STALE},
 		{"no free slot", func(f *fixture) { f.accept(1); f.accept(2); f.accept(3) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_BUSY},
 	} {
@@ -211,13 +211,13 @@
 func TestALateAnnouncementOfAnEarlierProcessChangesNothing(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.apply(announcement.Announcement{ID: "i-2", Service: "route-svc", Slots: 2, Sequence: 1})
-	tell, err := f.table.Announce(f.now, announcement.Announcement{ID: "i-1", Service: "route-svc", State: announcement.Draining, Sequence: 90})
+	notify, err := f.table.Announce(f.now, announcement.Announcement{ID: "i-1", Service: "route-svc", State: announcement.Draining, Sequence: 90})
 	require.Error(t, err)
-	require.False(t, tell)
+	require.False(t, notify)
 	require.Equal(t, dsrpb.State_STATE_READY, f.table.State(f.now))
 }
 
-func TestADelayedReadyDoesNotTakeBackADrain(t *testing.T) {
+func TestADelayedReadyDoesNotEndADrain(t *testing.T) {
 	f := newFixture(t, Config{})
 	late := f.beat + 1
 	f.beat++
@@ -226,16 +226,16 @@
 	require.Equal(t, dsrpb.State_STATE_LEAVING, f.table.State(f.now))
 }
 
-func TestARestartedAgentTakesNothingBeforeItsTargetSpeaks(t *testing.T) {
+func TestARestartedAgentDeclinesFlowsUntilItsTargetReports(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.table = NewTable(Config{Service: "route-svc", HeartbeatInterval: time.Second}, dsrtest.Codec{}, f.out, f.now)
 	f.open(1)
 	require.Equal(t, dsrpb.Verdict_VERDICT_LEAVING, f.out.last(t).verdict)
-	require.True(t, f.table.Probed(f.now, "i-1", 0), "a health check that says ready is enough")
+	require.True(t, f.table.Probed(f.now, "i-1", 0), "a successful health check is enough")
 	f.open(1)
 	require.Len(t, f.out.target, 1)
 	f.announce(announcement.Draining)
-	require.False(t, f.table.Probed(f.now, "i-1", 0), "a late health check does not take a drain back")
+	require.False(t, f.table.Probed(f.now, "i-1", 0), "a late health check does not end a drain")
 	require.Equal(t, dsrpb.State_STATE_LEAVING, f.table.State(f.now))
 }
 
@@ -249,30 +249,30 @@
 	require.Zero(t, f.table.Busy())
 }
 
-func TestASilentTargetIsFoundAtOnceAndTriedAgain(t *testing.T) {
+func TestASilentTargetIsDetectedAtOnceAndRetried(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.open(1)
 	f.pass(OfferTimeout)
 	require.Equal(t, dsrpb.Verdict_VERDICT_SILENT, f.out.last(t).verdict)
 	f.open(2)
-	require.Equal(t, dsrpb.Verdict_VERDICT_SILENT, f.out.last(t).verdict, "the next one does not wait")
+	require.Equal(t, dsrpb.Verdict_VERDICT_SILENT, f.out.last(t).verdict, "the next flow is declined at once")
 	require.Len(t, f.out.target, 1)
 	f.pass(SilentRetryInterval)
 	f.open(3)
-	require.Len(t, f.out.target, 2, "one is offered to see whether it answers again")
+	require.Len(t, f.out.target, 2, "one flow is offered as a probe")
 	f.target(3, segment.SYN|segment.ACK, 3000, "")
 	f.open(4)
 	require.Len(t, f.out.target, 3)
 }
 
-func TestARestartedAgentFindsItsTargetsFlowsAgain(t *testing.T) {
+func TestARestartedAgentRecoversItsTargetsFlows(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.data(1, 1001, true)
-	require.Len(t, f.out.target, 1, "the balancer says that the flow is the target's")
+	require.Len(t, f.out.target, 1, "the balancer names the target as the owner")
 	f.pass(ProbeTimeout)
 	require.Equal(t, dsrpb.Kind_KIND_ACCEPTED, f.out.last(t).kind, "a packet that is not returned belongs to it")
 	f.target(2, segment.ACK, 50, "tail")
-	require.Len(t, f.out.caller, 1, "a packet of the target shows another flow")
+	require.Len(t, f.out.caller, 1, "a packet of the target reveals another flow")
 	f.data(2, 55, false)
 	require.Len(t, f.out.target, 2)
 }
@@ -304,7 +304,7 @@
 	require.Len(t, f.out.target, 1)
 }
 
-// A long answer moves the caller's acknowledgement far from the number at which the flow opened.
+// A long answer moves the caller's acknowledgement far from the initial sequence number.
 func TestALongFlowStaysWithItsTarget(t *testing.T) {
 	f := newFixture(t, Config{First: true})
 	f.accept(1)
@@ -324,7 +324,7 @@
 	f.data(1, 1004, true)
 	f.returnPacket(1, segment.ACK)
 	require.Equal(t, []flow.Key{keyOfCaller(1)}, f.out.resets)
-	require.Equal(t, dsrpb.Verdict_VERDICT_RESET, f.out.last(t).verdict, "the balancer is told, for the record")
+	require.Equal(t, dsrpb.Verdict_VERDICT_RESET, f.out.last(t).verdict, "the balancer is notified, for its records")
 	f.accept(2)
 	f.data(2, 2001, true)
 	f.returnPacket(2, segment.ACK)
@@ -336,12 +336,12 @@
 	for port := range 6 {
 		f.open(port + 1)
 	}
-	require.Len(t, f.out.target, 3, "two slots and one more")
+	require.Len(t, f.out.target, 3, "two slots and one extra request")
 	require.Equal(t, 6, f.table.Busy())
 	f.target(1, segment.SYN|segment.ACK, 1000, "")
 	f.data(1, 1001, true)
 	f.target(1, segment.ACK, 1001, "200")
-	require.Len(t, f.out.target, 5, "the request and the next waiting flow")
+	require.Len(t, f.out.target, 5, "the request and the next queued flow")
 	f.announce(announcement.Draining)
 	left := 0
 	for _, m := range f.out.messages {
@@ -349,7 +349,7 @@
 			left++
 		}
 	}
-	require.Equal(t, 2, left, "the rest is given back when the target leaves")
+	require.Equal(t, 2, left, "the rest is returned when the target leaves")
 }
 
 func TestACallerThatNeverSendsItsRequestFreesTheSlot(t *testing.T) {
@@ -364,7 +364,7 @@
 	require.Equal(t, 1, f.table.Busy(), "a late request is work again")
 }
 
-func TestACallerThatLeavesTheQueueIsForgotten(t *testing.T) {
+func TestACallerThatLeavesTheQueueIsRemoved(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := range 5 {
 		f.open(port + 1)
@@ -378,8 +378,8 @@
 	require.Zero(t, f.table.queue.Len())
 }
 
-// An agent that hears the first announcement of its target has seen all of the target's flows, also when other agents were
-// restarted: on suspicion, packets of 16 flows were handed to a target that had just joined.
+// An agent that receives the first announcement of its target has seen all of the target's flows, also when other
+// agents were restarted: it must not pass packets of other targets' flows to a target that has just started.
 func TestAnAgentThatIsOlderThanItsTargetKnowsAllFlows(t *testing.T) {
 	for sequence, want := range map[uint64]dsrpb.Verdict{1: dsrpb.Verdict_VERDICT_NOT_HELD, 2: dsrpb.Verdict_VERDICT_UNKNOWN} {
 		f := newFixture(t, Config{})
@@ -389,7 +389,7 @@
 	}
 }
 
-func TestLocateSaysWhatIsKnown(t *testing.T) {
+func TestLocateVerdicts(t *testing.T) {
 	ask := func(f *fixture, port int) dsrpb.Verdict {
 		key := keyOfCaller(port)
 		m := locate(key)
@@ -420,7 +420,7 @@
 	}
 }
 
-// discard drops what a table sends.
+// discard drops a table's output.
 type discard struct{}
 
 func (discard) ToTarget([]byte)                           {}
--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -7,49 +7,52 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
 )
 
-// firstSequence is the number of a process's first announcement. The answer to a health check has none.
+// firstSequence is the number of an incarnation's first announcement. The answer to a health check has none.
 const firstSequence = 1
 
 // announcementEffect is what an announcement changes.
 type announcementEffect uint8
 
 const (
-	// outdated: it is a late copy of one that was heard.
+	// outdated: a repeated or reordered announcement.
 	outdated announcementEffect = iota
-	// sameIncarnation: the process goes on.
+	// sameIncarnation: the process is still running.
 	sameIncarnation
-	// newIncarnation: another process has taken the place of the last one, or the first is heard of.
+	// newIncarnation: another process has replaced the last one, or this is the first known process.
 	newIncarnation
 )
 
-// target is what the agent believes of its target.
+// target is the agent's view of its target.
 type target struct {
-	// known is set while a process is believed to live; last is its last announcement, or that of one that has left.
+	// known is set while an incarnation is taken to be running; last is its last announcement, or that of one that
+	// has ended.
 	known    bool
 	last     announcement.Announcement
 	lastSeen time.Time
-	// firstSeen is when the present life was first heard of.
+	// firstSeen is when the current incarnation was first seen.
 	firstSeen time.Time
-	// sawFirstAnnouncement is set when the process announced itself here for the first time, so that all its flows came by here.
+	// sawFirstAnnouncement is set when the incarnation's first announcement came to this agent, which has therefore
+	// seen all of its flows.
 	sawFirstAnnouncement bool
-	// warmAt is when the process is warm as it says, once warmAtKnown is set; the answer to a health check says nothing of it.
+	// warmAt is when the target is warm according to its announcements, valid once warmAtKnown is set; the answer to
+	// a health check does not say.
 	warmAt      time.Time
 	warmAtKnown bool
-	// coldFrom is when the warm-up may have begun at the latest, as long as the process says nothing of it.
+	// coldFrom is the latest time at which the warm-up can have begun, used until the target reports it.
 	coldFrom time.Time
-	// retired are earlier processes that do not say when they started, the latest last.
+	// retired are earlier incarnations that do not report their start, the latest last.
 	retired []retired
 }
 
-// retired is an earlier process.
+// retired is an earlier incarnation.
 type retired struct {
 	id string
-	// sequence is the number of its last announcement; left is set when it has said that it ends.
+	// sequence is the number of its last announcement; left is set when it was deregistered.
 	sequence uint64
 	left     bool
 }
 
-// receive takes an announcement. The error is a rejection: the announcement then changes nothing.
+// receive applies an announcement. A rejected one returns an *announcement.Rejection and changes nothing.
 func (t *target) receive(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
 	n, err := t.classify(now, a, silence)
 	if err != nil || n == outdated {
@@ -65,7 +68,7 @@
 	return n, nil
 }
 
-// begin notes that another process has taken the target's place.
+// begin records that another incarnation has replaced the last one.
 func (t *target) begin(now time.Time, a announcement.Announcement) {
 	if t.known {
 		t.retire(t.last, false)
@@ -75,12 +78,12 @@
 	t.sawFirstAnnouncement = a.Sequence == firstSequence
 }
 
-// assumeCold forgets what the process has said of its warm-up, since it may have begun anew.
+// assumeCold discards what the target has reported of its warm-up, since it may have become cold again.
 func (t *target) assumeCold(now time.Time) { t.coldFrom, t.warmAtKnown = now, false }
 
-// classify says what an announcement means. The start of a process orders lives, whatever the target's name; the sequence orders
-// announcements within one. A target that never says when it started never reuses a name either: then a new name is a new
-// life.
+// classify determines what an announcement means. Incarnations are ordered by their start time, whatever the target's
+// name, and announcements within one by their sequence. A target that never reports its start never reuses a name
+// either: then a new name is a new incarnation.
 func (t *target) classify(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
 	switch {
 	case t.last.ID == "":
@@ -90,7 +93,7 @@
 	case t.last.StartedMs != 0:
 		return outdated, &announcement.Rejection{Reason: announcement.UnknownIncarnation}
 	case a.StartedMs != 0 && a.ID == t.last.ID && t.known:
-		// A health check has named the process before its first announcement came.
+		// A health check has identified the process before its first announcement.
 		return sameIncarnation, nil
 	case a.StartedMs != 0:
 		return newIncarnation, nil
@@ -98,7 +101,7 @@
 	return t.classifyByName(now, a, silence)
 }
 
-// classifyByStart orders two lives that both say when they started.
+// classifyByStart orders two incarnations that both report their start.
 func (t *target) classifyByStart(a announcement.Announcement) (announcementEffect, error) {
 	switch {
 	case a.StartedMs > t.last.StartedMs:
@@ -111,8 +114,8 @@
 	return t.classifyBySequence(a), nil
 }
 
-// classifyByName orders lives that do not say when they started. A name that was replaced stays out, since its announcement may
-// have been under way for long; it comes back only when its successor has fallen silent and it goes on counting.
+// classifyByName orders incarnations that do not report their start. A replaced name stays rejected, since its
+// announcements may be delayed; it is accepted again only when its successor is silent and its sequence continues.
 func (t *target) classifyByName(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
 	if t.known && t.last.ID == a.ID {
 		return t.classifyBySequence(a), nil
@@ -133,18 +136,18 @@
 	return sameIncarnation
 }
 
-// deregister takes a process's word that it ends. The error is a rejection: the word is that of an earlier life then.
+// deregister records that an incarnation has ended. A deregistration of an earlier incarnation is rejected.
 func (t *target) deregister(f announcement.Deregistration) error {
 	if err := t.checkDeregistration(f); err != nil {
 		return err
 	}
 	if f.StartedMs > t.last.StartedMs && (t.last.StartedMs != 0 || t.last.ID == "") {
-		// A process that has started and ended unheard: what comes of earlier ones is late.
+		// This incarnation started and ended without an announcement; later reports of earlier ones are outdated.
 		t.known, t.last = false, announcement.Announcement{ID: f.ID, StartedMs: f.StartedMs}
 		return nil
 	}
 	if !t.known || t.last.ID != f.ID {
-		// A process that this agent has not heard of: its announcements may still be under way.
+		// This agent does not know the incarnation: its announcements may still arrive.
 		t.retire(announcement.Announcement{ID: f.ID}, true)
 		return nil
 	}
@@ -153,8 +156,8 @@
 	return nil
 }
 
-// checkDeregistration turns down the word of a life that is not the present one. One that does not say when its process started is
-// taken from a target that says so only when it has told before that it drains.
+// checkDeregistration rejects a deregistration that is not of the current incarnation or a later one. When only the
+// target reports its start and the deregistration names none, the target must have announced that it drains.
 func (t *target) checkDeregistration(f announcement.Deregistration) error {
 	switch {
 	case !t.known || t.last.StartedMs == 0:
@@ -176,7 +179,7 @@
 	}
 }
 
-// state is what the balancers are told of the target.
+// state is the target's state as announced to the balancers.
 func (t *target) state(now time.Time, silence time.Duration) dsrpb.State {
 	switch {
 	case !t.known:
--- a/pkg/dsr/ownership/pace.go
+++ b/pkg/dsr/ownership/work_time.go
@@ -12,7 +12,7 @@
 // workTime is the target's time for one request.
 func (t *Table) workTime() time.Duration { return t.meanWork.Or(DefaultWorkTime) }
 
-// recordWork takes the time of a request that had a slot at once.
+// recordWork adds a sample of the work time, from a request that had a slot at once.
 func (t *Table) recordWork(now time.Time, work time.Duration) {
 	if now.Sub(t.workUpdated) > WorkTimeMaxAge {
 		t.meanWork = estimate.Mean{}
@@ -21,7 +21,8 @@
 	t.workUpdated = now
 }
 
-// reportedWork is the target's time for one request as the balancers are told, in microseconds; 0 when it is not known.
+// reportedWork is the target's time for one request as reported to balancers, in microseconds; 0 when it is not
+// known.
 func (t *Table) reportedWork(now time.Time) uint32 {
 	if !t.meanWork.Known() || now.Sub(t.workUpdated) > WorkTimeMaxAge {
 		return 0
@@ -29,27 +30,27 @@
 	return uint32(t.meanWork.Or(0) / time.Microsecond)
 }
 
-// recordRoundTrip takes a caller's first data on a flow that the target has answered. Two such trips lie between the answer to the
-// opening packet and the answer to the request.
+// recordRoundTrip takes a sample of the round trip from a caller's first data on a flow that the target has answered.
+// Two round trips lie between the answer to the opening packet and the answer to the request.
 func (t *Table) recordRoundTrip(now time.Time, e *entry, s segment.Segment) {
 	if e.phase != open || e.requested || !e.hasSequence || s.Length == 0 {
 		return
 	}
-	if trip := now.Sub(e.since); trip <= maxRoundTrip {
-		t.roundTrip.Add(trip)
+	if sample := now.Sub(e.since); sample <= maxRoundTrip {
+		t.roundTrip.Add(sample)
 		t.queue.RoundTrips = 2 * t.roundTrip.Mean(0)
 	}
 }
 
-// extraRequests is the number of requests that the target is handed beyond its slots: those whose callers have still to send them, since
-// the slots would stand idle for a round trip each.
+// extraRequests is the number of requests that the target is given beyond its slots: those that callers have still to
+// send, for which the slots would be idle for a round trip each.
 func (t *Table) extraRequests() int {
 	slots := t.slots()
 	waiting := float64(slots) * float64(t.roundTrip.Mean(admission.DefaultRoundTrips/2)) / float64(t.workTime())
 	return min(max(1, int(math.Ceil(waiting))), MaxExtraFactor*slots)
 }
 
-// halfOpen is how long a flow counts as work whose caller has not sent its request.
+// halfOpen is how long a flow whose caller has not sent its request counts as work.
 func (t *Table) halfOpen() time.Duration {
 	return min(max(HalfOpenTimeout, t.roundTrip.Longest(0)), maxRoundTrip)
 }
