--- a/pkg/dsr/admission/queue_test.go
+++ b/pkg/dsr/admission/queue_test.go
@@ -19,7 +19,7 @@
 	return flow.Key{Source: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(port))}
 }
 
-// opening is a flow that came age ago, with the aims of a small request.
+// opening is a flow whose first packet arrived age ago, with the promised time of a small request.
 func opening(port int, age time.Duration, priority int) Opening {
 	return Opening{
 		Key:      key(port),
@@ -31,7 +31,7 @@
 	}
 }
 
-// retransmitted is a flow whose caller has sent a copy of the opening packet age after the first.
+// retransmitted is a flow whose caller has sent the opening packet again, age after the first time.
 func retransmitted(o Opening, age time.Duration) Opening {
 	o.RecordSent(age, 0)
 	return o
@@ -56,8 +56,8 @@
 		want    []uint16
 	}{
 		{"fresh before late", []Opening{opening(1, 600*time.Millisecond, 2), opening(2, 0, 2)}, []uint16{2, 1}},
-		{"late ones by when their callers were heard of", []Opening{opening(1, 900*time.Millisecond, 2), opening(2, 300*time.Millisecond, 2)}, []uint16{2, 1}},
-		{"a copy counts", []Opening{opening(1, 300*time.Millisecond, 2), retransmitted(opening(2, 610*time.Millisecond, 2), 600*time.Millisecond)}, []uint16{2, 1}},
+		{"late ones by their last transmission", []Opening{opening(1, 900*time.Millisecond, 2), opening(2, 300*time.Millisecond, 2)}, []uint16{2, 1}},
+		{"a retransmission counts", []Opening{opening(1, 300*time.Millisecond, 2), retransmitted(opening(2, 610*time.Millisecond, 2), 600*time.Millisecond)}, []uint16{2, 1}},
 		{"a late one goes after a fresh one of lower rank", []Opening{opening(1, 600*time.Millisecond, 1), opening(2, 0, 2)}, []uint16{2, 1}},
 		{"fresh ones by rank", []Opening{opening(1, 20*time.Millisecond, 2), opening(2, 0, 1)}, []uint16{2, 1}},
 		{"fresh ones of a rank by the time left", []Opening{opening(1, 0, 2), opening(2, 20*time.Millisecond, 2)}, []uint16{2, 1}},
@@ -73,17 +73,17 @@
 	}
 }
 
-func TestAFlowWhoseTurnComesTooLateIsNotTaken(t *testing.T) {
+func TestAFlowWhoseTurnComesTooLateIsNotQueued(t *testing.T) {
 	var q Queue
 	for i := range 60 {
 		require.True(t, q.Add(now, opening(i, 0, 1), work, 3))
 	}
-	// 60 flows of rank 1 before it take 500 ms of three slots; its caller leaves in 400 ms.
+	// 60 flows of rank 1 ahead of it take 500 ms on three slots; its caller leaves in 400 ms.
 	require.False(t, q.Add(now, opening(100, 800*time.Millisecond, 2), work, 3))
 	require.True(t, q.Add(now, opening(101, 0, 2), work, 3))
 }
 
-func TestGoneCallersAreGivenUp(t *testing.T) {
+func TestFlowsOfGoneCallersExpire(t *testing.T) {
 	var q Queue
 	require.True(t, q.Add(now, opening(1, 1100*time.Millisecond, 2), work, 3))
 	require.True(t, q.Add(now, opening(2, 0, 2), work, 3))
@@ -96,8 +96,8 @@
 	require.Zero(t, q.Len())
 }
 
-// Callers that leave say nothing, but stop sending copies.
-func TestAFlowWhoseCallerHasFallenSilentIsGivenUp(t *testing.T) {
+// Callers that leave send nothing, but stop retransmitting.
+func TestFlowsWithOverdueRetransmissionsExpire(t *testing.T) {
 	var q Queue
 	o := opening(1, 0, 2)
 	o.RecordSent(0, 200*time.Millisecond)
@@ -108,13 +108,13 @@
 	q.RecordRetransmission(key(1), 200*time.Millisecond, 400*time.Millisecond)
 	q.RecordRetransmission(key(1), 0, 200*time.Millisecond)
 	_, ok = q.Expired(late.Add(time.Millisecond), work)
-	require.False(t, ok, "the copy came, and the first packet once more after it")
+	require.False(t, ok, "the retransmission came, and a duplicate of the first packet after it")
 	_, ok = q.Expired(now.Add(600*time.Millisecond+RetransmissionSlack+time.Millisecond), work)
 	require.True(t, ok)
 }
 
-// After an outage of 1.2 s the backlog comes at once, beside fresh requests at 87% of what the target can do. The queue
-// must keep most fresh ones in time, where first in, first out keeps none for seconds.
+// After an outage of 1.2 s the backlog arrives at once, beside fresh requests at 87% of the target's capacity. The
+// queue must keep most fresh requests in time, where first in, first out keeps none for seconds.
 func TestFreshRequestsStayInTimeBesideABacklog(t *testing.T) {
 	inTime, servedLate := playBacklog((*Queue).Next)
 	fifoInTime, _ := playBacklog(func(q *Queue, _ time.Time, _ time.Duration) (Opening, bool) {
@@ -125,10 +125,10 @@
 	})
 	require.Greater(t, inTime, 180, "of 209 fresh requests")
 	require.Less(t, fifoInTime, 40)
-	require.Positive(t, servedLate, "slots that fresh requests leave serve the backlog")
+	require.Positive(t, servedLate, "slots that fresh requests leave free serve the backlog")
 }
 
-// playBacklog plays two seconds on three slots and returns how many requests were handed over in time and late.
+// playBacklog simulates two seconds on three slots and returns how many requests were offered in time and late.
 func playBacklog(next func(*Queue, time.Time, time.Duration) (Opening, bool)) (inTime, late int) {
 	var q Queue
 	for i := range 90 {
--- a/pkg/dsr/announcement/announcement.go
+++ b/pkg/dsr/announcement/announcement.go
@@ -1,4 +1,4 @@
-// Package announcement holds what a target of a pass-through service says of itself.
+// Package announcement holds the heartbeats and deregistrations that targets of a pass-through service send.
 package announcement
 
 import (
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// State is what a target says of itself.
+// State is the state that a target reports.
 type State uint8
 
-// States of a target.
 const (
 	Ready State = iota
 	Draining
@@ -17,27 +16,28 @@
 
 // Announcement is one heartbeat of a target.
 type Announcement struct {
-	// ID is the name of the target. A target may keep it when it starts again.
+	// ID is the name of the target. A target may keep it across restarts.
 	ID string
-	// StartedMs is when the target's process started, in Unix milliseconds; 0 when the target does not say. It orders the lives of
-	// a target.
+	// StartedMs is when the target's process started, in Unix milliseconds; 0 when the target does not report it. It
+	// orders the incarnations of a target.
 	StartedMs uint64
 	Service   string
-	// Address is where the target takes packets; it is invalid when the target does not say.
+	// Address is where the target receives packets; it is invalid when the target does not report it.
 	Address netip.AddrPort
 	State   State
-	// Slots is the number of requests that the target works on at once, Connections the number of flows that it holds.
+	// Slots is the number of requests that the target works on at once, Connections the number of flows that it
+	// holds.
 	Slots       int
 	Connections int
-	// WarmUp is how long the target stays slow after its start.
+	// WarmUp is the time until the target is warm.
 	WarmUp time.Duration
-	// Sequence rises with each announcement of one life.
+	// Sequence rises with each announcement of one incarnation.
 	Sequence uint64
 }
 
-// Deregistration is a target's word that its process ends.
+// Deregistration announces that a target's process ends.
 type Deregistration struct {
 	ID string
-	// StartedMs is the start of the process that ends, in Unix milliseconds; 0 when the target does not say.
+	// StartedMs is the start of the process that ends, in Unix milliseconds; 0 when the target does not report it.
 	StartedMs uint64
 }
--- a/pkg/dsr/announcement/object.go
+++ b/pkg/dsr/announcement/object.go
@@ -8,17 +8,18 @@
 	"unicode/utf8"
 )
 
-// maxText bounds texts, in bytes: the length of a DNS name.
+// maxText bounds strings, in bytes: the length of a DNS name.
 const maxText = 253
 
-// Object is one decoded JSON object. Its methods keep the first error, which is a *Rejection, and return zero values after it.
+// Object is one decoded JSON object. Its methods keep the first error, which is a *Rejection, and return zero values
+// after it.
 type Object struct {
 	fields map[string]json.RawMessage
 	err    error
 }
 
-// ReadObject reads bytes that are one JSON object and nothing else. Unlike encoding/json it tells fields apart by case and
-// refuses those that stand twice: of two values of one field nobody can say which was meant.
+// ReadObject decodes bytes that are one JSON object and nothing else. Unlike encoding/json it distinguishes fields by
+// case and rejects duplicates: of two values of one field it is unclear which was meant.
 func ReadObject(b []byte) *Object {
 	o := &Object{fields: make(map[string]json.RawMessage)}
 	if !utf8.Valid(b) {
@@ -33,7 +34,7 @@
 		if err != nil {
 			return o.Fail(Unreadable, "")
 		}
-		// Within an object the decoder returns names as texts.
+		// Within an object the decoder returns names as strings.
 		field := name.(string)
 		var value json.RawMessage
 		if err := d.Decode(&value); err != nil {
@@ -56,7 +57,7 @@
 // Err is the first error, or nil.
 func (o *Object) Err() error { return o.err }
 
-// Fail notes an error unless there is one already.
+// Fail sets the error unless there is one already.
 func (o *Object) Fail(r Reason, field string) *Object {
 	if o.err == nil {
 		o.err = &Rejection{Reason: r, Field: field}
@@ -64,13 +65,13 @@
 	return o
 }
 
-// Has reports whether a field is there. One that is null is taken for missing.
+// Has reports whether a field is present. One that is null counts as missing.
 func (o *Object) Has(field string) bool {
 	value, ok := o.fields[field]
 	return ok && string(value) != "null"
 }
 
-// Decode reads a field that must be there.
+// Decode decodes a required field.
 func (o *Object) Decode(field string, out any) {
 	if o.err != nil {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// Text reads a text of at most maxText bytes.
+// Text decodes a string of 1 to maxText bytes.
 func (o *Object) Text(field string) string {
 	var s string
 	o.Decode(field, &s)
@@ -94,14 +95,14 @@
 	return s
 }
 
-// Uint reads a whole number from lowest to highest.
+// Uint decodes an integer from lowest to highest.
 func (o *Object) Uint(field string, lowest, highest uint64) uint64 {
 	var n json.Number
 	o.Decode(field, &n)
 	if o.err != nil {
 		return 0
 	}
-	// A text with a number in it decodes into json.Number too.
+	// A string that contains a number decodes into json.Number too.
 	if o.fields[field][0] == '"' {
 		o.Fail(WrongType, field)
 		return 0
@@ -119,21 +120,21 @@
 	return uint64(v)
 }
 
-// OptionalUint reads a whole number that may be missing, which means 0.
+// OptionalUint decodes an integer that may be missing, which means 0.
 func (o *Object) OptionalUint(field string, lowest, highest uint64) uint64 {
-	if _, told := o.fields[field]; !told {
+	if _, present := o.fields[field]; !present {
 		return 0
 	}
 	return o.Uint(field, lowest, highest)
 }
 
-// beyondInt64 reports whether a number is whole but too large for 64 bits.
+// beyondInt64 reports whether a number is too large for a signed 64-bit integer.
 func beyondInt64(n json.Number) bool {
 	f, err := n.Float64()
 	return err != nil || math.Abs(f) >= math.MaxInt64
 }
 
-// Number reads a number from 0 to highest.
+// Number decodes a number from 0 to highest.
 func (o *Object) Number(field string, highest float64) float64 {
 	var f float64
 	o.Decode(field, &f)
--- a/pkg/dsr/configuration/version_test.go
+++ b/pkg/dsr/configuration/version_test.go
@@ -15,7 +15,7 @@
 		shown  uint64
 		number bool
 	}{
-		{"the object's version where it orders", "18", 21, false, 21, false},
+		{"the object's version where it orders configurations", "18", 21, false, 21, false},
 		{"the operator's number where objects' versions do not", "18", 21, true, 18, true},
 		{"a label that is no number", "v18", 21, true, 21, false},
 		{"no label", "", 21, true, 21, false},
@@ -28,5 +28,5 @@
 			require.Equal(t, c.number, IsNumbered(v))
 		})
 	}
-	require.Greater(t, VersionOf("0", 1, true), VersionOf("", 1<<62-1, true), "a number is above all objects' versions")
+	require.Greater(t, VersionOf("0", 1, true), VersionOf("", 1<<62-1, true), "a number is above all versions of objects")
 }
--- a/pkg/dsr/dsrpb/configuration.go
+++ b/pkg/dsr/dsrpb/configuration.go
@@ -12,18 +12,19 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// maxConfiguration bounds a configuration that another balancer hands over, in bytes before compression: one of 10,000 routes
-// takes less than 1 MB.
+// maxConfiguration bounds a configuration received from another balancer, in bytes after decompression: one of 10,000
+// routes takes less than 1 MB.
 const maxConfiguration = 16 << 20
 
-// ErrTooLarge is the error of a configuration above that bound, ErrDestination of a route whose address cannot be read.
+// ErrTooLarge is the error of a configuration above maxConfiguration, ErrDestination that of a route without a valid
+// address.
 var (
 	ErrTooLarge    = errors.New("configuration is too large")
 	ErrDestination = errors.New("route has no address")
 )
 
-// EncodeConfiguration writes a configuration for another balancer, compressed: all other balancers fetch at the same time, and the
-// smallest have links and processors on which the operator's document would keep packets waiting.
+// EncodeConfiguration encodes a configuration for other balancers, compressed: all of them fetch it at the same time,
+// and on the links and processors of the smallest the operator's document would delay packets.
 func EncodeConfiguration(c configuration.Configuration) ([]byte, error) {
 	raw, err := messageOf(c).MarshalVT()
 	if err != nil {
@@ -43,7 +44,7 @@
 	return out.Bytes(), nil
 }
 
-// DecodeConfiguration reads what EncodeConfiguration wrote.
+// DecodeConfiguration decodes the output of EncodeConfiguration.
 func DecodeConfiguration(b []byte) (configuration.Configuration, error) {
 	r := flate.NewReader(bytes.NewReader(b))
 	raw, err := io.ReadAll(io.LimitReader(r, maxConfiguration+1))
--- a/pkg/dsr/dsrpb/configuration_test.go
+++ b/pkg/dsr/dsrpb/configuration_test.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-func TestAConfigurationSurvivesTheHandOver(t *testing.T) {
+func TestConfigurationRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 1300} {
 		want := large(n)
 		b, err := EncodeConfiguration(want)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestABrokenHandOverIsAnError(t *testing.T) {
+func TestDecodingACorruptConfigurationFails(t *testing.T) {
 	b, err := EncodeConfiguration(large(10))
 	require.NoError(t, err)
 	for _, broken := range [][]byte{nil, {1, 2, 3}, b[:len(b)/2], append([]byte{0xff}, b...)} {
@@ -69,10 +69,9 @@
 	})
 }
 
-// BenchmarkHandOver is the cost of one configuration for the balancer that hands it over (once a version) and for each that
-// takes it; json is the form before, the document in base64 within another document. For 1,000 routes: 257 kB and 6.2 ms to read
-// before, 12 kB and 1.1 ms now.
-func BenchmarkHandOver(b *testing.B) {
+// BenchmarkConfigurationCodec measures encoding (once for each version) and decoding (on each balancer) of a
+// configuration; json is the previous format, the document in base64 within another document.
+func BenchmarkConfigurationCodec(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		c := large(n)
 		encoded, err := EncodeConfiguration(c)
--- a/pkg/dsr/dsrpb/key.go
+++ b/pkg/dsr/dsrpb/key.go
@@ -5,13 +5,13 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// SetKey writes the ends of a flow, seen from its caller, into a message.
+// SetKey sets the ends of a flow, as seen from its caller.
 func (m *Message) SetKey(key flow.Key) {
 	m.Source = wire.AppendAddr(nil, key.Source)
 	m.Destination = wire.AppendAddr(nil, key.Destination)
 }
 
-// Key reads the ends of a flow; it returns false for a message that names none.
+// Key returns the ends of a flow; false when the message names none.
 func (m *Message) Key() (flow.Key, bool) {
 	source, ok := wire.Addr(m.Source)
 	if !ok {
--- a/pkg/dsr/dsrtest/codec.go
+++ b/pkg/dsr/dsrtest/codec.go
@@ -1,4 +1,4 @@
-// Package dsrtest holds what tests and the lab share: a plain packet format for pass-through services.
+// Package dsrtest holds a simple packet format for pass-through services, shared by tests and the lab.
 package dsrtest
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// Layout of the format: flags, copy number, sequence, acknowledgement, both ends, data.
+// Layout of the format: flags, attempt, sequence, acknowledgement, both addresses, data.
 const (
 	offsetSequence = 2
 	offsetAck      = 6
@@ -22,22 +22,22 @@
 	HeaderSize = offsetDest + wire.AddrSize
 )
 
-// ErrShort is the error of a packet without a whole header.
+// ErrShort is the error of a packet with an incomplete header.
 var ErrShort = errors.New("packet is too short")
 
-// transmissionAges are the times at which a caller sends the copies of its opening packet, counted from the first; retransmitDelays are the
-// times from one to the next.
+// transmissionAges are the times at which a caller sends its opening packet, counted from the first transmission;
+// retransmitDelays are the times from one transmission to the next.
 var (
 	transmissionAges = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 	retransmitDelays = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
 )
 
-// Codec is the plain packet format.
+// Codec is the test packet format.
 type Codec struct{}
 
 var _ segment.Codec = Codec{}
 
-// Packet is a packet to encode.
+// Packet is a packet to encode. Attempt is the number of the transmission of an opening packet, from 0.
 type Packet struct {
 	Source, Destination       netip.AddrPort
 	Flags                     segment.Flags
@@ -46,7 +46,6 @@
 	Data                      []byte
 }
 
-// Encode returns the bytes of a packet.
 func Encode(p Packet) []byte {
 	b := make([]byte, offsetSource, HeaderSize+len(p.Data))
 	b[0], b[1] = byte(p.Flags), p.Attempt
@@ -74,13 +73,12 @@
 		Age:             transmissionAges[min(int(b[1]), len(transmissionAges)-1)],
 		Raw:             b,
 	}
-	if copies := int(b[1]); s.IsOpening() && copies < len(retransmitDelays) {
-		s.NextRetransmission = retransmitDelays[copies]
+	if attempt := int(b[1]); s.IsOpening() && attempt < len(retransmitDelays) {
+		s.NextRetransmission = retransmitDelays[attempt]
 	}
 	return s, nil
 }
 
-// Data returns the data of a packet.
 func Data(raw []byte) []byte { return raw[HeaderSize:] }
 
 // Restore implements segment.Codec.
--- a/pkg/dsr/evacuation/set_test.go
+++ b/pkg/dsr/evacuation/set_test.go
@@ -37,7 +37,7 @@
 	require.True(t, NewSet(7, []string{"a"}).Union(Set{}).Equal(NewSet(7, []string{"a"})))
 }
 
-func TestWhatChangedBetweenTwoSets(t *testing.T) {
+func TestChangesBetweenTwoSets(t *testing.T) {
 	before, after := NewSet(1, []string{"a", "b"}), NewSet(2, []string{"b", "c"})
 	require.ElementsMatch(t, []string{"a", "c"}, after.Changed(before))
 	require.Empty(t, after.Changed(NewSet(9, []string{"c", "b"})))
--- a/pkg/dsr/policy/policy.go
+++ b/pkg/dsr/policy/policy.go
@@ -1,53 +1,54 @@
-// Package policy names the mechanisms of the decisions for pass-through services that can be switched off, to measure what each
-// is worth. Operators do not set them: every daemon works with all of them.
+// Package policy names the mechanisms of the decisions for pass-through services that can be switched off, to measure
+// the effect of each. Operators do not set them: every daemon runs with all of them.
 package policy
 
-// Without says which mechanisms are switched off; the zero value switches off none.
+// Without names the mechanisms that are switched off; the zero value switches off none.
 type Without struct {
 	// HedgedOffers: the next agent is asked when the last one has not answered.
 	HedgedOffers bool
-	// HedgeBudget: these offers are bounded by a share of all.
+	// HedgeBudget: hedged offers are limited to a share of all offers.
 	HedgeBudget bool
 	// Suspicion: an agent that left an offer unanswered is asked last.
 	Suspicion bool
-	// NearFirst: free targets of the balancer's data centre come first.
+	// NearFirst: free targets in the balancer's data centre come first.
 	NearFirst bool
-	// FreeFirst: agents are asked for free slots before places in queues.
+	// FreeFirst: agents are asked for free slots before queue places.
 	FreeFirst bool
-	// SampledQueues: only some agents are compared for a place in a queue.
+	// SampledQueues: only a sample of agents is compared for a queue place.
 	SampledQueues bool
-	// TimelyFirst: waiting flows that can still be answered in the promised time go first. Without it they go in order of arrival.
+	// TimelyFirst: queued flows that can still be answered in the promised time go first. Without it, flows go in
+	// order of arrival.
 	TimelyFirst bool
 	// LongWork: a request counts as timely only when there is time for a long one.
 	LongWork bool
-	// GiveUpSilent: waiting flows are given up whose callers stopped repeating the opening packet.
+	// GiveUpSilent: queued flows whose callers stopped retransmitting the opening packet are abandoned.
 	GiveUpSilent bool
-	// ExtraRequests: a target is handed a third more requests than it has slots.
+	// ExtraRequests: a target is given more requests than it has slots, to cover the round trips to its callers.
 	ExtraRequests bool
 	// HalfOpen: a flow whose caller does not send its request stops counting as work.
 	HalfOpen bool
-	// Parking: new flows wait at a balancer while it or the agents have just started.
+	// Parking: new flows are parked at a balancer while it or the agents have just started.
 	Parking bool
-	// FailingLast: targets that fail their requests are left out.
+	// FailingLast: targets that fail their requests are ejected.
 	FailingLast bool
 	// ColdLimit: targets that warm up get no more new flows than their service declares.
 	ColdLimit bool
-	// SpreadOut: flows beyond a data centre's part of all go to targets elsewhere that get less.
+	// SpreadOut: flows above a data centre's share of all flows go to targets elsewhere that get fewer.
 	SpreadOut bool
-	// LearntLimit: targets whose processes ended soon after their start get less.
+	// LearntLimit: targets whose processes ended soon after their start get fewer flows.
 	LearntLimit bool
-	// FailedAnswers: answers that are much faster and smaller than those of the service's other targets count as failures.
+	// FailedAnswers: answers that are much faster and smaller than those of the service's other targets count as
+	// failures.
 	FailedAnswers bool
 }
 
-// Mechanism is one mechanism by name.
+// Mechanism is a named mechanism.
 type Mechanism struct {
 	Name string
-	// Off returns a value that switches it off.
+	// Off switches it off.
 	Off Without
 }
 
-// Mechanisms are all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		{"hedged-offers", Without{HedgedOffers: true}},
--- a/pkg/dsr/segment/doc.go
+++ b/pkg/dsr/segment/doc.go
@@ -1,3 +1,3 @@
 // Package segment holds the packets of pass-through flows as the decisions see them: the two ends, the flags and the
-// numbers, beside the packet's bytes, which only its two ends write.
+// sequence numbers, beside the packet's bytes, which only its two ends write.
 package segment
--- a/pkg/dsr/warmup/learner.go
+++ b/pkg/dsr/warmup/learner.go
@@ -5,34 +5,37 @@
 	"time"
 )
 
-// Limits of what is learnt.
+// Limits of the estimate.
 const (
-	// EarlyFailureAge is the age below which the end of a target is put down to what it was given: a warm-up takes seconds.
+	// EarlyFailureAge is the age below which the end of a process is attributed to its load: a warm-up takes seconds.
 	EarlyFailureAge = 6 * time.Second
-	// minEarlyFailures is the number of processes in a row that end young until a limit is taken for the cause: one may end for any reason.
+	// minEarlyFailures is the number of early failures in a row after which a limit is set: a single one may have any
+	// cause.
 	minEarlyFailures = 2
-	// reduction is the part of the flows that ended a target which the next process gets, growth the factor by which that rises each second.
+	// reduction is the fraction of the flows of a failed process that the next one gets, growthPerSecond the factor
+	// by which that rises each second.
 	reduction       = 0.5
 	growthPerSecond = 1.5
 )
 
-// Learner finds out what a target takes while it is cold from processes that ended soon after their start. The zero value knows no limit.
+// Learner estimates how many flows a target can take while it is cold, from processes that ended soon after their
+// start. The zero value has no limit.
 //
-// It answers for targets that fail under their full load when they are cold and whose service declares no limit.
+// It protects targets that fail under full load while they are cold and whose service declares no limit.
 type Learner struct {
-	// perSecond is what the present process is given in its first second; 0 for no limit.
+	// perSecond is the limit of the current process in its first second; 0 for no limit.
 	perSecond float64
-	// peak is the highest number of flows that it got in one second.
+	// peak is the highest number of flows that the current process got in one second.
 	peak int
-	// earlyFailures is the number of processes in a row that ended young.
+	// earlyFailures is the number of processes in a row that ended early.
 	earlyFailures int
 }
 
-// RecordFlows notes the number of flows that the present process got in the last second.
+// RecordFlows records the number of flows that the current process got in the last second.
 func (l *Learner) RecordFlows(flows int) { l.peak = max(l.peak, flows) }
 
-// RecordEnd takes the end of a process by itself at an age. Young ones in a row are taken for overloaded; one that had grown old says
-// that there is no limit any more.
+// RecordEnd records that a process ended by itself at an age. Early ends in a row count as overload; the end of an
+// older or unused process removes the limit.
 func (l *Learner) RecordEnd(age time.Duration) {
 	peak := l.peak
 	l.peak = 0
@@ -46,7 +49,7 @@
 	}
 }
 
-// Rate is the number of flows that a process of an age is given in a second; 0 for no limit.
+// Rate is the number of flows that a process of an age may get in a second; 0 for no limit.
 func (l *Learner) Rate(age time.Duration) float64 {
 	if l.perSecond == 0 || age >= EarlyFailureAge {
 		return 0
--- a/pkg/dsr/warmup/limit.go
+++ b/pkg/dsr/warmup/limit.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// Limit is what a target takes while it is cold. The zero value does not limit it.
+// Limit is the rate of new flows that a target takes while it is cold. The zero value sets no limit.
 type Limit struct {
-	// PerSecond is the number of new flows that it takes in any second; 0 for no limit.
+	// PerSecond is the number of new flows that the target takes in any second; 0 for no limit.
 	PerSecond float64
 	// Room is the number of flows that it takes at once now, Until the time when it is warm.
 	Room  int
 	Until time.Time
 }
 
-// InForce reports whether the limit is in force at a time.
 func (l Limit) InForce(now time.Time) bool { return l.PerSecond > 0 && now.Before(l.Until) }
 
-// Wait estimates the time until a flow has its turn that comes after others, when a warm target takes one in each interval.
+// Wait estimates how long a flow waits behind others, when a warm target takes one in each interval.
 func (l Limit) Wait(now time.Time, ahead int, interval time.Duration) time.Duration {
 	warm := interval * time.Duration(ahead)
 	if !l.InForce(now) {
