--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -19,23 +19,25 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// Times of an agent's end.
+// Times of an agent's start and end.
 const (
-	// minDrainTime is how long an agent goes on after it has told the balancers that it leaves: opening packets that are
-	// under way still get an answer.
+	// minDrainTime is how long an agent runs after it has announced to the balancers that it leaves, so that opening
+	// packets in flight still get an answer.
 	minDrainTime = 300 * time.Millisecond
 	// unfinishedWithin is how recent the last packet of a flow must be for the agent to wait for its end.
 	unfinishedWithin = 700 * time.Millisecond
-	// probeWindow is how long after its start an agent asks its target whether it is ready; by then a heartbeat has come.
-	// probeTimeout bounds one question to the target on the same VM.
+	// probeWindow is how long after its start an agent probes its target for readiness; by then a heartbeat has
+	// arrived. probeTimeout bounds one probe of the target on the same VM.
 	probeWindow  = 2 * time.Second
 	probeTimeout = 300 * time.Millisecond
-	// minProbeInterval is the time between two questions at the start, which grows to a part of the agent's age: a target that starts together
-	// with its agent is up within a tenth of a second, and one that is not is asked a few dozen times, whatever the number of balancers.
+	// minProbeInterval is the time between two probes at the start. It grows to a fraction of the agent's age,
+	// 1/probeSlowdown: a target that starts together with its agent is up within a tenth of a second, and one that is
+	// not gets a few dozen probes, whatever the number of balancers.
 	minProbeInterval = 20 * time.Millisecond
 	probeSlowdown    = 10
-	// isolatedAfter is how long an agent may hear of no balancer at all until it takes itself for one that was cut off: balancers answer four
-	// times a second or more, a single one every 0.75 s. A false alarm costs an announcement to each balancer.
+	// isolatedAfter is how long an agent may receive nothing from any balancer until it counts itself as cut off:
+	// balancers answer four times a second or more, a single one every 0.75 s. A false positive costs an announcement
+	// to each balancer.
 	isolatedAfter = 2 * time.Second
 )
 
@@ -47,17 +49,17 @@
 	outbound *socket
 	out      *agentOutput
 
-	// table and the rest are guarded by node.mu.
+	// table and the fields below are guarded by node.mu.
 	table   *ownership.Table
 	probing bool
-	// lastSeen is when any balancer was last heard of.
+	// lastSeen is when a message of any balancer was last received.
 	lastSeen time.Time
 	// state is the last logged state of the target.
 	state dsrpb.State
-	// rejections counts the reports that were turned down.
+	// rejections counts the rejected reports by reason.
 	rejections map[announcement.Reason]uint64
 	message    dsrpb.Message
-	// evacuations are the data centres that take no new flows, as balancers say.
+	// evacuations are the data centres that take no new flows, as balancers report them.
 	evacuations evacuation.Set
 }
 
@@ -121,7 +123,8 @@
 	return trace.Wrap(err, "running the agent")
 }
 
-// discover makes the agent known to the balancers, again while it hears of none.
+// discover announces the agent to the balancers in the settings, and to those in the object API while no balancer is
+// alive.
 func (a *Agent) discover(ctx context.Context) error {
 	a.addDiscovered(a.seeds())
 	pause := rediscoverMin
@@ -138,14 +141,14 @@
 	}
 }
 
-// hasNoBalancer reports whether no balancer is heard of.
+// hasNoBalancer reports whether no balancer is alive.
 func (a *Agent) hasNoBalancer(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.balancers.Living(now)) == 0
 }
 
-// addDiscovered takes balancers that are known by hearsay, and speaks to the new ones at once.
+// addDiscovered adds balancers that others have named, and announces the agent to the new ones at once.
 func (a *Agent) addDiscovered(addresses []netip.AddrPort) {
 	now := time.Now()
 	a.mu.Lock()
@@ -156,7 +159,7 @@
 	}
 }
 
-// announce tells the balancers of the agent and its target.
+// announce sends the balancers that are due an announcement of the agent and its target.
 func (a *Agent) announce(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -165,8 +168,8 @@
 	a.announceDue(now)
 }
 
-// logStateChange logs a change of the target's state that no announcement brought, such as the end of its heartbeats. a.mu is
-// held.
+// logStateChange logs a change of the target's state that no announcement caused, such as the end of its heartbeats.
+// a.mu is held.
 func (a *Agent) logStateChange(now time.Time) {
 	state := a.table.State(now)
 	if state == a.state {
@@ -176,7 +179,7 @@
 	a.state = state
 }
 
-// announceNow tells every balancer at once. a.mu is held.
+// announceNow announces to every balancer at once. a.mu is held.
 func (a *Agent) announceNow(now time.Time) {
 	a.balancers.Now()
 	a.announceDue(now)
@@ -188,12 +191,12 @@
 	}
 }
 
-// announceTo sends a balancer what the agent says of itself. a.mu is held.
+// announceTo sends an announcement to a balancer. a.mu is held.
 func (a *Agent) announceTo(now time.Time, b netip.AddrPort) {
 	a.send(b, a.table.Announcement(now, a.balancers.Alive(now, b), a.balancers.IntervalTo(b)))
 }
 
-// drain waits until the open flows have ended.
+// drain stops new flows, announces that and waits until the open flows have ended.
 func (a *Agent) drain(ctx context.Context) {
 	a.mu.Lock()
 	a.stopping = true
@@ -215,7 +218,7 @@
 	}
 }
 
-// fromDaemon takes a message of a balancer.
+// fromDaemon receives a message of a balancer.
 func (a *Agent) fromDaemon(from netip.AddrPort, raw []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -244,8 +247,8 @@
 	a.alarm.schedule(a.table.Deadline())
 }
 
-// recordSeen notes a message of a balancer. One that is new, or was silent, is told of the agent at once; after a time without any
-// message all are, since they may have taken the agent for gone. a.mu is held.
+// recordSeen records a message of a balancer. One that is new, or was silent, gets an announcement at once; after a
+// time without any message all of them do, since they may have evicted the agent. a.mu is held.
 func (a *Agent) recordSeen(now time.Time, from netip.AddrPort) {
 	cutOff := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
 	a.lastSeen = now
@@ -258,21 +261,21 @@
 	}
 }
 
-// receiveWelcome takes the balancers that a balancer names. a.mu is held.
+// receiveWelcome applies a balancer's answer to an announcement. a.mu is held.
 func (a *Agent) receiveWelcome(now time.Time, from netip.AddrPort, r *dsrpb.Roster) {
 	if r == nil {
 		return
 	}
 	if r.Ask {
-		// A balancer that was away for a moment has forgotten everything, and nobody has noticed.
+		// The balancer has lost its state, for example in a restart too short for this agent to notice.
 		a.announceTo(now, from)
 	}
 	a.table.SetMedianAnswers(r.Usual)
 	a.balancers.Wants(from, milliseconds(r.IntervalMs))
 	a.balancers.Says(from, answeredAnnouncements*a.balancers.IntervalTo(from))
 	if a.addBalancers(now, decodeAddresses(r.Balancers)) {
-		// Those that the agent knew already hear of it when their turn comes: telling all of them for each one that is new would be the square
-		// of their number in messages.
+		// Balancers known before get an announcement when it is due: notifying all of them for each new one would take a
+		// number of messages that grows with the square of their number.
 		a.announceDue(now)
 	}
 	if r.HealthPath == "" || a.probing || !a.mayProbe(now) {
@@ -283,8 +286,8 @@
 	go a.probe(a.ctx, path)
 }
 
-// receiveEvacuations takes over which data centres are evacuated, as a balancer says. The balancers hear at once when the agent's own data
-// centre is concerned. a.mu is held.
+// receiveEvacuations applies the evacuations that a balancer reports. When they concern the agent's own data centre,
+// the balancers are notified at once. a.mu is held.
 func (a *Agent) receiveEvacuations(now time.Time, m *dsrpb.Evacuations) {
 	s := decodeEvacuations(m)
 	if !s.Replaces(a.evacuations) {
@@ -295,18 +298,18 @@
 		return
 	}
 	a.log.Warn().Str("op", "adopt-evacuations").Uint64("version", s.Version).Bool("evacuated", a.table.Evacuated()).
-		Int("flows", a.table.Flows()).Msg("the data centre was evacuated or is used again")
+		Int("flows", a.table.Flows()).Msg("evacuation of the data centre changed")
 	a.state = a.table.State(now)
 	a.announceNow(now)
 }
 
-// mayProbe reports whether the target is still to be asked whether it is ready. a.mu is held.
+// mayProbe reports whether the target is still to be probed. a.mu is held.
 func (a *Agent) mayProbe(now time.Time) bool {
 	return !a.table.TargetKnown() && now.Sub(a.started) <= probeWindow
 }
 
-// probe asks the target whether it is ready until it is, so that an agent that starts beside a living target need not wait for the
-// next heartbeat, which takes up to 1.2 s.
+// probe probes the target until it is ready, so that an agent that starts beside a running target need not wait for
+// the next heartbeat, which takes up to 1.2 s.
 func (a *Agent) probe(ctx context.Context, path string) {
 	var err error
 	for range int(probeWindow / minProbeInterval) {
@@ -321,13 +324,12 @@
 			break
 		}
 	}
-	a.log.Info().Err(err).Str("op", "probe").Stringer("peer", a.target).Msg("the target did not say that it is ready")
+	a.log.Info().Err(err).Str("op", "probe").Stringer("peer", a.target).Msg("no health check of the target succeeded")
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.probing = false
 }
 
-// probeOnce asks the target once.
 func (a *Agent) probeOnce(ctx context.Context, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -340,14 +342,14 @@
 	defer a.mu.Unlock()
 	a.probing = false
 	if a.table.Probed(now, n.ID, n.StartedMs) {
-		a.log.Warn().Str("op", "target-state").Str("target", n.ID).Stringer("state", a.table.State(now)).Msg("the target says that it is ready")
+		a.log.Warn().Str("op", "target-state").Str("target", n.ID).Stringer("state", a.table.State(now)).Msg("target is ready according to its health check")
 		a.state = a.table.State(now)
 		a.announceNow(now)
 	}
 	return nil
 }
 
-// fromTarget takes a packet that the target sent.
+// fromTarget receives a packet that the target sent.
 func (a *Agent) fromTarget(_ netip.AddrPort, raw []byte) {
 	s, err := a.platform.Codec.Decode(raw)
 	if err != nil {
@@ -360,7 +362,7 @@
 	a.alarm.schedule(a.table.Deadline())
 }
 
-// tick carries out what is due and returns the time of the next call.
+// tick fires the timers that are due and returns the time of the next call.
 func (a *Agent) tick() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -369,7 +371,7 @@
 	return a.alarm.next
 }
 
-// ready says why the agent cannot serve, or nothing.
+// ready returns why the agent cannot serve, or nil.
 func (a *Agent) ready() error {
 	now := time.Now()
 	a.mu.Lock()
@@ -378,11 +380,11 @@
 	case a.stopping:
 		return errors.New("stopping")
 	case len(a.balancers.Living(now)) == 0:
-		return errors.New("no balancer heard of yet")
+		return errors.New("no balancer is alive")
 	case a.table.Evacuated():
 		return errors.New("the data centre is evacuated")
 	case a.table.State(now) != dsrpb.State_STATE_READY:
-		return errors.New("the target has not announced itself as ready")
+		return errors.New("the target is not ready")
 	}
 	return nil
 }
--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// agentOutput carries an agent's decisions out; it runs under the agent's lock.
+// agentOutput carries out an agent's decisions; it runs under the agent's lock.
 type agentOutput struct {
 	a         *Agent
 	toTarget  tally.Counter
@@ -24,7 +24,7 @@
 	decisions map[decisionKey]tally.Counter
 }
 
-// decisionKey tells the counters of decisions apart.
+// decisionKey identifies a counter of decisions.
 type decisionKey struct {
 	event   ownership.Event
 	verdict dsrpb.Verdict
@@ -84,7 +84,7 @@
 	if !j.Until.IsZero() {
 		line = line.Dur("rest_ms", time.Until(j.Until))
 	}
-	line.Msg("the target's failures were judged")
+	line.Msg("outlier state of the target changed")
 	o.a.balancers.Now()
 }
 
@@ -102,25 +102,26 @@
 type agentStatus struct {
 	Ready  string `json:"ready"`
 	Target string `json:"target"`
-	// TargetName, Born (Unix milliseconds), Since and Sequence tell which life of the target is believed in.
+	// TargetName, Born (Unix milliseconds), Since and Sequence identify the target's current incarnation.
 	TargetName string    `json:"targetName"`
 	Born       uint64    `json:"born"`
 	Since      time.Time `json:"since"`
 	Sequence   uint64    `json:"lastSequence"`
-	// Rejected counts the reports that were turned down, by reason.
+	// Rejected counts the rejected reports by reason.
 	Rejected        map[announcement.Reason]uint64 `json:"rejectedReports"`
 	Busy            int                            `json:"busy"`
 	Flows           int                            `json:"flows"`
 	Configuration   uint64                         `json:"configuration"`
 	LivingBalancers int                            `json:"livingBalancers"`
-	// Evacuated is set while the agent's data centre takes no new flows; Unfinished flows had a packet lately and have not ended.
+	// Evacuated is set while the agent's data centre takes no new flows; Unfinished flows had a packet lately and
+	// have not ended.
 	Evacuated  bool `json:"evacuated"`
 	Unfinished int  `json:"unfinished"`
-	// ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is warm.
+	// ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is
+	// warm.
 	ColdPerSecond float64 `json:"coldPerSecond"`
 }
 
-// status describes the agent.
 func (a *Agent) status() any {
 	s := agentStatus{Ready: "yes"}
 	if err := a.ready(); err != nil {
--- a/pkg/dsrd/agent_target.go
+++ b/pkg/dsrd/agent_target.go
@@ -12,14 +12,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.table.State(now)
-	tell, err := a.table.Announce(now, n)
-	if err != nil || !tell {
+	notify, err := a.table.Announce(now, n)
+	if err != nil || !notify {
 		return err
 	}
 	a.log.Warn().Str("op", "target-state").Str("target", n.ID).Uint64("born", n.StartedMs).Uint64("sequence", n.Sequence).
 		Str("service", n.Service).Int("slots", n.Slots).Dur("warm_up_ms", n.WarmUp).
 		Float64("cold_per_second", a.table.ColdPerSecond(now)).Stringer("before", before).
-		Stringer("state", a.table.State(now)).Msg("the target changed")
+		Stringer("state", a.table.State(now)).Msg("target state or incarnation changed")
 	a.state = a.table.State(now)
 	a.announceNow(now)
 	a.alarm.schedule(a.table.Deadline())
@@ -39,13 +39,14 @@
 	return nil
 }
 
-// Rejected implements Targets. The line names the life that stays in use, so that an operator sees what was compared.
+// Rejected implements Targets. The log line names the incarnation that stays current, so that an operator sees what
+// the report was compared with.
 func (a *Agent) Rejected(id string, r *announcement.Rejection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rejections[r.Reason]++
 	a.scope.Tagged(map[string]string{"reason": string(r.Reason)}).Counter("dsr_rejected_reports").Inc(1)
-	life := a.table.TargetIncarnation()
+	current := a.table.TargetIncarnation()
 	a.log.Warn().Str("op", "report-rejected").Str("reason", string(r.Reason)).Str("field", r.Field).Str("from", id).
-		Str("target", life.ID).Uint64("born", life.StartedMs).Uint64("sequence", life.Sequence).Msg("a target's report was turned down")
+		Str("target", current.ID).Uint64("born", current.StartedMs).Uint64("sequence", current.Sequence).Msg("target report rejected")
 }
--- a/pkg/dsrd/alarm.go
+++ b/pkg/dsrd/alarm.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// alarm calls a function whenever the time that it named has come, or earlier when told so.
+// alarm is a timer that calls a function at a time that can be brought forward.
 type alarm struct {
 	wake chan struct{}
 	next time.Time
@@ -15,7 +15,7 @@
 	return &alarm{wake: make(chan struct{}, 1)}
 }
 
-// schedule makes the alarm go off at t or earlier. The caller holds the daemon's lock.
+// schedule makes the alarm fire at t or earlier. The caller holds the daemon's lock.
 func (a *alarm) schedule(t time.Time) {
 	if !a.next.IsZero() && !t.Before(a.next) {
 		return
--- a/pkg/dsrd/balancer.go
+++ b/pkg/dsrd/balancer.go
@@ -27,18 +27,18 @@
 
 // Times of a balancer's start and end.
 const (
-	// readyWithoutAgents is how long a balancer that knows its configuration waits for the first agent until it says that
-	// it is ready: two announcements.
+	// readyWithoutAgents is how long a balancer that has its configuration waits for the first agent until it reports
+	// itself as ready: two announcements.
 	readyWithoutAgents = 600 * time.Millisecond
-	// minRotationTime is how long packets may still come to a balancer that says that it is not ready: two missed checks at
-	// two a second, and the time that a flow takes to move.
+	// minRotationTime is how long packets may still arrive at a balancer that reports itself as not ready: two missed
+	// checks at two a second, and the time that a flow takes to move.
 	minRotationTime = 1800 * time.Millisecond
 	// drainIdleTime without a packet of an open flow ends a balancer that leaves the rotation.
 	drainIdleTime = 400 * time.Millisecond
-	// stopMargin is left of the grace time for the end of the process.
+	// stopMargin is reserved from the grace time for the end of the process.
 	stopMargin = 800 * time.Millisecond
-	// answeredAnnouncements is the number of announcements of an agent that knows the balancer for each one that is answered, and
-	// welcomeInterval the least time between two answers.
+	// answeredAnnouncements is the number of announcements, of an agent that knows the balancer, per answer.
+	// welcomeInterval is the least time between two answers.
 	answeredAnnouncements = 2
 	welcomeInterval       = 600 * time.Millisecond
 )
@@ -51,22 +51,26 @@
 	refusals   *refusal.Log
 	out        *balancerOutput
 
-	// core, peers and the rest are guarded by node.mu.
-	core        *dispatch.Balancer
-	agents      roster.Peers
+	// core and the fields below are guarded by node.mu.
+	core   *dispatch.Balancer
+	agents roster.Peers
+	// lastWelcome is when each agent was last answered.
 	lastWelcome map[netip.AddrPort]time.Time
-	// regainedAgents are the agents that were heard of again since the last look.
+	// regainedAgents are the agents that were seen again since the last log.
 	regainedAgents []netip.AddrPort
-	// readCapacity are what the other balancers say of how much they can read.
+	// readCapacity is the reported read capacity of the other balancers, see readsPerSecond. requestAgents is set
+	// until one of them has sent the agents that it knows.
 	readCapacity  map[netip.AddrPort]uint32
 	requestAgents bool
-	// evacuations reads them; waiting is the configuration that takes force once they are known.
+	// evacuations reads the evacuations; pendingRoutes is the configuration that is applied once they are known.
 	evacuations   *evacuationReader
 	pendingRoutes *routing.Table
 	message       dsrpb.Message
-	// reportedEras are the eras of the object API that other balancers name. Their word only causes a call: whether it is so, the answer says.
+	// reportedEras are the eras of the object API that other balancers report. A reported era only triggers a call;
+	// the answer to that confirms it.
 	reportedEras *objectapi.Eras
-	// lastWithoutEra is when a balancer of a release without eras last named evacuations; their versions cannot be compared.
+	// lastWithoutEra is when a balancer of a release without eras last reported evacuations; their versions cannot be
+	// compared.
 	lastWithoutEra time.Time
 }
 
@@ -149,7 +153,8 @@
 	return trace.Wrap(err, "running the balancer")
 }
 
-// drain waits until the routers send the flows elsewhere.
+// drain reports the balancer as not ready, waits until the routers send the flows elsewhere, and writes the remaining
+// refusal records.
 func (b *Balancer) drain(ctx context.Context) {
 	b.mu.Lock()
 	b.stopping = true
@@ -170,16 +175,16 @@
 	b.drainRefusals(ctx, end)
 }
 
-// drainRefusals writes the refusal records that are left, as far as the grace time allows.
+// drainRefusals writes the remaining refusal records, as far as the grace time allows.
 func (b *Balancer) drainRefusals(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	if err := b.refusals.Drain(ctx); err != nil {
-		b.log.Warn().Err(err).Str("op", "stop").Msg("refusal records are not in the object API; this log has them")
+		b.log.Warn().Err(err).Str("op", "stop").Msg("refusal records were not written to the object API; this log has them")
 	}
 }
 
-// ready says why the balancer cannot serve, or nothing.
+// ready returns why the balancer cannot serve, or nil.
 func (b *Balancer) ready() error {
 	now := time.Now()
 	b.mu.Lock()
@@ -192,16 +197,16 @@
 	}
 	// Callers of a cut-off balancer are better served by another.
 	if now.Sub(b.core.LastHeard()) > dispatch.IsolatedAfter && now.Sub(b.started) >= readyWithoutAgents {
-		return errors.New("no agent is heard of")
+		return errors.New("no agent is reachable")
 	}
 	if _, ready := b.core.Agents(now); ready == 0 && now.Sub(b.started) < readyWithoutAgents {
-		return errors.New("no agent heard of yet")
+		return errors.New("no agent is ready yet")
 	}
 	return nil
 }
 
-// adopt takes a configuration into force, the first one when the evacuations are known: without them, flows would go to data centres
-// that are to get none.
+// adopt applies a configuration, the first one only when the evacuations are known: without them, flows would go to
+// evacuated data centres.
 func (b *Balancer) adopt(c configuration.Configuration) {
 	t := routing.NewTable(c)
 	b.mu.Lock()
@@ -213,7 +218,7 @@
 	b.applyRoutes(time.Now(), t)
 }
 
-// applyRoutes takes a configuration into force. b.mu is held.
+// applyRoutes applies a configuration. b.mu is held.
 func (b *Balancer) applyRoutes(now time.Time, t *routing.Table) {
 	if !b.core.SetRoutes(now, t) {
 		return
@@ -224,7 +229,7 @@
 		Int("routes", t.Len()).Msg("the configuration is in force")
 }
 
-// fromCaller takes a packet that a router sent.
+// fromCaller receives a packet that a router sent.
 func (b *Balancer) fromCaller(_ netip.AddrPort, raw []byte) {
 	s, err := b.platform.Codec.Decode(raw)
 	if err != nil {
@@ -237,7 +242,7 @@
 	b.alarm.schedule(b.core.Deadline())
 }
 
-// fromDaemon takes a message of an agent or a balancer.
+// fromDaemon receives a message of an agent or a balancer.
 func (b *Balancer) fromDaemon(from netip.AddrPort, raw []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -266,7 +271,7 @@
 	b.alarm.schedule(b.core.Deadline())
 }
 
-// tick carries out what is due and returns the time of the next call.
+// tick fires the timers that are due and returns the time of the next call.
 func (b *Balancer) tick() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -282,17 +287,17 @@
 	return serveHTTP(ctx, b.self.String(), mux)
 }
 
-// join makes the balancer known in the object API, again in each era: an API that came back from an older copy may have lost the balancer's
-// object.
+// join registers the balancer in the object API, again in each era: an API that was restored from an older copy may
+// have lost the balancer's object.
 func (b *Balancer) join(ctx context.Context) error {
 	b.addDiscovered(b.seeds())
 	for {
-		named := b.reportedEras.Newest()
+		reported := b.reportedEras.Newest()
 		era, err := joinMembers(ctx, b.platform.Store, b.log, b.cfg.Name, b.self, b.addDiscovered)
 		if err != nil {
 			return err
 		}
-		if err := b.awaitEra(ctx, era, named); err != nil {
+		if err := b.awaitEra(ctx, era, reported); err != nil {
 			return err
 		}
 		if err := wait.For(ctx, rand.N(rejoinSpread)); err != nil {
@@ -301,23 +306,23 @@
 	}
 }
 
-// awaitEra returns when an era after the given one is known, or when others name one after both that and the one they had named. It returns the
-// context's error when that ends.
-func (b *Balancer) awaitEra(ctx context.Context, era, named uint64) error {
+// awaitEra returns when an era after the given one is known, or when others report one after both that and the one
+// reported before. It returns the context's error when that ends.
+func (b *Balancer) awaitEra(ctx context.Context, era, reported uint64) error {
 	for {
 		newest, known := b.eras.Changed()
-		newestNamed, heard := b.reportedEras.Changed()
-		if newest > era || newestNamed > max(era, named) {
+		newestReported, reportedChanged := b.reportedEras.Changed()
+		if newest > era || newestReported > max(era, reported) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-known:
-		case <-heard:
+		case <-reportedChanged:
 		}
 	}
 }
 
-// noTargets turns down targets that call a balancer.
+// noTargets rejects targets that call a balancer.
 type noTargets struct{}
--- a/pkg/dsrd/balancer_output.go
+++ b/pkg/dsrd/balancer_output.go
@@ -13,14 +13,14 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// openBuckets are the upper bounds of the histogram of the times until a new flow was taken: the outliers are multiples of
-// the 25 ms after which the next agent is asked.
+// openBuckets are the upper bounds of the histogram of the times until a new flow was accepted: the outliers are
+// multiples of the 25 ms after which the next agent is asked.
 var openBuckets = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, time.Second,
 }
 
-// balancerOutput carries a balancer's decisions out; it runs under the balancer's lock.
+// balancerOutput carries out a balancer's decisions; it runs under the balancer's lock.
 type balancerOutput struct {
 	b         *Balancer
 	forwarded tally.Counter
--- a/pkg/dsrd/balancer_status.go
+++ b/pkg/dsrd/balancer_status.go
@@ -12,7 +12,7 @@
 type balancerStatus struct {
 	Ready         string `json:"ready"`
 	Configuration uint64 `json:"configuration"`
-	// Era is the newest era of the object API that is known, 0 when it names none.
+	// Era is the newest known era of the object API, 0 when it reports none.
 	Era             uint64  `json:"era"`
 	Label           string  `json:"label"`
 	CheckedSeconds  float64 `json:"checkedSeconds"`
@@ -20,13 +20,12 @@
 	LivingAgents    int     `json:"livingAgents"`
 	ReadyAgents     int     `json:"readyAgents"`
 	LivingBalancers int     `json:"livingBalancers"`
-	// Evacuated are the data centres that get no new flows, EvacuationsVersion is the object API's version at which they were read, 0
-	// before they are known.
+	// Evacuated are the data centres that get no new flows, EvacuationsVersion is the object API's version at which
+	// they were read, 0 before they are known.
 	Evacuated          []string `json:"evacuated"`
 	EvacuationsVersion uint64   `json:"evacuationsVersion"`
 }
 
-// status describes the balancer.
 func (b *Balancer) status() any {
 	now := time.Now()
 	s := balancerStatus{Ready: "yes"}
@@ -46,7 +45,7 @@
 	return s
 }
 
-// errNoTargets answers a target that calls a balancer.
+// errNoTargets is returned to a target that calls a balancer.
 var errNoTargets = errors.New("a balancer takes no announcements; call the agent on the target's VM")
 
 // Announce implements Targets.
--- a/pkg/dsrd/keeper.go
+++ b/pkg/dsrd/config_sync.go
@@ -21,36 +21,40 @@
 
 // Times of the configuration's checks.
 const (
-	// WatchWait is how long the object API lets a watch wait for a change. The end of a wait without a change is a check.
+	// WatchWait is how long a watch waits at the object API for a change. The end of a wait without a change is a
+	// check.
 	WatchWait = 600 * time.Millisecond
-	// checkInterval is the time after which another balancer checks when nobody has told that the configuration in force is
-	// the newest: a watch, and a margin for its answer. An accepted configuration must be in force within 3 s.
+	// checkInterval is the time after which another balancer checks when none has confirmed that the configuration in
+	// force is the newest: a watch, and a margin for its answer. An accepted configuration must be in force within
+	// three seconds.
 	checkInterval = 900 * time.Millisecond
 	// checkStagger is added for each living balancer that checks before this one, so that one of them checks for all.
 	checkStagger = 150 * time.Millisecond
-	// maxStagger bounds the sum of the additions.
+	// maxStagger bounds the sum of the staggers.
 	maxStagger = 900 * time.Millisecond
-	// propagationTime is how long the word of a check takes to all balancers where it is handed on from one to the next.
+	// propagationTime is how long the result of a check takes to reach all balancers where it is passed on from one
+	// to the next.
 	propagationTime = 500 * time.Millisecond
-	// readTimeout bounds the reading of a whole configuration; one of 300 kB takes a link of 10 Mbit/s 0.25 s.
+	// readTimeout bounds a full read of the configuration; one of 300 kB takes 0.25 s on a link of 10 Mbit/s.
 	readTimeout = time.Second
-	// readInterval is the time between two whole readings while objects of other kinds change. A watch that has missed a change
-	// ends with an error, which asks for a reading; this one mends what a watch leaves out without a word.
+	// readInterval is the time between two full reads while objects of other kinds change. A watch that has missed a
+	// change ends with an error, which triggers a read; this interval covers changes that a watch omits without an
+	// error.
 	readInterval = 10 * time.Second
-	// changePause is the time between two readings while the configuration keeps changing: of a series of changes only the
-	// newest is read, decoded and handed on.
+	// changePause is the time between two reads while the configuration keeps changing: of a series of changes only
+	// the newest is read, decoded and passed on.
 	changePause = 400 * time.Millisecond
 	// fetchTimeout bounds the fetch of a configuration from another balancer.
 	fetchTimeout = 500 * time.Millisecond
-	// syncInterval is the time between two looks at whether a check is due.
+	// syncInterval is how often it is tested whether a check is due.
 	syncInterval = 100 * time.Millisecond
-	// failurePause is the pause after a failed check, doubled with each further one up to maxFailurePause, since each call of an outage is
-	// charged to the object API's budget.
+	// failurePause is the pause after a failed check, doubled with each further one up to maxFailurePause, since each
+	// call in an outage is charged to the object API's budget.
 	failurePause    = 200 * time.Millisecond
 	maxFailurePause = 800 * time.Millisecond
-	// maxFetchSize bounds a configuration that is handed over, in bytes.
+	// maxFetchSize bounds a configuration fetched from another balancer, in bytes.
 	maxFetchSize = 4 << 20
-	// configurationPath is where a balancer hands its configuration over.
+	// configurationPath is where a balancer serves its configuration.
 	configurationPath = "/v2/configuration"
 )
 
@@ -60,15 +64,17 @@
 	log      zerolog.Logger
 	client   *http.Client
 	wake     chan struct{}
-	// adopt takes a newer configuration into force.
+	// adopt applies a newer configuration.
 	adopt func(configuration.Configuration)
-	// onChecked is called after each check that worked and after each change, so that the other balancers need not check.
+	// onChecked is called after each successful check and after each change, so that the other balancers need not
+	// check.
 	onChecked func()
-	// checkersBefore is the number of living balancers that check checkersBefore this one; spread is how long the word of a check may take.
+	// checkersBefore is the number of living balancers that check before this one; propagation is how long the result
+	// of a check may take to arrive.
 	checkersBefore func() int
 	propagation    func() time.Duration
 
-	// adoptMu lets one configuration be taken into force at a time, encoding one be encoded; both are locked before mu.
+	// adoptMu serialises the adoption of configurations, encodeMu their encoding; both are locked before mu.
 	adoptMu  sync.Mutex
 	encodeMu sync.Mutex
 	// cursor and lastRead are used by the check loop alone.
@@ -76,36 +82,36 @@
 	lastRead readVersion
 
 	mu sync.Mutex
-	// watching is set while this balancer checks for others: from a check that worked to one that failed, or until it hears that one
-	// which comes before it does.
+	// watching is set while this balancer checks for others: from a successful check to a failed one, or until one
+	// that comes before it reports that it does.
 	watching bool
-	// inForce is the configuration in force, of version 0 when there is none yet, encoded its form for other balancers once one
-	// has asked; checked is when it was last known to be the newest.
+	// inForce is the configuration in force, of version 0 when there is none yet, encoded its form for other
+	// balancers once one has fetched it; checked is when it was last known to be the newest.
 	inForce configuration.Configuration
 	encoded []byte
 	checked time.Time
-	// pauseUntil is the time before which no check is made, failures the number of checks that have failed in a row.
+	// pauseUntil is the time before which no check is made, failures the number of consecutive failed checks.
 	pauseUntil time.Time
 	failures   int
-	// newerVersion is a version that another process has named, wantedAt when the first newer one was; source is the balancer that
-	// has it, if known.
+	// newerVersion is the highest version that another process has reported, newerSince when the first newer one was;
+	// newerSource is the balancer that has it, if known.
 	newerVersion uint64
 	newerSince   time.Time
 	newerSource  netip.AddrPort
-	// adopted is when the configuration in force was taken over.
+	// adopted is when the configuration in force was adopted.
 	adopted time.Time
 }
 
-// cursor is where the check loop stands in the object API's changes.
+// cursor is the position of the check loop in the object API's changes.
 type cursor struct {
-	// revision is the store version up to which all changes of the configuration are known; 0 asks for a whole reading.
+	// revision is the store version up to which all changes of the configuration are known; 0 requires a full read.
 	revision uint64
-	// readAt is when the configuration was last read as a whole, readRevision the store version then.
+	// readAt is when the configuration was last read in full, readRevision the store version then.
 	readAt       time.Time
 	readRevision uint64
 }
 
-// readVersion says which configuration an object holds, so that its document is decoded once.
+// readVersion is the configuration's version in an object, cached so that its document is decoded once.
 type readVersion struct {
 	object, configuration uint64
 }
@@ -126,7 +132,7 @@
 	return k.inForce.Version, now.Sub(k.checked), !k.checked.IsZero()
 }
 
-// notifyNewer tells that a newer version exists. Source is the balancer that has it, or the zero value.
+// notifyNewer records that a newer version exists. Source is the balancer that has it, or the zero value.
 func (k *configSync) notifyNewer(version uint64, source netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -143,7 +149,7 @@
 	signal(k.wake)
 }
 
-// confirm notes that a version was the newest at a time, as a check or another balancer says.
+// confirm records that a version was the newest at a time, according to a check or another balancer.
 func (k *configSync) confirm(version uint64, at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,8 +158,8 @@
 	}
 }
 
-// run keeps the configuration until the context ends. Checks and fetches do not wait for each other: a balancer that starts
-// while the object API is slow has the configuration of its peers within milliseconds.
+// run keeps the configuration up to date until the context ends. Checks and fetches do not wait for each other: a
+// balancer that starts while the object API is slow gets the configuration of its peers within milliseconds.
 func (k *configSync) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.checkLoop(ctx) })
@@ -170,7 +176,7 @@
 	})
 }
 
-// fetchLoop takes newer configurations from the balancers that have them.
+// fetchLoop fetches newer configurations from the balancers that have them.
 func (k *configSync) fetchLoop(ctx context.Context) error {
 	for {
 		select {
@@ -183,20 +189,20 @@
 			continue
 		}
 		if err := k.fetch(ctx, source); err != nil {
-			k.log.Warn().Err(err).Str("op", "fetch-configuration").Stringer("peer", source).Msg("another balancer did not hand its configuration over")
+			k.log.Warn().Err(err).Str("op", "fetch-configuration").Stringer("peer", source).Msg("fetching the configuration from another balancer failed")
 		}
 	}
 }
 
-// behind reports whether a newer version is known of, and the balancer that has it, if any.
+// behind reports whether a newer version exists, and the balancer that has it, if known.
 func (k *configSync) behind() (netip.AddrPort, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.newerSource, k.newerVersion > k.inForce.Version
 }
 
-// due reports whether the configuration is to be compared with the object API. The balancer that comes first always watches;
-// the others step in when it does not tell them that it does.
+// due reports whether the configuration is to be compared with the object API. The balancer that comes first always
+// watches; the others take over when it does not report that it does.
 func (k *configSync) due(now time.Time) bool {
 	before, spread := k.checkersBefore(), k.propagation()
 	k.mu.Lock()
@@ -207,7 +213,7 @@
 	if before == 0 || k.watching || k.inForce.Version == 0 {
 		return true
 	}
-	// Other balancers hand a newer version over in less time and bytes than the object API.
+	// Fetching a newer version from other balancers takes less time and fewer bytes than reading the object API.
 	if k.newerVersion > k.inForce.Version && now.Sub(k.newerSince) >= fetchTimeout {
 		return true
 	}
@@ -218,8 +224,8 @@
 	return now.Sub(last) >= checkInterval+spread+min(time.Duration(before)*checkStagger, maxStagger)
 }
 
-// check learns from the object API whether the configuration in force is the newest, and takes the newer one if there is. It
-// ends at once when something is new, and after WatchWait when nothing is.
+// check queries the object API whether the configuration in force is the newest, and adopts a newer one. It returns
+// at once when there is a change, and after WatchWait when there is none.
 func (k *configSync) check(ctx context.Context) {
 	began := time.Now()
 	version, _, _ := k.state(began)
@@ -236,7 +242,7 @@
 	}
 }
 
-// setWatching notes whether this balancer checks for others. A reading at its start is none for others.
+// setWatching sets whether this balancer checks for others. The first read at its start does not count.
 func (k *configSync) setWatching(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -250,8 +256,8 @@
 	return k.watching
 }
 
-// mustRead reports whether a whole reading is needed: at the start, after a change or a failure, when another process knows of
-// a newer version, and now and then while anything changes in the object API.
+// mustRead reports whether a full read is needed: at the start, after a change or a failure, when another process
+// reports a newer version, and every readInterval while anything changes in the object API.
 func (k *configSync) mustRead(now time.Time) bool {
 	if _, behind := k.behind(); behind || k.cursor.revision == 0 {
 		return true
@@ -259,7 +265,7 @@
 	return k.cursor.revision != k.cursor.readRevision && now.Sub(k.cursor.readAt) >= readInterval
 }
 
-// read reads the whole configuration.
+// read reads the full configuration.
 func (k *configSync) read(ctx context.Context, began time.Time) error {
 	k.cursor = cursor{}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -281,7 +287,7 @@
 			k.cursor = next
 			return nil
 		}
-		// While changes go on, the next reading finds the newest of them.
+		// While changes continue, the next read finds the newest of them.
 		k.pause(began.Add(changePause))
 		return nil
 	}
@@ -298,7 +304,7 @@
 	events, next, err := k.platform.Store.Watch(ctx, k.platform.ConfigurationKind, from.revision)
 	answered := time.Now()
 	if errors.Is(err, objectapi.ErrExpired) {
-		// The history is gone: only a reading tells what has changed.
+		// The history has expired: only a full read shows what has changed.
 		return nil
 	}
 	if err != nil {
@@ -317,7 +323,7 @@
 	if changes > 0 {
 		k.pause(answered.Add(changePause))
 	}
-	// A watch returns every change of a series, a reading only the newest.
+	// A watch returns every change of a series, a read only the newest.
 	if changes > 1 {
 		return nil
 	}
@@ -334,14 +340,14 @@
 	k.pauseUntil = until
 }
 
-// recordCheck keeps the outcome of a check and logs when checks begin to fail or to work.
+// recordCheck records the result of a check and logs when checks start to fail or to succeed.
 func (k *configSync) recordCheck(began time.Time, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
 		if k.failures > 0 {
 			k.log.Warn().Str("op", "check-configuration").Uint64("configuration", configuration.DisplayVersion(k.inForce.Version)).
-				Dur("took_ms", time.Since(began)).Msg("the configuration is checked again")
+				Dur("took_ms", time.Since(began)).Msg("checking the configuration works again")
 		}
 		k.failures = 0
 		return
@@ -354,12 +360,12 @@
 	k.failures++
 }
 
-// pauseAfter is the pause after a call that failed when others in a row have failed before it.
+// pauseAfter is the pause after a failed call, given the number of consecutive failures before it.
 func pauseAfter(failures int) time.Duration {
 	return min(failurePause<<min(failures, 8), maxFailurePause)
 }
 
-// adoptObject takes a stored object into force when it is newer. At is when it was known to be the newest.
+// adoptObject adopts a stored object when it is newer. At is when it was known to be the newest.
 func (k *configSync) adoptObject(o objectapi.Object, at time.Time) (changed bool, err error) {
 	stored, known := k.storedVersion(o)
 	if !known {
@@ -375,7 +381,7 @@
 		stored = c.Version
 	}
 	if configuration.IsNumbered(stored) {
-		// A lower number was stored before the object API came back from a copy: the configuration in force is the newest.
+		// The object API was restored from a copy with a lower number: the configuration in force is the newest.
 		version, _, _ := k.state(at)
 		stored = version
 	}
@@ -383,7 +389,8 @@
 	return false, nil
 }
 
-// storedVersion returns the version of a stored configuration that is not newer than the one in force, as far as that is known without decoding it.
+// storedVersion returns the version of a stored configuration that is not newer than the one in force, as far as that
+// is known without decoding it.
 func (k *configSync) storedVersion(o objectapi.Object) (version uint64, known bool) {
 	if o.Version == k.lastRead.object {
 		return k.lastRead.configuration, true
@@ -403,8 +410,9 @@
 		Msg("the object API holds an earlier configuration; the one in force stays")
 }
 
-// adoptIfNewer takes a configuration into force when it is newer, and reports whether it was. At is when it was known to be the newest; one that is not newer
-// only tells that. Encoded is its form for other balancers, if known.
+// adoptIfNewer adopts a configuration when it is newer than the one in force, and reports whether it was. At is when
+// its version was known to be the newest, which is recorded when that version is in force. Encoded is its form for
+// other balancers, if known.
 func (k *configSync) adoptIfNewer(c configuration.Configuration, encoded []byte, at time.Time) bool {
 	k.adoptMu.Lock()
 	defer k.adoptMu.Unlock()
@@ -420,8 +428,8 @@
 	return newer
 }
 
-// useOperatorNumber gives the configuration in force its operator's useOperatorNumber as version, which it lacks when it was taken before the object API first named an
-// era. k.taking is held.
+// useOperatorNumber sets the operator's number as the version of the configuration in force, which lacks it when it
+// was adopted before the object API first reported an era. k.adoptMu is held.
 func (k *configSync) useOperatorNumber() {
 	k.mu.Lock()
 	c := k.inForce
@@ -434,7 +442,7 @@
 	k.setInForce(c, nil)
 }
 
-// setInForce takes a configuration into force. k.taking is held.
+// setInForce applies a configuration. k.adoptMu is held.
 func (k *configSync) setInForce(c configuration.Configuration, encoded []byte) {
 	k.adopt(c)
 	k.mu.Lock()
@@ -442,7 +450,7 @@
 	k.inForce, k.encoded, k.adopted = c, encoded, time.Now()
 }
 
-// fetch takes the configuration of another balancer.
+// fetch fetches the configuration of another balancer.
 func (k *configSync) fetch(ctx context.Context, from netip.AddrPort) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.String()+configurationPath, nil)
 	if err != nil {
@@ -469,7 +477,7 @@
 	return nil
 }
 
-// ServeHTTP hands the configuration in force to another balancer.
+// ServeHTTP sends the configuration in force to another balancer.
 func (k *configSync) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	encoded, err := k.encodedConfiguration()
 	if err != nil {
@@ -480,10 +488,10 @@
 	_, _ = w.Write(encoded)
 }
 
-// errNotConfigured answers a balancer that asks one that has just started.
+// errNotConfigured is returned to a balancer that asks one that has just started.
 var errNotConfigured = errors.New("no configuration yet")
 
-// encodedConfiguration is the configuration in force for other balancers. It is encoded when the first of them asks.
+// encodedConfiguration is the configuration in force for other balancers, encoded when the first of them asks.
 func (k *configSync) encodedConfiguration() ([]byte, error) {
 	k.encodeMu.Lock()
 	defer k.encodeMu.Unlock()
--- a/pkg/dsrd/keeper_test.go
+++ b/pkg/dsrd/config_sync_test.go
@@ -19,7 +19,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// fakeStore holds one object. Other writers raise its revision too.
+// fakeStore holds one object. Other writers increase its revision too.
 type fakeStore struct {
 	objectapi.Store
 	mu       sync.Mutex
@@ -27,12 +27,11 @@
 	revision uint64
 	err      error
 	delay    time.Duration
-	// silent makes watches hear of nothing, expired forgets the history.
+	// silent makes watches return no events, expired makes them fail with ErrExpired.
 	silent, expired bool
 	reads, watches  int
 }
 
-// write stores the next value under its version.
 func (s *fakeStore) write(version uint64, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,14 +39,14 @@
 	s.revision = max(s.revision, version)
 }
 
-// set changes the store while the keeper runs.
+// set changes the store while configSync runs.
 func (s *fakeStore) set(change func(s *fakeStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// calls returns the numbers of readings and watches, and starts counting anew.
+// calls returns the numbers of reads and watches, and resets them.
 func (s *fakeStore) calls() (reads, watches int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +120,7 @@
 	firstAddress = netip.MustParseAddrPort("10.1.0.1:7720")
 )
 
-// configSyncFixture is a keeper that notes what it takes into force.
+// configSyncFixture records the versions that configSync adopts.
 type configSyncFixture struct {
 	*configSync
 	store          *fakeStore
@@ -151,14 +150,14 @@
 	return f
 }
 
-// runFor runs the keeper for a time.
+// runFor runs configSync for a time.
 func (f *configSyncFixture) runFor(t *testing.T, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	require.ErrorIs(t, f.run(ctx), context.DeadlineExceeded)
 }
 
-// A change is heard of by the watch: within milliseconds, where reading every 0.6 s took up to that.
+// A watch returns a change within milliseconds.
 func TestAChangeIsInForceAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -171,7 +170,7 @@
 	})
 }
 
-// While nothing changes, no document is read; what others write causes one reading in 10 s.
+// While nothing changes, no document is read; writes to other objects cause one read in 10 s.
 func TestAQuietConfigurationIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -179,7 +178,7 @@
 		f.store.calls()
 		f.runFor(t, 30*time.Second)
 		reads, watches := f.store.calls()
-		require.LessOrEqual(t, reads, 1, "the watch that the end of the last run broke off")
+		require.LessOrEqual(t, reads, 1, "one after the watch that the end of the last run cancelled")
 		require.LessOrEqual(t, watches, 51)
 		require.Equal(t, 1, f.decoded)
 		go func() {
@@ -197,8 +196,8 @@
 	})
 }
 
-// A history that is gone, and a watch that hears nothing for a second before it is cut off, delay a change by less than 2.5 s.
-func TestAWatchThatHearsNothingDelaysAChangeByLittle(t *testing.T) {
+// An expired history, or a watch that returns nothing for a second before it fails, delays a change by under 2.5 s.
+func TestABrokenWatchDelaysAChangeByLittle(t *testing.T) {
 	for _, prepare := range []func(*fakeStore){
 		func(s *fakeStore) { s.expired = true },
 		func(s *fakeStore) {
@@ -226,8 +225,7 @@
 	}
 }
 
-// Of changes in quick succession only some are read, and the last is in force soon after it.
-// A single change is read once: by the watch that hears of it.
+// A single change is read once: by the watch that returns it.
 func TestASingleChangeIsReadOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -240,7 +238,8 @@
 	})
 }
 
-func TestAStormOfChangesIsTakenAtABoundedRate(t *testing.T) {
+// Of changes in quick succession only some are read, and the last is in force soon after it.
+func TestAStormOfChangesIsReadAtABoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
 		go func() {
@@ -256,7 +255,7 @@
 	})
 }
 
-func TestAnOldAnswerTakesNothingBack(t *testing.T) {
+func TestAnOldAnswerDoesNotRevertTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
 		f.runFor(t, time.Second)
@@ -267,7 +266,7 @@
 		version, age, checked := f.state(time.Now())
 		require.Equal(t, uint64(5), version)
 		require.True(t, checked)
-		require.Greater(t, age, 1500*time.Millisecond, "an old answer does not vouch for the version in force")
+		require.Greater(t, age, 1500*time.Millisecond, "an old answer does not confirm the version in force")
 	})
 }
 
@@ -285,11 +284,11 @@
 		require.Zero(t, reads+watches, "another balancer has checked within 0.9 s each time")
 		f.runFor(t, 1200*time.Millisecond)
 		reads, watches = f.store.calls()
-		require.Positive(t, reads+watches, "it goes on when the other falls silent")
+		require.Positive(t, reads+watches, "it takes over when the other is silent")
 	})
 }
 
-// The others hear late that the first balancer is gone; meanwhile one of them watches without a gap.
+// The others notice late that the first balancer is gone; meanwhile one of them watches without a gap.
 func TestABalancerThatHasSteppedInGoesOnUntilTheFirstOneChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -308,7 +307,7 @@
 	})
 }
 
-// A balancer that hears of a newer version leaves the object API to others while one of them may hand it over.
+// A balancer that is notified of a newer version does not read the object API while a peer may serve that version.
 func TestANewerVersionIsFetchedBeforeItIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -325,7 +324,7 @@
 	})
 }
 
-func TestAWordAboutAnotherVersionVouchesForNothing(t *testing.T) {
+func TestAReportOfAnotherVersionConfirmsNothing(t *testing.T) {
 	f := newConfigSyncFixture()
 	f.confirm(6, time.Now())
 	_, _, checked := f.state(time.Now())
@@ -340,7 +339,7 @@
 		f.store.calls()
 		f.runFor(t, 3*time.Second)
 		reads, _ := f.store.calls()
-		require.LessOrEqual(t, reads, 6, "it is not asked for often")
+		require.LessOrEqual(t, reads, 6, "it is not read often")
 		version, _, _ := f.state(time.Now())
 		require.Equal(t, uint64(5), version)
 		f.store.write(7, "")
@@ -349,7 +348,7 @@
 	})
 }
 
-// In an outage of 4 s a balancer asks a few times, and is back within a second of its end.
+// In an outage of 4 s a balancer makes few calls, and is up to date within a second of its end.
 func TestAnOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
@@ -366,7 +365,7 @@
 	})
 }
 
-// A balancer that starts while the object API does not answer has a peer's configuration at once.
+// A balancer that starts while the object API does not answer gets a peer's configuration at once.
 func TestAPeersConfigurationDoesNotWaitForTheObjectAPI(t *testing.T) {
 	peer := newConfigSyncFixture()
 	peer.adoptIfNewer(configuration.Configuration{Version: 9}, nil, time.Now())
@@ -386,7 +385,7 @@
 	require.ErrorIs(t, <-done, context.Canceled)
 }
 
-func TestABalancerWithoutAConfigurationHandsNothingOver(t *testing.T) {
+func TestABalancerWithoutAConfigurationServesNone(t *testing.T) {
 	server := httptest.NewServer(newConfigSyncFixture().configSync)
 	defer server.Close()
 	f := newConfigSyncFixture()
@@ -402,10 +401,10 @@
 	require.True(t, checksBefore(large, selfAddress, small, firstAddress))
 	require.True(t, checksBefore(small, firstAddress, small, selfAddress), "of equals the lower address")
 	require.False(t, checksBefore(small, selfAddress, small, firstAddress))
-	require.False(t, checksBefore(0, firstAddress, small, selfAddress), "one that has not said how much it can")
+	require.False(t, checksBefore(0, firstAddress, small, selfAddress), "one that has not reported its capacity")
 }
 
-// numberedFixture is a keeper of an object API that has named its first era.
+// numberedFixture has an object API that has reported its first era.
 func numberedFixture(label string) *configSyncFixture {
 	f := newConfigSyncFixture()
 	f.platform.Decode = func(o objectapi.Object) (configuration.Configuration, error) {
@@ -417,7 +416,7 @@
 	return f
 }
 
-// shown are the operator's numbers of what was adopted.
+// shown are the adopted versions as displayed.
 func (f *configSyncFixture) shown() []uint64 {
 	var out []uint64
 	for _, v := range f.adopted {
@@ -433,8 +432,8 @@
 		first uint64
 		want  []uint64
 	}{
-		{"eras were named before", store.Version(1, 21), []uint64{18, 20}},
-		{"eras are named from then on", 21, []uint64{21, 18, 20}},
+		{"eras were reported before", store.Version(1, 21), []uint64{18, 20}},
+		{"eras are reported from then on", 21, []uint64{21, 18, 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -461,7 +460,7 @@
 	}
 }
 
-// A balancer of a release that knows no eras names versions of objects.
+// A balancer of a release without eras reports versions of objects.
 func TestAnUpgradeFollowsTheBalancersThatKnowEras(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := numberedFixture("18")
@@ -472,11 +471,11 @@
 		old := newConfigSyncFixture()
 		old.adoptIfNewer(configuration.Configuration{Version: 900, Label: "16"}, nil, time.Now())
 		old.adoptIfNewer(f.inForce, nil, time.Now())
-		require.Equal(t, f.inForce.Version, old.inForce.Version, "and it takes what the others hand over")
+		require.Equal(t, f.inForce.Version, old.inForce.Version, "and it adopts the configuration of the others")
 	})
 }
 
-func TestAPeerThatReadTheRestoredObjectAPIFirstTakesNothingBack(t *testing.T) {
+func TestAPeerThatReadTheRestoredObjectAPIFirstRevertsNothing(t *testing.T) {
 	f := newConfigSyncFixture()
 	f.adoptIfNewer(configuration.Configuration{Version: 21, Label: "18"}, nil, time.Now())
 	peer := newConfigSyncFixture()
@@ -485,5 +484,5 @@
 	defer server.Close()
 	require.NoError(t, f.fetch(t.Context(), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))))
 	require.Equal(t, "18", f.inForce.Label)
-	require.Greater(t, f.inForce.Version, peer.inForce.Version, "so that the peer takes it in turn")
+	require.Greater(t, f.inForce.Version, peer.inForce.Version, "so that the peer adopts it in turn")
 }
--- a/pkg/dsrd/evacuate.go
+++ b/pkg/dsrd/evacuate.go
@@ -10,32 +10,32 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// agentFanOut is the number of balancers from which an agent hears at once, on average, that its data centre is evacuated or used
-// again. The others tell it when they answer its next announcement.
+// agentFanOut is the number of balancers that, on average, notify an agent at once when its data centre is evacuated
+// or used again. The others report it when they answer its next announcement.
 const agentFanOut = 6
 
-// withoutEraTime is how long a balancer reads the evacuations itself after one of a release without eras has named them, which may be the one that
-// watches for all.
+// withoutEraTime is how long a balancer reads the evacuations itself after a balancer of a release without eras has
+// reported them, since that one may be the one that watches for all.
 const withoutEraTime = 2 * EvacuationWait
 
-// readsEvacuations reports whether this balancer reads the evacuations: until it knows any, while it checks for others, and while others may not be
-// able to tell it.
+// readsEvacuations reports whether this balancer reads the evacuations: until it knows any, while it checks for
+// others, and while others may be unable to report them.
 func (b *Balancer) readsEvacuations() bool {
 	b.mu.Lock()
 	known := b.core.Evacuations().Known()
-	untold := !b.lastWithoutEra.IsZero() && time.Since(b.lastWithoutEra) < withoutEraTime
+	uninformed := !b.lastWithoutEra.IsZero() && time.Since(b.lastWithoutEra) < withoutEraTime
 	b.mu.Unlock()
-	return !known || untold || b.configSync.watches()
+	return !known || uninformed || b.configSync.watches()
 }
 
-// knownEvacuations returns the evacuated data centres as this balancer knows them.
+// knownEvacuations returns the evacuated data centres that this balancer knows.
 func (b *Balancer) knownEvacuations() evacuation.Set {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Evacuations()
 }
 
-// applyReadEvacuations takes over which data centres are evacuated, and hands it on when that is news.
+// applyReadEvacuations applies evacuations read from the object API, and notifies other balancers of a change.
 func (b *Balancer) applyReadEvacuations(s evacuation.Set) {
 	now := time.Now()
 	b.mu.Lock()
@@ -45,7 +45,8 @@
 	}
 }
 
-// receiveEvacuations takes over what another balancer says. News goes on at once, as for a change of the configuration. b.mu is held.
+// receiveEvacuations applies the evacuations that another balancer reports. A change is passed on at once, as for a
+// change of the configuration. b.mu is held.
 func (b *Balancer) receiveEvacuations(now time.Time, m *dsrpb.Evacuations) {
 	if m != nil && objectapi.EraOf(m.Version) == 0 && b.eras.Newest() > 0 {
 		b.lastWithoutEra = now
@@ -55,7 +56,8 @@
 	}
 }
 
-// applyEvacuations takes evacuations into force; it reports whether other balancers may not know them. b.mu is held.
+// applyEvacuations applies evacuations; it reports whether they have changed, so that other balancers may not know
+// them. b.mu is held.
 func (b *Balancer) applyEvacuations(now time.Time, s evacuation.Set) bool {
 	before := b.core.Evacuations()
 	if !b.core.SetEvacuations(now, s) {
@@ -72,11 +74,11 @@
 	b.alarm.schedule(b.core.Deadline())
 	b.notifyAgents(now, changed)
 	b.log.Warn().Str("op", "adopt-evacuations").Uint64("version", s.Version).Strs("data_centres", s.DataCentres).
-		Strs("before", before.DataCentres).Msg("the evacuated data centres are known")
+		Strs("before", before.DataCentres).Msg("evacuated data centres changed")
 	return true
 }
 
-// notifyAgents tells some of the agents of data centres that were evacuated or are used again. b.mu is held.
+// notifyAgents notifies some of the agents in data centres that were evacuated or are used again. b.mu is held.
 func (b *Balancer) notifyAgents(now time.Time, dataCentres []string) {
 	for _, d := range dataCentres {
 		for _, a := range b.core.AgentsOf(now, d) {
@@ -87,13 +89,13 @@
 	}
 }
 
-// isNotifier draws whether this balancer is one of those that tell an agent at once. b.mu is held.
+// isNotifier draws at random whether this balancer is one of those that notify an agent at once. b.mu is held.
 func (b *Balancer) isNotifier() bool {
 	others := b.balancers.Len()
 	return others < agentFanOut || rand.IntN(others+1) < agentFanOut
 }
 
-// encodeEvacuations writes a set for a message; nothing when it is not known.
+// encodeEvacuations encodes a set for a message; nil when it is not known.
 func encodeEvacuations(s evacuation.Set) *dsrpb.Evacuations {
 	if !s.Known() {
 		return nil
@@ -101,7 +103,8 @@
 	return &dsrpb.Evacuations{Version: s.Version, DataCentres: s.DataCentres}
 }
 
-// decodeEvacuations reads what a message says; the set is not known when it says nothing. The message refers to the receive buffer.
+// decodeEvacuations decodes a message's set, which is unknown when the message has none. The names are copied, since
+// the message refers to the receive buffer.
 func decodeEvacuations(m *dsrpb.Evacuations) evacuation.Set {
 	if m == nil {
 		return evacuation.Set{}
--- a/pkg/dsrd/evacuations.go
+++ b/pkg/dsrd/evacuation_reader.go
@@ -11,37 +11,38 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// EvacuationWait is how long the object API lets a watch of the evacuations wait. A watch that has gone silent is found soon after, so that a
-// declaration is in force within the 5 s that operators are promised.
+// EvacuationWait is how long a watch of the evacuations waits at the object API. A watch that has become unresponsive
+// is detected soon after, so that a declaration is in force within the 5 s that operators are promised.
 const EvacuationWait = 2400 * time.Millisecond
 
-// evacuationReader reads which data centres operators have evacuated. It runs beside the keeper: the balancer that compares the
-// configuration with the object API for all others also watches the evacuationReader for them. No lock is held during a call.
+// evacuationReader reads the data centres that operators have evacuated. It runs beside configSync: the balancer that
+// compares the configuration with the object API for all others also watches the evacuations for them. No lock is
+// held during a call.
 type evacuationReader struct {
 	store objectapi.Store
 	kind  objectapi.Kind
 	log   zerolog.Logger
-	// wanted reports whether this balancer has to read: nobody has told it yet, or it watches for others.
+	// wanted reports whether this balancer has to read: no other has reported them yet, or it watches for others.
 	wanted func() bool
-	// known returns the set in force, adopt takes one that was read.
+	// known returns the set in force, adopt applies one that was read.
 	known func() evacuation.Set
 	adopt func(evacuation.Set)
 
-	// revision is the store version that members stands for, 0 when a whole reading is needed.
+	// revision is the store version of members, 0 when a full read is needed.
 	revision uint64
 	members  map[string]bool
-	// keepUntil is until when evacuations stay in force that an object API which came back older does not name; zero outside of such a time.
+	// keepUntil is until when evacuations stay in force that a restored object API does not name; zero outside of
+	// such a time.
 	keepUntil time.Time
-	// pauseUntil is the time before which nothing is read, failures the number of readings that have failed in a row.
+	// pauseUntil is the time before which nothing is read, failures the number of consecutive failed reads.
 	pauseUntil time.Time
 	failures   int
 }
 
-// run reads until the context ends.
 func (e *evacuationReader) run(ctx context.Context) error {
 	return every(ctx, syncInterval, func(now time.Time) {
 		if !e.wanted() {
-			// What changes until this balancer watches again is not heard of.
+			// Changes until this balancer watches again are missed.
 			e.revision = 0
 			return
 		}
@@ -55,7 +56,7 @@
 	})
 }
 
-// read makes one call.
+// read makes one call: a full read, or a watch.
 func (e *evacuationReader) read(ctx context.Context) error {
 	if e.revision == 0 {
 		return e.list(ctx)
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// adoptMembers takes what was read into force. Evacuations that a later era of the object API does not name stay for a while: they may have been
-// lost, and are written again then.
+// adoptMembers applies what was read. Evacuations that a later era of the object API does not name stay in force for
+// a while: they may have been lost, and are then written again.
 func (e *evacuationReader) adoptMembers() {
 	read, known := evacuation.FromMembers(e.revision, e.members), e.known()
 	if known.Known() && objectapi.EraOf(known.Version) < objectapi.EraOf(e.revision) {
@@ -92,12 +93,12 @@
 		e.adopt(read)
 		return
 	}
-	// Below the version that was read, so that what is stored then replaces it when the wait is over.
+	// Below the version that was read, so that the stored set replaces this one when the wait is over.
 	both.Version--
 	e.adopt(both)
 }
 
-// watch waits for a change. Whatever fails, the next call is a whole reading.
+// watch waits for a change. After any failure, the next call is a full read.
 func (e *evacuationReader) watch(ctx context.Context) error {
 	from := e.revision
 	e.revision = 0
@@ -110,7 +111,7 @@
 	}
 	for _, event := range events {
 		if event.Object.Version <= from {
-			// Either an event that is repeated, or one that names the version before its change: a whole reading tells.
+			// A repeated event, or one that names the version before its change: only a full read can tell.
 			return nil
 		}
 		e.apply(event)
@@ -131,11 +132,11 @@
 	e.members[event.Object.Name] = true
 }
 
-// recordResult keeps the outcome of a call and logs when calls begin to fail or to work.
+// recordResult records the result of a call and logs when calls start to fail or to succeed.
 func (e *evacuationReader) recordResult(err error) {
 	if err == nil {
 		if e.failures > 0 {
-			e.log.Warn().Str("op", "read-evacuations").Msg("the evacuations are read again")
+			e.log.Warn().Str("op", "read-evacuations").Msg("reading evacuations works again")
 		}
 		e.failures = 0
 		return
--- a/pkg/dsrd/evacuations_test.go
+++ b/pkg/dsrd/evacuation_reader_test.go
@@ -15,7 +15,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/evacuation"
 )
 
-// evacuationFixture reads evacuations from a stand-in of the object API and keeps the last set of the highest version, as a balancer does.
+// evacuationFixture reads evacuations from a fake object API and keeps the set of the highest version, as a balancer
+// does.
 type evacuationFixture struct {
 	*testing.T
 	store *store.Store
@@ -79,13 +80,13 @@
 	require.NoError(f, f.store.Delete(f.Context(), evacuation.Kind, dataCentre, version))
 }
 
-// pass lets time go by, and what is under way come to rest.
+// pass advances the time and waits until all goroutines are blocked.
 func (f *evacuationFixture) pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// evacuationBound is the time within which a declaration is in force.
+// evacuationBound is the time within which a declaration must be in force.
 const evacuationBound = time.Second
 
 func TestEvacuationsAreReadWhateverTheStoreDoes(t *testing.T) {
@@ -97,7 +98,7 @@
 		{"nothing fails", nil, nil},
 		{"slow", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Latency: 240 * time.Millisecond}) }, nil},
 		{"events are repeated", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Duplicate: 4}) }, nil},
-		{"history is forgotten", nil, func(f *evacuationFixture) { f.store.CutHistory() }},
+		{"history expires", nil, func(f *evacuationFixture) { f.store.CutHistory() }},
 		{"a short outage follows", nil, func(f *evacuationFixture) {
 			f.store.SetFaults(store.Faults{Outage: true})
 			f.pass(300 * time.Millisecond)
@@ -135,7 +136,7 @@
 	}
 }
 
-// Until it knows the evacuations, a balancer asks; from then on only one that watches for others does.
+// A balancer reads until it knows the evacuations; from then on only one that watches for others does.
 func TestOnlyTheWatcherReadsEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
@@ -149,11 +150,11 @@
 		f.setWatch(true)
 		f.pass(10 * time.Second)
 		require.LessOrEqual(t, f.store.Counts().Reads()-before.Reads(), uint64(1+(10*time.Second+EvacuationWait-1)/EvacuationWait),
-			"one call at the start, and one for each wait that begins")
+			"one call at the start, and one for each watch")
 	})
 }
 
-func TestAnEvacuationThatTheObjectAPIHasLostStaysUntilItIsWrittenAgain(t *testing.T) {
+func TestALostEvacuationStaysUntilItIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.pass(time.Second)
@@ -192,7 +193,7 @@
 	})
 }
 
-func TestAnEvacuationThatNobodyWritesAgainEnds(t *testing.T) {
+func TestALostEvacuationThatIsNotRewrittenEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.declare("zarqa")
@@ -237,6 +238,6 @@
 	b.mu.Lock()
 	b.receiveEvacuations(now, &dsrpb.Evacuations{Version: 900})
 	b.mu.Unlock()
-	require.True(t, b.readsEvacuations(), "its word has no era")
+	require.True(t, b.readsEvacuations(), "its report has no era")
 	require.Equal(t, []string{"marka"}, b.knownEvacuations().DataCentres)
 }
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// maxRoster bounds the addresses of one kind in a message, so that it fits a datagram of an Ethernet without fragments
-	// twice over.
+	// maxRoster bounds the addresses of one kind in a message: 2,880 bytes, about two Ethernet frames.
 	maxRoster = 160
-	// fanOut is the number of balancers that are told of a check or a change at once. Of 490 balancers all but one in 400 have heard
-	// of a change when each tells six; the rest learns it with the next regular message, of which each gets 20 a second.
+	// fanOut is the number of balancers that are notified of a check or a change at once. Of 490 balancers all but
+	// one in 400 receive a change when each notifies six; the rest get it with the next regular message, of which
+	// each gets 20 a second.
 	fanOut = 6
-	// bootstrapPeers is the number of balancers that a message to a process names which may know nobody. Such a process reads all from the
-	// object API; while that is down, three seeds that name 16 each lead to all others in a few messages. Naming all would make the bytes of a
-	// start grow with the number of balancers.
+	// bootstrapPeers is the number of balancers named in a message to a process that may know none. Such a process
+	// reads all balancers from the object API; while that is down, three seeds that name 16 each lead to all others
+	// in a few messages. Naming all would make the bytes of a start grow with the number of balancers.
 	bootstrapPeers = 16
-	// reconnectPeers is the number of balancers that a message names to a silent one, which is spoken to several times a second.
+	// reconnectPeers is the number of balancers named in a message to a silent one, which gets several messages a
+	// second.
 	reconnectPeers = 4
-	// gossipedPeers is the number of balancers that a regular message names, others each time. A process that has missed one when all started
-	// together hears of it within a second among 59, within a minute among 490.
+	// gossipedPeers is the number of balancers named in a regular message, others each time. A process that has
+	// missed one when all started together learns its address within a second among 59 balancers, within a minute
+	// among 490.
 	gossipedPeers = 2
 	// queriedPeers is the number of balancers that a starting one asks for the agents in one round; each names all.
 	queriedPeers = 3
-	// hopTime is what a message between balancers may take. It is added to the age of a check with each one that hands it on;
-	// without it a check would seem to stay fresh for ever where many pass it on.
+	// hopTime is the assumed time of a message between balancers. It is added to the age of a check at each hop;
+	// without it a check would stay fresh forever where many pass it on.
 	hopTime = 10 * time.Millisecond
 )
 
-// addDiscovered takes balancers that are known by hearsay, and speaks to the new ones at once.
+// addDiscovered adds balancers that others have named, and sends gossip to the new ones at once.
 func (b *Balancer) addDiscovered(addresses []netip.AddrPort) {
 	now := time.Now()
 	b.mu.Lock()
@@ -44,14 +46,13 @@
 	}
 }
 
-// living returns the living balancers.
 func (b *Balancer) living() []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.balancers.Living(time.Now())
 }
 
-// gossip tells the other balancers of this one, those that are due.
+// gossip sends gossip to the balancers that are due, and logs and evicts lost processes.
 func (b *Balancer) gossip(now time.Time) {
 	version, age, checked := b.configSync.state(now)
 	b.mu.Lock()
@@ -65,20 +66,20 @@
 	b.sendGossip(now, b.balancers.Due(now), b.gossipMessage(version, age, checked))
 }
 
-// sendGossip sends balancers a message about this one. b.mu is held.
+// sendGossip completes a gossip message for each of the balancers and sends it. b.mu is held.
 func (b *Balancer) sendGossip(now time.Time, to []netip.AddrPort, m *dsrpb.Message) {
 	if len(to) == 0 {
 		return
 	}
-	several := encodeAddresses(b.balancers.Sample(now, reconnectPeers))
-	some := encodeAddresses(b.balancers.Sample(now, gossipedPeers))
+	reconnect := encodeAddresses(b.balancers.Sample(now, reconnectPeers))
+	regular := encodeAddresses(b.balancers.Sample(now, gossipedPeers))
 	asked := 0
 	for _, a := range to {
-		// A peer that was heard of lately knows most others; naming them all would make the bytes grow with the square of their
+		// A peer that is alive knows most others; naming them all would make the bytes grow with the square of their
 		// number.
-		m.Roster.Balancers = some
+		m.Roster.Balancers = regular
 		if !b.balancers.Alive(now, a) {
-			m.Roster.Balancers = several
+			m.Roster.Balancers = reconnect
 		}
 		m.Roster.Ask = b.requestAgents && asked < queriedPeers
 		m.Roster.IntervalMs = uint32(b.balancers.IntervalTo(a) / time.Millisecond)
@@ -87,23 +88,23 @@
 	}
 }
 
-// evict drops what is kept of processes that were silent for long. b.mu is held.
+// evict removes the state of processes that were silent for long. b.mu is held.
 func (b *Balancer) evict(now time.Time) {
 	b.agents.Forget(now)
 	maps.DeleteFunc(b.lastWelcome, func(a netip.AddrPort, _ time.Time) bool { return !b.agents.Knows(a) })
 	maps.DeleteFunc(b.readCapacity, func(a netip.AddrPort, _ uint32) bool { return !b.balancers.Knows(a) })
 }
 
-// gossipNow tells balancers now that the configuration was checked or has changed: all of them in a small deployment, in a larger
-// one some, which tell others when they have it, so that neither messages nor bytes of the one that knows it first grow with their
-// number.
+// gossipNow notifies balancers that the configuration was checked or has changed: all of them in a small deployment,
+// some in a larger one, which notify others when they have it. So neither the messages nor the bytes of the first
+// balancer grow with their number.
 func (b *Balancer) gossipNow() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gossipNowLocked(time.Now())
 }
 
-// gossipNowLocked is gossipAtOnce with b.mu held.
+// gossipNowLocked is gossipNow with b.mu held.
 func (b *Balancer) gossipNowLocked(now time.Time) {
 	version, age, checked := b.configSync.state(now)
 	to := b.balancers.All()
@@ -128,7 +129,7 @@
 	}
 }
 
-// fromBalancer takes another balancer's word. b.mu is held.
+// fromBalancer receives another balancer's gossip. b.mu is held.
 func (b *Balancer) fromBalancer(now time.Time, from netip.AddrPort, m *dsrpb.Message) {
 	r := m.Roster
 	if r == nil || from == b.self {
@@ -154,7 +155,7 @@
 	}
 }
 
-// compareConfiguration takes over what another balancer says of the configuration. b.mu is held.
+// compareConfiguration applies what another balancer reports of the configuration. b.mu is held.
 func (b *Balancer) compareConfiguration(now time.Time, from netip.AddrPort, m *dsrpb.Message) {
 	b.configSync.notifyNewer(m.Configuration, from)
 	if m.Roster.Checked {
@@ -182,13 +183,14 @@
 	}
 }
 
-// introduceTo makes this balancer known to agents by hearsay; they announce themselves at once. b.mu is held.
+// introduceTo makes this balancer known to agents that another balancer has named and that are not alive here; they
+// announce themselves at once. b.mu is held.
 func (b *Balancer) introduceTo(now time.Time, agents []netip.AddrPort) {
 	for _, a := range agents {
 		if !b.agents.Alive(now, a) {
 			m := b.welcomeMessage(now, "")
 			m.Roster.Ask = true
-			// Agents that others know have met them.
+			// Agents that other balancers know also know those balancers.
 			m.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, gossipedPeers))
 			b.send(a, m)
 		}
@@ -206,7 +208,7 @@
 		m.Roster.IntervalMs = uint32(roster.FarIntervalFor(b.agents.Len()) / time.Millisecond)
 	}
 	if a.Joined {
-		// An agent that has heard of this balancer lately knows most others.
+		// An agent that has received messages from this balancer lately knows most others.
 		m.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, gossipedPeers))
 	}
 	if a.State != dsrpb.State_STATE_ABSENT {
@@ -216,14 +218,14 @@
 	b.send(from, m)
 }
 
-// minWelcomeInterval is the least time between two answers to an agent that knows this balancer: announcements come a quarter earlier than
-// the agent says, so that this one is between the first and the second of them.
+// minWelcomeInterval is the least time between two answers to an agent that knows this balancer: announcements come
+// up to a quarter earlier than the agent says, so that this one is between the first and the second of them.
 func minWelcomeInterval(a *dsrpb.Announcement) time.Duration {
 	return max(welcomeInterval, milliseconds(a.IntervalMs)*(answeredAnnouncements*4-3)/4)
 }
 
-// sendHealthPaths tells agents without a target how to ask it whether it is ready, which they learn from the configuration.
-// b.mu is held.
+// sendHealthPaths sends agents without a target the path of the health check, which the configuration names. b.mu is
+// held.
 func (b *Balancer) sendHealthPaths(now time.Time) {
 	for _, a := range b.core.WithoutTarget(now) {
 		b.send(a.Address, b.welcomeMessage(now, a.Service))
--- a/pkg/dsrd/http.go
+++ b/pkg/dsrd/http.go
@@ -10,13 +10,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Times of the HTTP listeners. Their callers are on the same VM or in the same region.
+// Timeouts of the HTTP listeners. Their clients are on the same VM or in the same region.
 const (
 	headerTimeout = 2 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// serveHTTP answers requests on the address until the context ends.
+// serveHTTP serves requests on the address until the context ends.
 func serveHTTP(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
--- a/pkg/dsrd/log_volume_test.go
+++ b/pkg/dsrd/log_volume_test.go
@@ -19,7 +19,7 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-// lineCounter counts the lines that a process writes.
+// lineCounter counts the lines that a process logs.
 type lineCounter struct {
 	mu    sync.Mutex
 	lines int
@@ -37,7 +37,8 @@
 // maxLineBytes is the longest line of a decision: names of 63 bytes and addresses of 47 in every field.
 const maxLineBytes = 700
 
-// At ten times the load that a balancer is made for, and a flood of refusals, its log stays within the stated bounds.
+// At ten times the load that a balancer is designed for, and a flood of refusals, its log stays within the stated
+// limits.
 func TestTheLogOfABusyBalancerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -66,9 +67,9 @@
 		w.Close()
 		routine, important := w.Dropped()
 		const most = seconds*(telemetry.RoutineLinesPerSecond+telemetry.ImportantLinesPerSecond) + telemetry.RoutineBurst + telemetry.ImportantBurst
-		require.LessOrEqual(t, out.lines, most+seconds, "one line a second says what was left out")
+		require.LessOrEqual(t, out.lines, most+seconds, "one line a second reports what was dropped")
 		require.LessOrEqual(t, out.bytes, out.lines*maxLineBytes)
-		require.GreaterOrEqual(t, out.lines+int(routine+important), seconds*(placed+refusedBy), "what is not written is counted")
+		require.GreaterOrEqual(t, out.lines+int(routine+important), seconds*(placed+refusedBy), "dropped lines are counted")
 		t.Logf("%d lines and %d kB a second written of %d lines", out.lines/seconds, out.bytes/seconds/1000, placed+refusedBy)
 	})
 }
--- a/pkg/dsrd/members.go
+++ b/pkg/dsrd/members.go
@@ -12,32 +12,32 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// MemberKind is the kind of the objects by which balancers are found, one for each, named like the process.
+// MemberKind is the kind of the objects by which balancers are discovered, one for each, named like the process.
 const MemberKind objectapi.Kind = "dsr-balancers"
 
-// Times of the calls for members.
+// Intervals of the calls for members.
 const (
-	// memberRetry paces the calls while the object API fails, up to memberRetryMax.
+	// memberRetry is the first retry interval while the object API fails, growing up to memberRetryMax.
 	memberRetry    = 200 * time.Millisecond
 	memberRetryMax = 3 * time.Second
 	// rejoinSpread bounds the random time until a balancer joins again in a later era, so that not all call at once.
 	rejoinSpread = time.Second
-	// rediscoverMin is the time after which an agent that hears of no balancer reads the members again, doubled each time up to findAgainMax: the
-	// balancers may have joined after the last reading.
+	// rediscoverMin is the time after which an agent without a living balancer reads the members again, doubled each
+	// time up to rediscoverMax: the balancers may have joined after the last read.
 	rediscoverMin = 3 * time.Second
 	rediscoverMax = 30 * time.Second
 )
 
 // member is the value of a balancer's object.
 type member struct {
-	// Messages is the address at which the balancer hears of others.
+	// Messages is the address at which the balancer receives messages.
 	Messages netip.AddrPort `json:"messages"`
 }
 
-// errNoAddress is the error of a member at which nobody can be reached.
-var errNoAddress = errors.New("the member names no address")
+// errNoAddress is the error of a member without a usable address.
+var errNoAddress = errors.New("member has no usable address")
 
-// decodeMember reads a balancer's object, which another writer may have made.
+// decodeMember decodes a balancer's object, which another writer may have made.
 func decodeMember(o objectapi.Object) (member, error) {
 	m, err := objectapi.Decode[member](o)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return m.Value, nil
 }
 
-// readMembers lists the balancers in the object API, with the store version of the list, and hands their addresses to found. Objects that cannot be
-// read are logged and left out.
+// readMembers lists the balancers in the object API, with the store version of the list, and passes their addresses
+// to found. Objects that cannot be decoded are logged and skipped.
 func readMembers(ctx context.Context, store objectapi.Store, log zerolog.Logger, found func([]netip.AddrPort)) (known map[string]objectapi.Object, version uint64, err error) {
 	objects, version, err := store.List(ctx, MemberKind)
 	if err != nil {
@@ -63,7 +63,7 @@
 		known[o.Name] = o
 		m, err := decodeMember(o)
 		if err != nil {
-			log.Warn().Err(err).Str("op", "read-members").Str("name", o.Name).Msg("a member's object cannot be read")
+			log.Warn().Err(err).Str("op", "read-members").Str("name", o.Name).Msg("member object cannot be decoded")
 			continue
 		}
 		addresses = append(addresses, m.Messages)
@@ -72,7 +72,7 @@
 	return known, version, nil
 }
 
-// findMembers reads the members once, trying until it works.
+// findMembers reads the members, retrying until it succeeds.
 func findMembers(ctx context.Context, store objectapi.Store, log zerolog.Logger, found func([]netip.AddrPort)) error {
 	return untilDone(ctx, log, "read-members", func() error {
 		_, _, err := readMembers(ctx, store, log, found)
@@ -80,8 +80,8 @@
 	})
 }
 
-// joinMembers reads the members and sees to it that this process is one of them, trying until it works. It returns the era of the object API in
-// which that was so.
+// joinMembers reads the members and registers this process among them, retrying until it succeeds. It returns the era
+// of the object API in which it did.
 func joinMembers(ctx context.Context, store objectapi.Store, log zerolog.Logger, name string, self netip.AddrPort, found func([]netip.AddrPort)) (uint64, error) {
 	o, err := objectapi.Encode(objectapi.Typed[member]{Kind: MemberKind, Name: name, Value: member{Messages: self}})
 	if err != nil {
@@ -102,7 +102,7 @@
 			own.Value = o.Value
 			_, err = store.Update(ctx, own)
 		}
-		// A conflict means that the write of an earlier life took effect late; the next round sees it.
+		// A conflict means that the write of an earlier incarnation took effect late; the next round sees it.
 		return err
 	})
 	return era, err
@@ -116,7 +116,7 @@
 		err := f()
 		if err == nil {
 			if failing {
-				log.Warn().Str("op", op).Msg("the object API works again")
+				log.Warn().Str("op", op).Msg("calls to the object API succeed again")
 			}
 			return nil
 		}
@@ -125,7 +125,7 @@
 		}
 		if !failing {
 			failing = true
-			log.Warn().Err(err).Str("op", op).Msg("the object API fails")
+			log.Warn().Err(err).Str("op", op).Msg("call to the object API failed; retrying")
 		}
 		if err := wait.For(ctx, backoff.Next()); err != nil {
 			return err
--- a/pkg/dsrd/members_test.go
+++ b/pkg/dsrd/members_test.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// listStore answers a list with the given values.
+// listStore returns the given values from a list.
 type listStore struct {
 	objectapi.Store
 	values []string
@@ -30,8 +30,8 @@
 	return out, 1, nil
 }
 
-// Another writer's entry names no balancer to use; the others hold.
-func TestMembersThatNameNoAddressAreLeftOut(t *testing.T) {
+// An entry of another writer that identifies no balancer does not invalidate the others.
+func TestMembersWithoutAnAddressAreSkipped(t *testing.T) {
 	s := listStore{values: []string{
 		`{"messages":"10.1.0.1:7720"}`, ``, `null`, `{}`, `7`, `"x"`, `{"messages":7}`, `{"messages":""}`, `{"messages":"x"}`,
 		`{"messages":"10.1.0.1"}`, `{"messages":"10.1.0.1:0"}`, `{"messages":"0.0.0.0:7720"}`, `{"messages":"224.0.0.1:7720"}`,
@@ -44,7 +44,7 @@
 	require.Equal(t, []netip.AddrPort{firstAddress, selfAddress}, got)
 }
 
-// lateMembers has no member at the first reading and one at the later ones.
+// lateMembers has no member at the first read and one at later ones.
 type lateMembers struct {
 	objectapi.Store
 	reads  atomic.Int32
@@ -58,7 +58,7 @@
 	return []objectapi.Object{{Kind: MemberKind, Name: "balancer-1", Version: 2, Value: s.member}}, 2, nil
 }
 
-func TestAnAgentThatFindsNoBalancerReadsTheMembersAgain(t *testing.T) {
+func TestAnAgentWithoutABalancerReadsTheMembersAgain(t *testing.T) {
 	balancer := newListener(t)
 	a := &Agent{node: testNode(t)}
 	a.table = ownership.NewTable(ownership.Config{}, dsrtest.Codec{}, nil, a.started)
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -21,7 +21,7 @@
 
 var messagesEnv = telemetry.Env{Log: zerolog.Nop(), Scope: tally.NoopScope}
 
-// listener is another process, which keeps what it is sent until the test looks.
+// listener is another process, whose received messages are kept until the test reads them.
 type listener struct {
 	*testing.T
 	conn *net.UDPConn
@@ -36,7 +36,8 @@
 
 func (l *listener) address() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// received returns the messages that have come. On loopback a message is there when its sender's call has returned.
+// received returns the messages that have arrived. On loopback a message has arrived when its sender's call has
+// returned.
 func (l *listener) received() []*dsrpb.Message {
 	var out []*dsrpb.Message
 	b := make([]byte, maxDatagram)
@@ -52,7 +53,7 @@
 	}
 }
 
-// testNode is what the daemons have in common, with a socket for messages only.
+// testNode is the common part of the daemons, with a socket for messages only.
 func testNode(t *testing.T) *node {
 	s, err := listenUDP(netip.MustParseAddrPort("127.0.0.1:0"), messagesEnv)
 	require.NoError(t, err)
@@ -78,7 +79,7 @@
 	return out
 }
 
-func TestAnAgentTellsOnlyBalancersThatItDidNotKnow(t *testing.T) {
+func TestAnAgentAnnouncesItselfOnlyToNewBalancers(t *testing.T) {
 	known, fresh := newListener(t), newListener(t)
 	a := &Agent{node: testNode(t)}
 	a.table = ownership.NewTable(ownership.Config{}, dsrtest.Codec{}, nil, a.started)
@@ -91,8 +92,8 @@
 	require.Len(t, fresh.received(), 1)
 }
 
-// A balancer that does not say when it speaks next is taken for gone after a second.
-func TestEveryMessageOfABalancerSaysWhenTheNextOneComes(t *testing.T) {
+// A balancer that does not say when it sends its next message counts as silent after a second.
+func TestEveryMessageNamesTheNextInterval(t *testing.T) {
 	peer := newListener(t)
 	b := testBalancer(t)
 	now := b.started
@@ -112,7 +113,7 @@
 	}
 }
 
-func TestAStartingBalancerHearsOfEveryAgent(t *testing.T) {
+func TestAStartingBalancerReceivesEveryAgent(t *testing.T) {
 	peer := newListener(t)
 	b := testBalancer(t)
 	agents := unreachable(400)
@@ -127,7 +128,7 @@
 	require.ElementsMatch(t, agents, named)
 }
 
-func TestWhatIsKeptOfProcessesIsForgottenWithThem(t *testing.T) {
+func TestStateOfEvictedProcessesIsRemoved(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
 	for _, a := range unreachable(100) {
@@ -144,10 +145,10 @@
 	require.Zero(t, b.agents.Len())
 }
 
-// udpHeader is the size of the headers of UDP and IPv4, in bytes.
+// udpHeader is the size of the UDP and IPv4 headers, in bytes.
 const udpHeader = 28
 
-// The users' bound for the control traffic of a daemon is 12 kB a second, at 490 balancers and 3,300 agents.
+// The control traffic of a daemon must stay below 12 kB a second, at 490 balancers and 3,300 agents.
 func TestControlTrafficOfABalancerIsBounded(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
--- a/pkg/dsrd/node.go
+++ b/pkg/dsrd/node.go
@@ -19,10 +19,10 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// sendInterval is the time between two looks at which processes are to be told of this one; the roster says how often each is.
+// sendInterval is how often it is tested which processes are due a message; the roster sets the interval of each.
 const sendInterval = roster.EagerInterval
 
-// node is what the daemons have in common.
+// node is the common part of the daemons.
 type node struct {
 	cfg      settings.DSRProcess
 	platform Platform
@@ -33,7 +33,7 @@
 	self        netip.AddrPort
 	messagePort uint16
 	callerPort  uint16
-	// packets is the socket for packets to callers, messages that for other daemons.
+	// packets is the socket for packets to callers, messages the one for other daemons.
 	packets  *socket
 	messages *socket
 	alarm    *alarm
@@ -46,7 +46,7 @@
 	// mu guards everything below and the decisions of the daemon.
 	mu        sync.Mutex
 	balancers roster.Peers
-	// regained are the balancers that were heard of again since the last look.
+	// regained are the balancers that were seen again since the last log.
 	regained []netip.AddrPort
 	stopping bool
 	buffer   []byte
@@ -79,16 +79,16 @@
 	return n, nil
 }
 
-// Close ends the daemon at once: it does not leave, and nobody is told.
+// Close stops the daemon at once, without draining or notifying others.
 func (n *node) Close() { n.cancel() }
 
-// seeds are the message addresses of the balancers that the settings name.
+// seeds are the message addresses of the balancers in the settings.
 func (n *node) seeds() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, text := range n.cfg.Seeds {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			n.log.Warn().Err(err).Str("op", "start").Str("seed", text).Msg("a seed is no address")
+			n.log.Warn().Err(err).Str("op", "start").Str("seed", text).Msg("seed is not a valid address")
 			continue
 		}
 		out = append(out, netip.AddrPortFrom(a.Addr(), n.messagePort))
@@ -96,10 +96,10 @@
 	return out
 }
 
-// milliseconds reads a time of a message.
+// milliseconds converts a duration of a message.
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// addBalancers adds balancers by hearsay; it reports whether one is new. n.mu is held.
+// addBalancers adds balancers that others have named; it reports whether one is new. n.mu is held.
 func (n *node) addBalancers(now time.Time, addresses []netip.AddrPort) bool {
 	added := false
 	for _, a := range addresses {
@@ -110,7 +110,7 @@
 	return added
 }
 
-// recordRegained keeps a balancer that was heard of again for the log. n.mu is held.
+// recordRegained records for the log that a balancer was seen again. n.mu is held.
 func (n *node) recordRegained(a netip.AddrPort) { n.regained = append(n.regained, a) }
 
 // logBalancers logs which balancers were lost and regained since the last call. n.mu is held.
@@ -130,7 +130,7 @@
 	n.messages.write(to, n.buffer[:size])
 }
 
-// reset sends the packet that ends a flow to its caller. n.mu is held.
+// reset sends a packet that resets a flow to its caller. n.mu is held.
 func (n *node) reset(key flow.Key, sequence uint32) {
 	n.toCaller(key, n.platform.Codec.Reset(key, sequence))
 }
@@ -140,7 +140,7 @@
 	n.packets.write(netip.AddrPortFrom(key.Source.Addr(), n.callerPort), raw)
 }
 
-// every calls f at each interval until the context ends.
+// every calls f at once and then at each interval until the context ends.
 func every(ctx context.Context, interval time.Duration, f func(now time.Time)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/pkg/dsrd/peer_changes.go
+++ b/pkg/dsrd/peer_changes.go
@@ -8,28 +8,27 @@
 )
 
 const (
-	// maxChangeLines is the number of peers that are logged with a line each when they were lost or regained between two looks. When more
-	// were, as at the start of all or after a cut, one line counts them: with a line for each pair, 69 balancers and 197 agents wrote
-	// 65,000 lines in a day of two starts.
+	// maxChangeLines is the number of lost or regained peers that are logged with a line each. When there were more
+	// since the last log, as at a common start or after a network partition, one line counts them, since a line for
+	// each pair would flood the log.
 	maxChangeLines = 4
 	// maxChangeNames is the number of peers that such a line names.
 	maxChangeNames = 16
 )
 
-// peerChange is a kind of change of what is known of peers.
+// peerChange is a kind of change in the reachability of peers.
 type peerChange struct {
 	op, message string
 }
 
-// Changes of peers.
 var (
-	agentLost        = peerChange{"agent-lost", "nothing was heard of a process"}
-	agentRegained    = peerChange{"agent-regained", "an agent was heard of"}
-	balancerLost     = peerChange{"balancer-lost", "nothing was heard of a process"}
-	balancerRegained = peerChange{"balancer-regained", "a balancer was heard of"}
+	agentLost        = peerChange{"agent-lost", "peer is silent"}
+	agentRegained    = peerChange{"agent-regained", "agent seen again or for the first time"}
+	balancerLost     = peerChange{"balancer-lost", "peer is silent"}
+	balancerRegained = peerChange{"balancer-regained", "balancer seen again or for the first time"}
 )
 
-// log writes the peers that have changed in the same way since the last look.
+// log logs the peers that have changed in the same way since the last log.
 func (c peerChange) log(log zerolog.Logger, peers []netip.AddrPort) {
 	if len(peers) > maxChangeLines {
 		log.Warn().Str("op", c.op).Int("count", len(peers)).Str("peers", namesOf(peers)).Msg(c.message)
--- a/pkg/dsrd/peer_changes_test.go
+++ b/pkg/dsrd/peer_changes_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every process meets every other when all start: a line for each would be one for each pair.
+// Every process sees every other for the first time when all start: a line for each would be one for each pair.
 func TestManyChangesOfPeersAreOneLine(t *testing.T) {
 	var peers []netip.AddrPort
 	for i := range 490 {
--- a/pkg/dsrd/platform.go
+++ b/pkg/dsrd/platform.go
@@ -11,38 +11,37 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Targets takes what targets say of themselves.
+// Targets receives the reports of targets.
 type Targets interface {
-	// Announce takes a heartbeat. An error means that it is not acknowledged; it is an *announcement.Rejection when the
-	// report names no target to use.
+	// Announce applies a heartbeat. On an error it is not acknowledged; the error is an *announcement.Rejection when
+	// the report identifies no target to use.
 	Announce(a announcement.Announcement) error
-	// Left takes a target's word that its process ends. An error means what it means for Announce.
+	// Left applies a deregistration. Errors are those of Announce.
 	Left(f announcement.Deregistration) error
-	// Rejected notes a report that was turned down; id is the name under which it came.
+	// Rejected records a report that was rejected; id is the name under which it was sent.
 	Rejected(id string, r *announcement.Rejection)
 }
 
 // Platform is what the daemons need of the platform they run on.
 type Platform struct {
-	// Codec is the packet format.
 	Codec segment.Codec
-	// Store is the object API.
 	Store objectapi.Store
-	// Eras are the eras that the answers of Store and EvacuationStore name; nil means that they name none.
+	// Eras are the eras that the answers of Store and EvacuationStore report; nil means that they report none.
 	Eras *objectapi.Eras
-	// ConfigurationKind and ConfigurationName name the object with the operator's configuration; Decode reads it.
+	// ConfigurationKind and ConfigurationName name the object with the operator's configuration; Decode decodes it.
 	ConfigurationKind objectapi.Kind
 	ConfigurationName string
 	Decode            func(objectapi.Object) (configuration.Configuration, error)
-	// EvacuationKind is the kind of the objects by which operators evacuate data centres; an object is named like its data centre.
-	// Empty means evacuation.Kind.
+	// EvacuationKind is the kind of the objects by which operators evacuate data centres; an object is named like its
+	// data centre. Empty means evacuation.Kind.
 	EvacuationKind objectapi.Kind
-	// EvacuationStore is the object API with watches of EvacuationWait, since evacuations are rare and each watch counts; nil means Store.
+	// EvacuationStore is the object API with watches of EvacuationWait, since evacuations are rare and each watch
+	// counts; nil means Store.
 	EvacuationStore objectapi.Store
 	// ReadyHandler serves the readiness check; ready returns why the daemon is not ready, or nil.
 	ReadyHandler func(ready func() error) http.Handler
 	// TargetHandler serves the calls of the target on the same VM.
 	TargetHandler func(t Targets) http.Handler
-	// Probe asks the target on the same VM whether it is ready; an error means that it is not, or did not answer.
+	// Probe checks whether the target on the same VM is ready; an error means that it is not, or did not answer.
 	Probe func(ctx context.Context, target netip.AddrPort, path string) (announcement.Announcement, error)
 }
--- a/pkg/dsrd/spread_test.go
+++ b/pkg/dsrd/propagation_test.go
@@ -11,7 +11,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/roster"
 )
 
-// propagationNode is a balancer as far as a change of the configuration goes: it tells some others at once, and the rest regularly.
+// propagationNode is a balancer as far as a change of the configuration goes: it notifies some others at once, and
+// the rest regularly.
 type propagationNode struct {
 	address    netip.AddrPort
 	peers      roster.Peers
@@ -20,7 +21,7 @@
 	served int
 }
 
-// propagationSim plays balancers that hear of each other, one of which reads a change.
+// propagationSim simulates balancers that know each other, one of which reads a change.
 type propagationSim struct {
 	now    time.Time
 	random *rand.Rand
@@ -28,7 +29,7 @@
 	order  []*propagationNode
 }
 
-// propagationStep is the time from one balancer's word until another one has fetched the configuration.
+// propagationStep is the time from a balancer's message until its receiver has fetched the configuration.
 const propagationStep = 10 * time.Millisecond
 
 func newPropagationSim(n int) *propagationSim {
@@ -49,7 +50,8 @@
 	return w
 }
 
-// recipients are the balancers that one tells in this step: those at once, when it has just got the change, and those whose turn it is.
+// recipients are the balancers that one notifies in this step: those at once, when it has just got the change, and
+// those of its regular messages.
 func (w *propagationSim) recipients(node *propagationNode) []*propagationNode {
 	var out []*propagationNode
 	if node.receivedAt.Equal(w.now) {
@@ -63,20 +65,20 @@
 	return out
 }
 
-// step plays one step.
+// step simulates one step.
 func (w *propagationSim) step() {
-	type word struct{ from, to *propagationNode }
-	var words []word
+	type message struct{ from, to *propagationNode }
+	var messages []message
 	for _, node := range w.order {
 		if node.receivedAt.IsZero() {
 			continue
 		}
 		for _, to := range w.recipients(node) {
-			words = append(words, word{node, to})
+			messages = append(messages, message{node, to})
 		}
 	}
 	w.now = w.now.Add(propagationStep)
-	for _, x := range words {
+	for _, x := range messages {
 		if x.to.receivedAt.IsZero() {
 			x.to.receivedAt = w.now
 			x.from.served++
@@ -84,7 +86,8 @@
 	}
 }
 
-// A change reaches every balancer within the time that the checks allow for, and nobody hands it to more than a few.
+// A change reaches every balancer within the time that the checks allow for, and no balancer serves it to more than a
+// few.
 func TestAChangeReachesAllBalancersAtABoundedCostForEach(t *testing.T) {
 	for _, n := range []int{59, 490} {
 		w := newPropagationSim(n)
--- a/pkg/dsrd/readers.go
+++ b/pkg/dsrd/read_capacity.go
@@ -7,20 +7,20 @@
 
 // Cost of reading a large configuration of 1,300 routes from the object API.
 const (
-	// readCPU is the processor time for its bytes and its document, readBits its size.
+	// readCPU is the processor time for receiving and decoding it, readBits its size.
 	readCPU  = 5 * time.Millisecond
 	readBits = 300e3 * 8
 )
 
-// readsPerSecond is how many large configurations a VM could read in a second. On a VM of 0.06 cores and a link of 10 Mbit/s one
-// reading keeps packets waiting for 0.3 s.
+// readsPerSecond is how many large configurations a VM could read in a second, its read capacity. On a VM of 0.06
+// cores and a link of 10 Mbit/s one read delays packets by 0.3 s.
 func readsPerSecond(cpuShare, linkMbps float64) uint32 {
 	seconds := readCPU.Seconds()/cpuShare + readBits/(linkMbps*1e6)
 	return uint32(max(1, 1/seconds))
 }
 
-// checkersBefore is the number of living balancers that compare the configuration with the object API before this one does: those
-// that can read more, and of equals those with a lower address.
+// checkersBefore is the number of living balancers that compare the configuration with the object API before this one
+// does: those with a higher read capacity, and of equals those with a lower address.
 func (b *Balancer) checkersBefore() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,7 +45,8 @@
 	return a.Compare(other) < 0
 }
 
-// propagation is how long the word of a check takes to this balancer: nothing where whoever checks tells all others.
+// propagation is how long the result of a check takes to reach this balancer: nothing where whoever checks notifies
+// all others.
 func (b *Balancer) propagation() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/dsrd/socket.go
+++ b/pkg/dsrd/socket.go
@@ -18,9 +18,10 @@
 const (
 	// maxDatagram is the largest UDP datagram over IPv4, in bytes.
 	maxDatagram = 65507
-	// readBuffer is the receive buffer asked of the kernel, in bytes: about a second of packets of a busy balancer.
+	// readBuffer is the receive buffer requested from the kernel, in bytes: about a second of packets of a busy
+	// balancer.
 	readBuffer = 1 << 20
-	// readPause is the pause after a failed read, so that a broken socket does not take the whole processor.
+	// readPause is the pause after a failed read, so that a broken socket does not use up the processor.
 	readPause = 10 * time.Millisecond
 )
 
@@ -39,12 +40,12 @@
 		return nil, trace.Wrap(err, "listening on UDP %s", address)
 	}
 	if err := c.SetReadBuffer(readBuffer); err != nil {
-		env.Log.Warn().Err(err).Str("op", "listen").Stringer("address", address).Msg("the receive buffer keeps its size")
+		env.Log.Warn().Err(err).Str("op", "listen").Stringer("address", address).Msg("receive buffer could not be enlarged")
 	}
 	return &socket{conn: c, log: env.Log, unsent: env.Scope.Counter("dsr_unsent_datagrams")}, nil
 }
 
-// read hands each datagram to handle until the context ends. The bytes are valid only during the call.
+// read passes each datagram to handle until the context ends. The bytes are valid only during the call.
 func (s *socket) read(ctx context.Context, handle func(from netip.AddrPort, b []byte)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -63,14 +64,13 @@
 	}
 }
 
-// address is where the socket is bound.
 func (s *socket) address() netip.AddrPort {
 	a := s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// write sends a datagram. A lost datagram is repeated by those who need it, so that an error is only counted, and the first
-// of a row is logged.
+// write sends a datagram. Senders repeat lost datagrams that matter, so an error is only counted, and the first of a
+// series is logged.
 func (s *socket) write(to netip.AddrPort, b []byte) {
 	_, err := s.conn.WriteToUDPAddrPort(b, to)
 	if err == nil {
