--- a/pkg/dsr/ownership/from_balancer.go
+++ b/pkg/dsr/ownership/from_balancer.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Forward processes a caller's packet that a balancer forwarded.
+// Forward passes a caller's packet that a balancer sent to the target, or queues, declines or returns it.
 func (t *Table) Forward(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, s segment.Segment) {
 	key := s.CallerKey()
 	stale := m.Configuration < t.configuration
--- a/pkg/dsr/ownership/from_target.go
+++ b/pkg/dsr/ownership/from_target.go
@@ -9,7 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// FromTarget processes a packet that the target sent.
+// FromTarget receives a packet that the target sent: one of its own goes to the caller, one that it returned to the
+// balancer.
 func (t *Table) FromTarget(now time.Time, s segment.Segment) {
 	t.silentSince = time.Time{}
 	if s.Has(segment.Returned) {
@@ -64,7 +65,8 @@
 	}
 }
 
-// receiveReturned processes a packet that the target returned.
+// receiveReturned returns a packet that the target returned to its balancer, or resets the flow for the caller when
+// it was open at the target.
 func (t *Table) receiveReturned(now time.Time, s segment.Segment) {
 	key := s.CallerKey()
 	t.codec.Restore(s.Raw)
