--- a/pkg/dsr/ownership/messages.go
+++ b/pkg/dsr/ownership/messages.go
@@ -89,13 +89,13 @@
 	t.out.ToBalancer(e.origin, &t.msg)
 }
 
-// decline returns a packet to a balancer and reports the decision.
+// decline sends a balancer the verdict on a packet that was not accepted, and reports the decision.
 func (t *Table) decline(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
 	t.reportDecision(now, EventDeclined, key, balancer, m.Configuration, v)
 	t.sendReturned(now, balancer, m, key, v, raw)
 }
 
-// sendReturned returns a packet to a balancer.
+// sendReturned sends a balancer a verdict other than acceptance, with the packet when it has to go elsewhere.
 func (t *Table) sendReturned(now time.Time, balancer netip.AddrPort, m *dsrpb.Message, key flow.Key, v dsrpb.Verdict, raw []byte) {
 	t.startMessage(now, dsrpb.Kind_KIND_RETURNED)
 	t.msg.Flow = m.Flow
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -193,7 +193,7 @@
 			require.NoError(f, f.table.TargetLeft(f.now, announcement.Deregistration{ID: "i-1"}))
 		}, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"leaving agent", func(f *fixture) { f.table.Leave(f.now) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
-		{"silent target", func(f *fixture) { f.now = f.now.Add(4 * time.Second) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
+		{"missed heartbeats", func(f *fixture) { f.now = f.now.Add(4 * time.Second) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_LEAVING},
 		{"balancer with an old configuration", func(f *fixture) { f.table.configuration = 9 }, &dsrpb.Message{Configuration: 8}, dsrpb.Verdict_VERDICT_STALE},
 		{"no free slot", func(f *fixture) { f.accept(1); f.accept(2); f.accept(3) }, &dsrpb.Message{}, dsrpb.Verdict_VERDICT_BUSY},
 	} {
