--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -78,7 +78,7 @@
 func (a *agent) completionTime(now time.Time, typical time.Duration) time.Duration {
 	work := cmp.Or(a.workTime, typical)
 	finish := time.Duration(max(1, a.load(now)) * float64(work))
-	if !a.coldLimit.Holds(now) {
+	if !a.coldLimit.InForce(now) {
 		return finish
 	}
 	ahead := max(0, a.busy-a.slots) + a.offered
@@ -87,7 +87,7 @@
 
 // hasFreeSlot reports whether the target is estimated to have a free slot and, while it is cold, room for a new flow.
 func (a *agent) hasFreeSlot(now time.Time) bool {
-	if a.coldLimit.Holds(now) && a.coldLimitAt(now).Room <= a.offered {
+	if a.coldLimit.InForce(now) && a.coldLimitAt(now).Room <= a.offered {
 		return false
 	}
 	return a.load(now) <= 1
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -75,7 +75,7 @@
 
 // isUsable reports whether the agent accepts new flows and its data centre is not evacuated.
 func (b *Balancer) isUsable(now time.Time, a *agent) bool {
-	return a.canAccept(now) && !b.evacuations.Covers(a.dataCentre)
+	return a.canAccept(now) && !b.evacuations.Contains(a.dataCentre)
 }
 
 // excludesFailing reports whether the failing targets of a service are to be excluded: not when they are the majority,
--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -181,7 +181,7 @@
 	for _, a := range b.services[f.service] {
 		switch {
 		case !a.isAlive(now) || a.state == dsrpb.State_STATE_ABSENT:
-		case b.evacuations.Covers(a.dataCentre):
+		case b.evacuations.Contains(a.dataCentre):
 			reason = refusal.ReasonEvacuated
 		case !regions.Allow(a.region):
 			reason = cmp.Or(reason, refusal.ReasonRegion)
--- a/pkg/dsr/dispatch/search_test.go
+++ b/pkg/dsr/dispatch/search_test.go
@@ -37,7 +37,7 @@
 		f.announceReady(i, "dc-1", 0)
 	}
 	for port := 1; port <= 200; port++ {
-		f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Copy: 2})
+		f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Attempt: 2})
 		m := f.onlySent()
 		require.Equal(t, dsrpb.Kind_KIND_FORWARD, m.kind)
 		require.True(t, m.opens)
--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// toldAnswers is the number of addresses of whose answers balancers are told, those that were served most.
-	toldAnswers = 4
+	// reportedAnswers is the number of addresses whose answers are reported to balancers, those served most.
+	reportedAnswers = 4
 	// maxAnswers bounds the addresses whose answers are kept.
 	maxAnswers = 256
 )
 
-// reply is what is seen of the target's answer to the present request.
+// reply is the observed part of the target's answer to the current request.
 type reply struct {
-	// pending is set while the answer is under way; took is the time until it began.
+	// pending is set while the answer is in progress; took is the time until it began.
 	pending bool
 	took    time.Duration
-	// begin is the number of its first byte, end the one after the last that was seen.
+	// begin is the sequence number of its first byte, end the one after the last byte seen.
 	begin, end uint32
 }
 
-// replying notes the first packet of an answer. Packets may overtake each other, so that its first byte follows the last answer, or the
-// answer to the opening packet where that was seen.
-func (e *entry) replying(now time.Time, s segment.Segment) {
+// startReply records the first packet of an answer. Packets may overtake each other, so the first byte is taken to
+// follow the last answer, or the answer to the opening packet where that was seen.
+func (e *entry) startReply(now time.Time, s segment.Segment) {
 	begin := s.Sequence
 	switch {
 	case e.reply.end != 0:
@@ -41,68 +41,68 @@
 	e.reply = reply{pending: true, took: now.Sub(e.busySince), begin: begin, end: begin}
 }
 
-// sent notes a packet of the answer.
-func (r *reply) sent(s segment.Segment) {
+// extend records a packet of the answer.
+func (r *reply) extend(s segment.Segment) {
 	if end := s.Sequence + uint32(s.Length); r.pending && int32(end-r.end) > 0 {
 		r.end = end
 	}
 }
 
-// replied judges an answer that is whole, since an end closes the flow or the next request comes. One that looks failed beside those of the
-// service's other targets counts as a failure.
-func (t *Table) replied(now time.Time, key flow.Key, e *entry) {
+// finishReply evaluates an answer once it is complete: when an end closes the flow or the next request comes. One
+// that looks failed compared with those of the service's other targets counts as a failure.
+func (t *Table) finishReply(now time.Time, key flow.Key, e *entry) {
 	if !e.reply.pending {
 		return
 	}
 	a := outlier.Response{Time: e.reply.took, Bytes: e.reply.end - e.reply.begin}
 	e.reply.pending = false
 	address := flow.AddrHash(key.Destination)
-	t.keepAnswer(address, a)
-	usual := t.usual[address]
-	failed := a.LooksFailed(usual) && !t.cfg.Without.FailedAnswers
-	if t.noteOutcome(now, failed) {
-		t.judged(now, Judgement{LooksFailed: failed, Answer: a, Usual: usual})
+	t.recordAnswer(address, a)
+	median := t.medianAnswers[address]
+	failed := a.LooksFailed(median) && !t.cfg.Without.FailedAnswers
+	if t.recordOutcome(now, failed) {
+		t.reportHealthChange(now, HealthChange{LooksFailed: failed, Answer: a, Median: median})
 	}
 }
 
-// noteOutcome counts an answered request; it reports whether that changes what the target is taken for.
-func (t *Table) noteOutcome(now time.Time, failed bool) bool {
+// recordOutcome counts an answered request; it reports whether that changes the outlier state of the target.
+func (t *Table) recordOutcome(now time.Time, failed bool) bool {
 	if failed {
 		return t.outcomes.RecordFailure(now)
 	}
 	return t.outcomes.RecordSuccess(now)
 }
 
-func (t *Table) keepAnswer(address uint32, a outlier.Response) {
-	l := t.answers[address]
+func (t *Table) recordAnswer(address uint32, a outlier.Response) {
+	l := t.minAnswers[address]
 	if l == nil {
-		if len(t.answers) >= maxAnswers {
-			clear(t.answers)
+		if len(t.minAnswers) >= maxAnswers {
+			clear(t.minAnswers)
 		}
 		l = new(outlier.ResponseWindow)
-		t.answers[address] = l
+		t.minAnswers[address] = l
 	}
 	l.Add(a)
 }
 
-// Usual takes the least answers of the median target, as a balancer says.
-func (t *Table) Usual(answers []*dsrpb.Answer) {
-	if len(t.usual) > maxAnswers {
-		clear(t.usual)
+// SetMedianAnswers sets the minimum answers of the median target, as a balancer reports them.
+func (t *Table) SetMedianAnswers(answers []*dsrpb.Answer) {
+	if len(t.medianAnswers) > maxAnswers {
+		clear(t.medianAnswers)
 	}
 	for _, a := range answers {
-		t.usual[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
+		t.medianAnswers[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
 	}
 }
 
-// toldLeast are the least answers for the addresses that the target served most.
-func (t *Table) toldLeast() []*dsrpb.Answer {
-	most := slices.SortedFunc(maps.Keys(t.answers), func(x, y uint32) int {
-		return cmp.Or(cmp.Compare(t.answers[y].Count(), t.answers[x].Count()), cmp.Compare(x, y))
+// reportedMinAnswers are the minimum answers for the addresses that the target served most.
+func (t *Table) reportedMinAnswers() []*dsrpb.Answer {
+	most := slices.SortedFunc(maps.Keys(t.minAnswers), func(x, y uint32) int {
+		return cmp.Or(cmp.Compare(t.minAnswers[y].Count(), t.minAnswers[x].Count()), cmp.Compare(x, y))
 	})
 	var out []*dsrpb.Answer
-	for _, address := range most[:min(len(most), toldAnswers)] {
-		if least, known := t.answers[address].Minimum(); known {
+	for _, address := range most[:min(len(most), reportedAnswers)] {
+		if least, known := t.minAnswers[address].Minimum(); known {
 			out = append(out, &dsrpb.Answer{
 				Address:    address,
 				LeastUs:    uint32(least.Time / time.Microsecond),
--- /dev/null
+++ b/pkg/dsr/ownership/incarnation.go
@@ -0,0 +1,110 @@
+package ownership
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/auburnwood/auburnwood/pkg/dsr/announcement"
+	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
+	"github.com/auburnwood/auburnwood/pkg/dsr/estimate"
+	"github.com/auburnwood/auburnwood/pkg/dsr/outlier"
+	"github.com/auburnwood/auburnwood/pkg/flow"
+)
+
+// Announce applies a heartbeat of the target. It reports whether the balancers should be notified at once. The error
+// is an *announcement.Rejection: the heartbeat has changed nothing.
+func (t *Table) Announce(now time.Time, a announcement.Announcement) (bool, error) {
+	if a.Service != t.cfg.Service {
+		return false, &announcement.Rejection{Reason: announcement.WrongService}
+	}
+	if t.cfg.Target.IsValid() && a.Address.IsValid() && a.Address != t.cfg.Target {
+		return false, &announcement.Rejection{Reason: announcement.WrongAddress}
+	}
+	before := t.State(now)
+	last := t.target
+	n, err := t.target.receive(now, a, t.silence())
+	if err != nil || n == outdated {
+		return false, err
+	}
+	if n == newIncarnation && last.last.ID != "" {
+		t.recordIncarnationEnd(now, last)
+		t.discardIncarnation(now)
+	}
+	t.returnQueuedUnlessReady(now)
+	return n == newIncarnation || before != t.State(now), nil
+}
+
+// silence is how long a target may send no heartbeat until it counts as absent.
+func (t *Table) silence() time.Duration { return MissedHeartbeats * t.cfg.HeartbeatInterval }
+
+// Probed records a target's answer to a health check that it is ready, when the agent has not received its heartbeat
+// yet. The number of slots is then assumed. It reports whether the balancers should be notified.
+func (t *Table) Probed(now time.Time, id string, startedMs uint64) bool {
+	if t.target.known {
+		return false
+	}
+	notify, err := t.Announce(now, announcement.Announcement{ID: id, StartedMs: startedMs, Service: t.cfg.Service, Slots: AssumedSlots})
+	return notify && err == nil
+}
+
+// TargetLeft applies the deregistration of a target's process. The error is an *announcement.Rejection.
+func (t *Table) TargetLeft(now time.Time, f announcement.Deregistration) error {
+	if err := t.target.deregister(f); err != nil {
+		return err
+	}
+	t.returnQueuedUnlessReady(now)
+	return nil
+}
+
+// TargetIncarnation describes the current incarnation of the target, for operators.
+func (t *Table) TargetIncarnation() TargetIncarnation {
+	return TargetIncarnation{
+		ID:        t.target.last.ID,
+		StartedMs: t.target.last.StartedMs,
+		FirstSeen: t.target.firstSeen,
+		Sequence:  t.target.last.Sequence,
+		Slots:     t.target.last.Slots,
+	}
+}
+
+// TargetIncarnation is one process of a target.
+type TargetIncarnation struct {
+	ID string
+	// StartedMs is its start in Unix milliseconds, 0 when it does not report one.
+	StartedMs uint64
+	// FirstSeen is when the agent first saw it; Sequence is the number of its last announcement.
+	FirstSeen time.Time
+	Sequence  uint64
+	Slots     int
+}
+
+// discardIncarnation removes what belonged to the target's last incarnation. Queued flows are offered to the new one.
+//
+// A caller whose request the last incarnation was working on would wait until its timeout for an answer that cannot
+// come. Its request is sent to the target again: a process that does not hold the flow returns it, and the caller is
+// reset at once. Resetting these flows directly would be wrong, since the new incarnation may have accepted some
+// before its first report.
+func (t *Table) discardIncarnation(now time.Time) {
+	t.silentSince, t.meanWork, t.outcomes = time.Time{}, estimate.Mean{}, outlier.Detector{}
+	clear(t.notHeld)
+	clear(t.served)
+	clear(t.minAnswers)
+	for key, e := range t.flows {
+		switch {
+		case e.phase == offered:
+			t.drop(key, e)
+			t.decline(now, e.origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_SILENT, nil)
+		case e.phase == open && e.request != nil:
+			e.requestResent = true
+			t.out.ToTarget(e.request)
+		}
+	}
+	t.offerQueued(now)
+}
+
+// notifyReset tells the balancer that a flow was reset, for its records.
+func (t *Table) notifyReset(now time.Time, origin netip.AddrPort, key flow.Key) {
+	if origin.IsValid() {
+		t.sendReturned(now, origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_RESET, nil)
+	}
+}
--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// agentOutput carries an agent's decisions out; it runs under the agent's lock.
+// agentOutput carries out an agent's decisions; it runs under the agent's lock.
 type agentOutput struct {
 	a         *Agent
 	toTarget  tally.Counter
@@ -24,7 +24,7 @@
 	decisions map[decisionKey]tally.Counter
 }
 
-// decisionKey tells the counters of decisions apart.
+// decisionKey identifies a counter of decisions.
 type decisionKey struct {
 	event   ownership.Event
 	verdict dsrpb.Verdict
@@ -70,21 +70,21 @@
 	o.a.log.Info().Str("op", string(d.Event)).Uint64("flow", d.Hash).Stringer("caller", d.Key.Source).
 		Stringer("destination", d.Key.Destination).Str("service", o.a.cfg.Service).Str("verdict", d.Verdict.String()).
 		Int("busy", d.Busy).Int("slots", d.Slots).Float64("cold_per_second", d.ColdPerSecond).Stringer("balancer", d.Balancer).
-		Uint64("configuration", configuration.ShownVersion(d.Configuration)).Msg("flow")
+		Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow")
 }
 
-// Judged implements ownership.Output.
-func (o *agentOutput) Judged(j ownership.Judgement) {
+// HealthChanged implements ownership.Output.
+func (o *agentOutput) HealthChanged(j ownership.HealthChange) {
 	line := o.a.log.Warn().Str("op", "target-judged").Stringer("state", j.State).Int("failures_of_20", j.Failures).
-		Dur("pace_ms", j.Pace).Int("busy", j.Busy)
+		Dur("pace_ms", j.WorkTime).Int("busy", j.Busy)
 	if j.LooksFailed {
 		line = line.Dur("answer_ms", j.Answer.Time).Uint32("answer_bytes", j.Answer.Bytes).
-			Dur("usual_ms", j.Usual.Time).Uint32("usual_bytes", j.Usual.Bytes)
+			Dur("usual_ms", j.Median.Time).Uint32("usual_bytes", j.Median.Bytes)
 	}
 	if !j.Until.IsZero() {
 		line = line.Dur("rest_ms", time.Until(j.Until))
 	}
-	line.Msg("the target's failures were judged")
+	line.Msg("outlier state of the target changed")
 	o.a.balancers.MakeAllDue()
 }
 
@@ -102,25 +102,26 @@
 type agentStatus struct {
 	Ready  string `json:"ready"`
 	Target string `json:"target"`
-	// TargetName, Born (Unix milliseconds), Since and Sequence tell which life of the target is believed in.
+	// TargetName, Born (Unix milliseconds), Since and Sequence identify the target's current incarnation.
 	TargetName string    `json:"targetName"`
 	Born       uint64    `json:"born"`
 	Since      time.Time `json:"since"`
 	Sequence   uint64    `json:"lastSequence"`
-	// Rejected counts the reports that were turned down, by reason.
+	// Rejected counts the rejected reports by reason.
 	Rejected        map[announcement.Reason]uint64 `json:"rejectedReports"`
 	Busy            int                            `json:"busy"`
 	Flows           int                            `json:"flows"`
 	Configuration   uint64                         `json:"configuration"`
 	LivingBalancers int                            `json:"livingBalancers"`
-	// Evacuated is set while the agent's data centre takes no new flows; Unfinished flows had a packet lately and have not ended.
+	// Evacuated is set while the agent's data centre takes no new flows; Unfinished flows had a packet lately and
+	// have not ended.
 	Evacuated  bool `json:"evacuated"`
 	Unfinished int  `json:"unfinished"`
-	// ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is warm.
+	// ColdPerSecond is the number of new flows that the target takes in any second while it is cold; 0 when it is
+	// warm.
 	ColdPerSecond float64 `json:"coldPerSecond"`
 }
 
-// status describes the agent.
 func (a *Agent) status() any {
 	s := agentStatus{Ready: "yes"}
 	if err := a.ready(); err != nil {
@@ -130,10 +131,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.Target = a.table.State(now).String()
-	life := a.table.Life()
-	s.TargetName, s.Born, s.Since, s.Sequence = life.ID, life.Born, life.Since, life.Sequence
+	life := a.table.TargetIncarnation()
+	s.TargetName, s.Born, s.Since, s.Sequence = life.ID, life.StartedMs, life.FirstSeen, life.Sequence
 	s.Rejected = maps.Clone(a.rejections)
-	s.Busy, s.Flows, s.Configuration = a.table.Busy(), a.table.Flows(), configuration.ShownVersion(a.table.Configuration())
+	s.Busy, s.Flows, s.Configuration = a.table.Busy(), a.table.Flows(), configuration.DisplayVersion(a.table.Configuration())
 	s.LivingBalancers = len(a.balancers.Living(now))
 	s.Evacuated, s.Unfinished = a.table.Evacuated(), a.table.Unfinished(now, unfinishedWithin)
 	s.ColdPerSecond = a.table.ColdPerSecond(now)
--- a/pkg/dsrd/evacuations_test.go
+++ b/pkg/dsrd/evacuation_reader_test.go
@@ -15,7 +15,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/evacuation"
 )
 
-// evacuationFixture reads evacuations from a stand-in of the object API and keeps the last set of the highest version, as a balancer does.
+// evacuationFixture reads evacuations from a fake object API and keeps the set of the highest version, as a balancer
+// does.
 type evacuationFixture struct {
 	*testing.T
 	store *store.Store
@@ -27,7 +28,7 @@
 // newEvacuationFixture must be called in a synctest bubble.
 func newEvacuationFixture(t *testing.T) *evacuationFixture {
 	f := &evacuationFixture{T: t, store: store.New(store.Config{WatchWait: EvacuationWait, History: 8}), watch: true}
-	e := &evacuations{store: f.store, kind: evacuation.Kind, log: zerolog.Nop(), wanted: f.wanted, known: f.inForce, adopt: f.adopt}
+	e := &evacuationReader{store: f.store, kind: evacuation.Kind, log: zerolog.Nop(), wanted: f.shouldRead, known: f.inForce, adopt: f.adopt}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -41,7 +42,7 @@
 	return f
 }
 
-func (f *evacuationFixture) wanted() bool {
+func (f *evacuationFixture) shouldRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watch || !f.set.Known()
@@ -61,7 +62,7 @@
 	return f.set
 }
 
-func (f *evacuationFixture) known() []string { return f.inForce().DataCentres }
+func (f *evacuationFixture) dataCentres() []string { return f.inForce().DataCentres }
 
 func (f *evacuationFixture) setWatch(on bool) {
 	f.mu.Lock()
@@ -79,13 +80,13 @@
 	require.NoError(f, f.store.Delete(f.Context(), evacuation.Kind, dataCentre, version))
 }
 
-// pass lets time go by, and what is under way come to rest.
+// pass advances the time and waits until all goroutines are blocked.
 func (f *evacuationFixture) pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// evacuationBound is the time within which a declaration is in force.
+// evacuationBound is the time within which a declaration must be in force.
 const evacuationBound = time.Second
 
 func TestEvacuationsAreReadWhateverTheStoreDoes(t *testing.T) {
@@ -97,7 +98,7 @@
 		{"nothing fails", nil, nil},
 		{"slow", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Latency: 240 * time.Millisecond}) }, nil},
 		{"events are repeated", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Duplicate: 4}) }, nil},
-		{"history is forgotten", nil, func(f *evacuationFixture) { f.store.CutHistory() }},
+		{"history expires", nil, func(f *evacuationFixture) { f.store.CutHistory() }},
 		{"a short outage follows", nil, func(f *evacuationFixture) {
 			f.store.SetFaults(store.Faults{Outage: true})
 			f.pass(300 * time.Millisecond)
@@ -121,39 +122,39 @@
 					c.after(f)
 				}
 				f.pass(evacuationBound)
-				require.Equal(t, []string{"marka", "zarqa"}, f.known())
+				require.Equal(t, []string{"marka", "zarqa"}, f.dataCentres())
 				f.withdraw("marka", marka)
 				if c.after != nil {
 					c.after(f)
 				}
 				f.pass(evacuationBound)
-				require.Equal(t, []string{"zarqa"}, f.known())
+				require.Equal(t, []string{"zarqa"}, f.dataCentres())
 				f.pass(5 * time.Second)
-				require.Equal(t, []string{"zarqa"}, f.known(), "a withdrawn evacuation does not come back")
+				require.Equal(t, []string{"zarqa"}, f.dataCentres(), "a withdrawn evacuation does not come back")
 			})
 		})
 	}
 }
 
-// Until it knows the evacuations, a balancer asks; from then on only one that watches for others does.
+// A balancer reads until it knows the evacuations; from then on only one that watches for others does.
 func TestOnlyTheWatcherReadsEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.declare("marka")
 		f.setWatch(false)
 		f.pass(time.Second)
-		require.Equal(t, []string{"marka"}, f.known())
+		require.Equal(t, []string{"marka"}, f.dataCentres())
 		before := f.store.Counts()
 		f.pass(10 * time.Second)
 		require.Equal(t, before.Reads(), f.store.Counts().Reads())
 		f.setWatch(true)
 		f.pass(10 * time.Second)
 		require.LessOrEqual(t, f.store.Counts().Reads()-before.Reads(), uint64(1+(10*time.Second+EvacuationWait-1)/EvacuationWait),
-			"one call at the start, and one for each wait that begins")
+			"one call at the start, and one for each watch")
 	})
 }
 
-func TestAnEvacuationThatTheObjectAPIHasLostStaysUntilItIsWrittenAgain(t *testing.T) {
+func TestALostEvacuationStaysUntilItIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.pass(time.Second)
@@ -163,11 +164,11 @@
 		f.store.Restore(older)
 		for range 17 {
 			f.pass(100 * time.Millisecond)
-			require.Equal(t, []string{"marka"}, f.known())
+			require.Equal(t, []string{"marka"}, f.dataCentres())
 		}
 		f.declare("marka")
 		f.pass(10 * time.Second)
-		require.Equal(t, []string{"marka"}, f.known())
+		require.Equal(t, []string{"marka"}, f.dataCentres())
 	})
 }
 
@@ -183,16 +184,16 @@
 		f.pass(500 * time.Millisecond)
 		sahab := f.declare("sahab")
 		f.pass(evacuationBound)
-		require.Equal(t, []string{"marka", "sahab", "zarqa"}, f.known())
+		require.Equal(t, []string{"marka", "sahab", "zarqa"}, f.dataCentres())
 		f.declare("marka")
 		f.pass(50 * time.Millisecond)
 		f.withdraw("sahab", sahab)
 		f.pass(50 * time.Millisecond)
-		require.Equal(t, []string{"marka", "zarqa"}, f.known(), "nothing is lost any more")
+		require.Equal(t, []string{"marka", "zarqa"}, f.dataCentres(), "nothing is lost any more")
 	})
 }
 
-func TestAnEvacuationThatNobodyWritesAgainEnds(t *testing.T) {
+func TestALostEvacuationThatIsNotRewrittenEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.declare("zarqa")
@@ -202,10 +203,10 @@
 		f.pass(time.Second)
 		f.store.Restore(older)
 		f.pass(5 * time.Second)
-		require.Equal(t, []string{"zarqa"}, f.known())
+		require.Equal(t, []string{"zarqa"}, f.dataCentres())
 		f.declare("sahab")
 		f.pass(evacuationBound)
-		require.Equal(t, []string{"sahab", "zarqa"}, f.known())
+		require.Equal(t, []string{"sahab", "zarqa"}, f.dataCentres())
 	})
 }
 
@@ -219,24 +220,24 @@
 		f.pass(time.Second)
 		f.store.Restore(older, evacuation.Kind)
 		f.pass(evacuationBound)
-		require.Empty(t, f.known())
+		require.Empty(t, f.dataCentres())
 	})
 }
 
 func TestABalancerReadsEvacuationsWhileAnOlderReleaseWatchesThem(t *testing.T) {
 	b := testBalancer(t)
 	b.eras.See(1)
-	b.evacuate(evacuation.NewSet(store.Version(1, 9), nil))
+	b.applyReadEvacuations(evacuation.NewSet(store.Version(1, 9), nil))
 	require.False(t, b.readsEvacuations(), "another balancer watches")
 	now := time.Now()
 	b.mu.Lock()
-	b.hearEvacuations(now, &dsrpb.Evacuations{Version: store.Version(1, 12), DataCentres: []string{"marka"}})
+	b.receiveEvacuations(now, &dsrpb.Evacuations{Version: store.Version(1, 12), DataCentres: []string{"marka"}})
 	b.mu.Unlock()
 	require.False(t, b.readsEvacuations())
 	require.Equal(t, []string{"marka"}, b.knownEvacuations().DataCentres)
 	b.mu.Lock()
-	b.hearEvacuations(now, &dsrpb.Evacuations{Version: 900})
+	b.receiveEvacuations(now, &dsrpb.Evacuations{Version: 900})
 	b.mu.Unlock()
-	require.True(t, b.readsEvacuations(), "its word has no era")
+	require.True(t, b.readsEvacuations(), "its report has no era")
 	require.Equal(t, []string{"marka"}, b.knownEvacuations().DataCentres)
 }
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -21,7 +21,7 @@
 
 var messagesEnv = telemetry.Env{Log: zerolog.Nop(), Scope: tally.NoopScope}
 
-// listener is another process, which keeps what it is sent until the test looks.
+// listener is another process, whose received messages are kept until the test reads them.
 type listener struct {
 	*testing.T
 	conn *net.UDPConn
@@ -36,7 +36,8 @@
 
 func (l *listener) address() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// received returns the messages that have come. On loopback a message is there when its sender's call has returned.
+// received returns the messages that have arrived. On loopback a message has arrived when its sender's call has
+// returned.
 func (l *listener) received() []*dsrpb.Message {
 	var out []*dsrpb.Message
 	b := make([]byte, maxDatagram)
@@ -52,7 +53,7 @@
 	}
 }
 
-// testNode is what the daemons have in common, with a socket for messages only.
+// testNode is the common part of the daemons, with a socket for messages only.
 func testNode(t *testing.T) *node {
 	s, err := listenUDP(netip.MustParseAddrPort("127.0.0.1:0"), messagesEnv)
 	require.NoError(t, err)
@@ -61,16 +62,16 @@
 }
 
 func testBalancer(t *testing.T) *Balancer {
-	b := &Balancer{node: testNode(t), welcomed: make(map[netip.AddrPort]time.Time), readers: make(map[netip.AddrPort]uint32)}
+	b := &Balancer{node: testNode(t), lastWelcome: make(map[netip.AddrPort]time.Time), readCapacity: make(map[netip.AddrPort]uint32)}
 	b.out = newBalancerOutput(b)
 	b.core = dispatch.NewBalancer(dispatch.Config{}, dsrtest.Codec{}, b.out, b.started)
-	b.keeper = newKeeper(Platform{}, zerolog.Nop())
-	b.namedEras = objectapi.NewEras()
+	b.configSync = newConfigSync(Platform{}, zerolog.Nop())
+	b.reportedEras = objectapi.NewEras()
 	return b
 }
 
-// strangers are the addresses of processes that do not run.
-func strangers(n int) []netip.AddrPort {
+// unreachable are the addresses of processes that do not run.
+func unreachable(n int) []netip.AddrPort {
 	out := make([]netip.AddrPort, n)
 	for i := range out {
 		out[i] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 9)
@@ -78,7 +79,7 @@
 	return out
 }
 
-func TestAnAgentTellsOnlyBalancersThatItDidNotKnow(t *testing.T) {
+func TestAnAgentAnnouncesItselfOnlyToNewBalancers(t *testing.T) {
 	known, fresh := newListener(t), newListener(t)
 	a := &Agent{node: testNode(t)}
 	a.table = ownership.NewTable(ownership.Config{}, dsrtest.Codec{}, nil, a.started)
@@ -86,25 +87,25 @@
 	a.balancers.MarkSeen(now, known.address())
 	a.announceDue(now)
 	require.Len(t, known.received(), 1)
-	a.welcomed(now, known.address(), &dsrpb.Roster{Balancers: encodeAddresses([]netip.AddrPort{known.address(), fresh.address()})})
+	a.receiveWelcome(now, known.address(), &dsrpb.Roster{Balancers: encodeAddresses([]netip.AddrPort{known.address(), fresh.address()})})
 	require.Empty(t, known.received())
 	require.Len(t, fresh.received(), 1)
 }
 
-// A balancer that does not say when it speaks next is taken for gone after a second.
-func TestEveryMessageOfABalancerSaysWhenTheNextOneComes(t *testing.T) {
+// A balancer that does not say when it sends its next message counts as silent after a second.
+func TestEveryMessageNamesTheNextInterval(t *testing.T) {
 	peer := newListener(t)
 	b := testBalancer(t)
 	now := b.started
 	b.balancers.MarkSeen(now, peer.address())
-	for _, a := range strangers(58) {
+	for _, a := range unreachable(58) {
 		b.balancers.MarkSeen(now, a)
 	}
-	b.agents.MarkSeen(now, strangers(1)[0])
+	b.agents.MarkSeen(now, unreachable(1)[0])
 	interval := uint32(b.balancers.IntervalTo(peer.address()) / time.Millisecond)
 	require.Greater(t, interval, uint32(roster.MinInterval/time.Millisecond))
-	b.tellAgents(now, peer.address())
-	b.tell(now, []netip.AddrPort{peer.address()}, b.gossipMessage(1, 0, true))
+	b.sendAgents(now, peer.address())
+	b.sendGossip(now, []netip.AddrPort{peer.address()}, b.gossipMessage(1, 0, true))
 	sent := peer.received()
 	require.Len(t, sent, 2)
 	for _, m := range sent {
@@ -112,14 +113,14 @@
 	}
 }
 
-func TestAStartingBalancerHearsOfEveryAgent(t *testing.T) {
+func TestAStartingBalancerReceivesEveryAgent(t *testing.T) {
 	peer := newListener(t)
 	b := testBalancer(t)
-	agents := strangers(400)
+	agents := unreachable(400)
 	for _, a := range agents {
 		b.agents.MarkSeen(b.started, a)
 	}
-	b.tellAgents(b.started, peer.address())
+	b.sendAgents(b.started, peer.address())
 	var named []netip.AddrPort
 	for _, m := range peer.received() {
 		named = append(named, decodeAddresses(m.Roster.Agents)...)
@@ -127,34 +128,34 @@
 	require.ElementsMatch(t, agents, named)
 }
 
-func TestWhatIsKeptOfProcessesIsForgottenWithThem(t *testing.T) {
+func TestStateOfEvictedProcessesIsRemoved(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
-	for _, a := range strangers(100) {
+	for _, a := range unreachable(100) {
 		b.agents.MarkSeen(now, a)
-		b.welcomed[a] = now
+		b.lastWelcome[a] = now
 		b.balancers.MarkSeen(now, a)
-		b.readers[a] = 1
+		b.readCapacity[a] = 1
 	}
 	later := now.Add(roster.ExpireAfter + time.Second)
 	b.balancers.Due(later)
-	b.forget(later)
-	require.Empty(t, b.welcomed)
-	require.Empty(t, b.readers)
+	b.evict(later)
+	require.Empty(t, b.lastWelcome)
+	require.Empty(t, b.readCapacity)
 	require.Zero(t, b.agents.Len())
 }
 
-// udpHeader is the size of the headers of UDP and IPv4, in bytes.
+// udpHeader is the size of the UDP and IPv4 headers, in bytes.
 const udpHeader = 28
 
-// The users' bound for the control traffic of a daemon is 12 kB a second, at 490 balancers and 3,300 agents.
+// The control traffic of a daemon must stay below 12 kB a second, at 490 balancers and 3,300 agents.
 func TestControlTrafficOfABalancerIsBounded(t *testing.T) {
 	b := testBalancer(t)
 	now := b.started
-	for _, a := range strangers(490) {
+	for _, a := range unreachable(490) {
 		b.balancers.MarkSeen(now, a)
 	}
-	for _, a := range strangers(3300) {
+	for _, a := range unreachable(3300) {
 		b.agents.MarkSeen(now, a)
 	}
 	size := func(m *dsrpb.Message) float64 { return float64(m.SizeVT() + udpHeader) }
@@ -171,7 +172,7 @@
 	announced.Announcement.Answers = answers
 	welcome := b.welcomeMessage(now, "")
 	welcome.Configuration, welcome.Evacuations = 1<<30, evacuated
-	welcome.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, namedPeers))
+	welcome.Roster.Balancers = encodeAddresses(b.balancers.Sample(now, gossipedPeers))
 	welcome.Roster.Usual = answers
 	gossip := b.gossipMessage(1<<30, time.Second, true)
 	gossip.Evacuations = evacuated
@@ -185,7 +186,7 @@
 	)
 	agents := float64(b.agents.Len())
 	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
-	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(strangers(1)[0]).Seconds() / early
+	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(unreachable(1)[0]).Seconds() / early
 	perSecond := heard*size(announced) + heard/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
 	require.LessOrEqual(t, perSecond, 12_000.0)
 	t.Logf("%.0f bytes a second: announcements of %.0f bytes, answers of %.0f, gossip of %.0f", perSecond, size(announced), size(welcome), size(gossip))
--- a/pkg/dsrd/node.go
+++ b/pkg/dsrd/node.go
@@ -19,10 +19,10 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// tellInterval is the time between two looks at which processes are to be told of this one; the roster says how often each is.
-const tellInterval = roster.EagerInterval
+// sendInterval is how often it is tested which processes are due a message; the roster sets the interval of each.
+const sendInterval = roster.EagerInterval
 
-// node is what the daemons have in common.
+// node is the common part of the daemons.
 type node struct {
 	cfg      settings.DSRProcess
 	platform Platform
@@ -33,20 +33,20 @@
 	self        netip.AddrPort
 	messagePort uint16
 	callerPort  uint16
-	// packets is the socket for packets to callers, messages that for other daemons.
+	// packets is the socket for packets to callers, messages the one for other daemons.
 	packets  *socket
 	messages *socket
 	alarm    *alarm
 	// eras are those of the object API.
 	eras *objectapi.Eras
-	// life ends when Run returns or Close is called.
-	life context.Context
-	end  context.CancelFunc
+	// ctx ends when Run returns or Close is called.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	// mu guards everything below and the decisions of the daemon.
 	mu        sync.Mutex
 	balancers roster.Peers
-	// regained are the balancers that were heard of again since the last look.
+	// regained are the balancers that were seen again since the last log.
 	regained []netip.AddrPort
 	stopping bool
 	buffer   []byte
@@ -75,20 +75,20 @@
 		n.eras = objectapi.NewEras()
 	}
 	n.balancers.Seed = uint64(n.started.UnixNano())
-	n.life, n.end = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n, nil
 }
 
-// Close ends the daemon at once: it does not leave, and nobody is told.
-func (n *node) Close() { n.end() }
+// Close stops the daemon at once, without draining or notifying others.
+func (n *node) Close() { n.cancel() }
 
-// seeds are the message addresses of the balancers that the settings name.
+// seeds are the message addresses of the balancers in the settings.
 func (n *node) seeds() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, text := range n.cfg.Seeds {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			n.log.Warn().Err(err).Str("op", "start").Str("seed", text).Msg("a seed is no address")
+			n.log.Warn().Err(err).Str("op", "start").Str("seed", text).Msg("seed is not a valid address")
 			continue
 		}
 		out = append(out, netip.AddrPortFrom(a.Addr(), n.messagePort))
@@ -96,11 +96,11 @@
 	return out
 }
 
-// milliseconds reads a time of a message.
+// milliseconds converts a duration of a message.
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// know adds balancers by hearsay; it reports whether one is new. n.mu is held.
-func (n *node) know(now time.Time, addresses []netip.AddrPort) bool {
+// addBalancers adds balancers that others have named; it reports whether one is new. n.mu is held.
+func (n *node) addBalancers(now time.Time, addresses []netip.AddrPort) bool {
 	added := false
 	for _, a := range addresses {
 		if a.IsValid() && a != n.self && n.balancers.Add(now, a) {
@@ -110,8 +110,8 @@
 	return added
 }
 
-// noteRegained keeps a balancer that was heard of again for the log. n.mu is held.
-func (n *node) noteRegained(a netip.AddrPort) { n.regained = append(n.regained, a) }
+// recordRegained records for the log that a balancer was seen again. n.mu is held.
+func (n *node) recordRegained(a netip.AddrPort) { n.regained = append(n.regained, a) }
 
 // logBalancers logs which balancers were lost and regained since the last call. n.mu is held.
 func (n *node) logBalancers(now time.Time) {
@@ -130,7 +130,7 @@
 	n.messages.write(to, n.buffer[:size])
 }
 
-// reset sends the packet that ends a flow to its caller. n.mu is held.
+// reset sends a packet that resets a flow to its caller. n.mu is held.
 func (n *node) reset(key flow.Key, sequence uint32) {
 	n.toCaller(key, n.platform.Codec.Reset(key, sequence))
 }
@@ -140,7 +140,7 @@
 	n.packets.write(netip.AddrPortFrom(key.Source.Addr(), n.callerPort), raw)
 }
 
-// every calls f at each interval until the context ends.
+// every calls f at once and then at each interval until the context ends.
 func every(ctx context.Context, interval time.Duration, f func(now time.Time)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/pkg/dsrd/peer_changes_test.go
+++ b/pkg/dsrd/peer_changes_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every process meets every other when all start: a line for each would be one for each pair.
+// Every process sees every other for the first time when all start: a line for each would be one for each pair.
 func TestManyChangesOfPeersAreOneLine(t *testing.T) {
 	var peers []netip.AddrPort
 	for i := range 490 {
@@ -21,7 +21,7 @@
 		agentRegained.log(zerolog.New(&out), peers[:n])
 		return strings.Split(strings.TrimSpace(out.String()), "\n")
 	}
-	require.Len(t, lines(changeLines), changeLines)
+	require.Len(t, lines(maxChangeLines), maxChangeLines)
 	require.Contains(t, lines(1)[0], `"op":"agent-regained","peer":"10.1.0.0:7720"`)
 	all := lines(490)
 	require.Len(t, all, 1)
