--- a/pkg/agent/accept.go
+++ b/pkg/agent/accept.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// acceptTCP serves one opening segment that the arbiter let pass, in its own goroutine.
+// acceptTCP serves the flow of one opening segment that the arbiter delivered; each call runs in its own goroutine.
 func (a *Agent) acceptTCP(in netstack.Accepted) {
 	f := a.registry.get(in.Key.Hash())
 	s := a.service.Load()
@@ -30,7 +30,7 @@
 	st.serveBytes(in)
 }
 
-// acceptUDP serves a new UDP flow; it runs within Inject.
+// acceptUDP starts serving a new UDP flow. It is called by Inject and doesn't block.
 func (a *Agent) acceptUDP(key flow.Key, conn net.Conn) {
 	f := a.registry.get(key.Hash())
 	s := a.service.Load()
@@ -50,7 +50,7 @@
 	}()
 }
 
-// begin counts a goroutine that serves a flow; it returns false when the agent has ended.
+// begin registers a goroutine that serves a flow with a.flows; it returns false when the agent has been killed.
 func (a *Agent) begin() bool {
 	a.flowsMu.Lock()
 	defer a.flowsMu.Unlock()
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -95,12 +95,12 @@
 // OpenFlows returns the number of flows that the agent owns and that have not ended.
 func (a *Agent) OpenFlows() int { return a.registry.open() }
 
-// SetService adopts a snapshot of the agent's service; nil means that there is none. A service other than the one that
-// the target announced is refused and leaves the agent without one.
+// SetService applies a snapshot of the agent's service; nil removes the service. A service other than the one that the
+// target announced is rejected and leaves the agent without a service.
 func (a *Agent) SetService(s *view.Service) {
 	if s != nil && !a.isAnnounced(s) {
 		a.metrics.viewRefused.Inc(1)
-		a.deps.Log.Warn().Str("op", "set-service").Str("service", s.Name).Str("reason", "not what the target announced").Send()
+		a.deps.Log.Warn().Str("op", "set-service").Str("service", s.Name).Str("reason", "target announced another service").Send()
 		s = nil
 	}
 	now := a.deps.Now()
@@ -108,14 +108,14 @@
 	if s == nil {
 		a.service.Store(nil)
 	}
-	// The arbiter has the view before a packet is let through by it, since without a view it can't place a flow.
+	// The arbiter gets the view before the packet path does, since it can't place a flow without a view.
 	messages := a.arbiter.SetService(now, s)
 	a.service.Store(newService(s))
 	a.sendAll(messages)
-	a.hearHeld(now)
+	a.handleHeld(now)
 }
 
-// SetAnnounced changes the service name that the target announced.
+// SetAnnounced replaces the service name that the target announced; the next SetService checks against it.
 func (a *Agent) SetAnnounced(name string) { a.announced.Store(&name) }
 
 func (a *Agent) isAnnounced(s *view.Service) bool {
@@ -129,8 +129,8 @@
 	return s.Name == name
 }
 
-// Run handles packets until ctx ends or the agent is killed. It closes the agent's sockets and connections; call Drain
-// before to end flows gracefully.
+// Run handles packets until ctx ends or the agent is killed, then closes the agent's sockets and connections. Call
+// Drain first to end flows gracefully.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.Kill()
 	stop := context.AfterFunc(ctx, a.Kill)
@@ -147,7 +147,7 @@
 	return trace.Wrap(err)
 }
 
-// Kill closes every socket and connection at once and sends nothing to callers, as if the VM were gone.
+// Kill closes every socket and connection immediately and sends nothing to callers, as a crash of the VM would.
 func (a *Agent) Kill() {
 	a.stop.Do(func() {
 		a.flowsMu.Lock()
@@ -167,7 +167,7 @@
 }
 
 func (a *Agent) tick() error {
-	t := time.NewTicker(tickTime)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -181,7 +181,8 @@
 	}
 }
 
-// reap ends placed flows that never got a connection, silences flows that another agent owns, and forgets ended ones.
+// reap ends placed flows that never got a connection, cuts flows that another agent owns, and removes flows whose
+// retention is over.
 func (a *Agent) reap(now time.Time) {
 	late, lost := a.registry.reap(now, a.arbiter.Owns)
 	for _, f := range late {
@@ -194,7 +195,7 @@
 	a.metrics.openFlows.Update(float64(a.registry.open()))
 }
 
-// end tells the arbiter once that a flow is over.
+// end marks a flow as ended and reports that to the arbiter once.
 func (a *Agent) end(f *openFlow) {
 	if !f.end(a.deps.Now()) {
 		return
--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -21,14 +21,14 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-func content(n int, seed byte) []byte {
+func randomBytes(n int, seed byte) []byte {
 	b := make([]byte, n)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(b)
 	return b
 }
 
 func TestHTTPThroughTwoAgents(t *testing.T) {
-	want := content(1<<20, 1)
+	want := randomBytes(1<<20, 1)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got, _ := io.ReadAll(r.Body)
 		if !bytes.Equal(got, want) {
@@ -40,7 +40,7 @@
 	one, two := httptest.NewServer(handler), httptest.NewServer(handler)
 	defer one.Close()
 	defer two.Close()
-	l := newLab(t, streams(), one.Listener.Addr(), two.Listener.Addr())
+	l := newHarness(t, streams(), one.Listener.Addr(), two.Listener.Addr())
 	for _, to := range []netip.AddrPort{serviceIP, serviceIP6} {
 		client := http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
 			DialContext: func(context.Context, string, string) (net.Conn, error) { return l.dial(to) },
@@ -60,8 +60,8 @@
 	eventually(t, func() bool { return l.agents[0].OpenFlows()+l.agents[1].OpenFlows() == 0 }, "flows end")
 }
 
-func TestHalfCloseKeepsTheOtherWay(t *testing.T) {
-	answer := content(300<<10, 2)
+func TestHalfCloseKeepsOtherDirection(t *testing.T) {
+	answer := randomBytes(300<<10, 2)
 	got := make(chan []byte, 1)
 	target := listenTCP(t, func(c *net.TCPConn) {
 		defer c.Close()
@@ -69,9 +69,9 @@
 		got <- b
 		_, _ = c.Write(answer)
 	})
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
-	question := content(200<<10, 3)
+	question := randomBytes(200<<10, 3)
 	_, err := conn.Write(question)
 	require.NoError(t, err)
 	require.NoError(t, conn.(interface{ CloseWrite() error }).CloseWrite())
@@ -88,9 +88,9 @@
 		<-read
 		_, _ = io.Copy(c, c)
 	})
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
-	sent := content(16<<20, 4)
+	sent := randomBytes(16<<20, 4)
 	wrote := make(chan int, 1)
 	go func() {
 		n, _ := conn.Write(sent)
@@ -99,7 +99,7 @@
 	}()
 	select {
 	case n := <-wrote:
-		t.Fatalf("%d bytes were taken although the target reads none", n)
+		t.Fatalf("%d bytes were accepted although the target reads none", n)
 	case <-time.After(time.Second):
 	}
 	close(read)
@@ -110,7 +110,7 @@
 
 func TestRefusedByTarget(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	_ = target.Close()
 	_, err := l.dial(serviceIP)
 	require.ErrorContains(t, err, "refused")
@@ -118,7 +118,8 @@
 	eventually(t, func() bool { return l.agents[0].OpenFlows() == 0 }, "flow ends")
 }
 
-// TestKilledTargetResetsItsFlows kills a target in both ways that its kernel may show it: a close and a reset.
+// TestKilledTargetResetsItsFlows covers both forms in which the kernel may end a killed target's connections: close and
+// reset.
 func TestKilledTargetResetsItsFlows(t *testing.T) {
 	for name, linger := range map[string]int{"close": -1, "reset": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -130,7 +131,7 @@
 			other := listenTCP(t, echo)
 			spec := streams()
 			spec.Preference = resource.PreferBalance
-			l := newLab(t, spec, target.Addr(), other.Addr())
+			l := newHarness(t, spec, target.Addr(), other.Addr())
 			broken, living := l.mustDial(serviceIP), l.mustDial(serviceIP)
 			exchange(t, broken)
 			exchange(t, living)
@@ -163,7 +164,7 @@
 	target := listenTCP(t, echo)
 	spec := streams()
 	spec.DrainTime = resource.Duration(2 * time.Second)
-	l := newLab(t, spec, target.Addr())
+	l := newHarness(t, spec, target.Addr())
 	ends, stays := l.mustDial(serviceIP), l.mustDial(serviceIP)
 	exchange(t, ends)
 	exchange(t, stays)
@@ -185,7 +186,7 @@
 
 func TestKillSendsNothing(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	exchange(t, conn)
 	l.agents[0].Kill()
@@ -198,11 +199,11 @@
 
 func TestWrongServiceIsRefused(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newLab(t, streams(), target.Addr())
-	l.name("reports-svc")
+	l := newHarness(t, streams(), target.Addr())
+	l.setServiceName("reports-svc")
 	_, err := l.dial(serviceIP)
 	require.ErrorContains(t, err, "refused")
-	l.name(serviceName)
+	l.setServiceName(serviceName)
 	_, err = l.dial(netip.MustParseAddrPort("203.0.113.99:80"))
 	require.ErrorContains(t, err, "refused")
 	require.Equal(t, []refusal.Reason{refusal.ReasonWrongService, refusal.ReasonWrongService}, l.records.reasons())
@@ -226,7 +227,7 @@
 	}()
 	spec := streams()
 	spec.ProxyProtocol = true
-	l := newLab(t, spec, plain.Addr())
+	l := newHarness(t, spec, plain.Addr())
 	conn := l.mustDial(serviceIP6)
 	exchange(t, conn)
 	require.Equal(t, conn.LocalAddr().String(), <-callers)
@@ -246,7 +247,7 @@
 	}()
 	spec := streams()
 	spec.UDPIdle = resource.Duration(100 * time.Millisecond)
-	l := newLab(t, spec, target.LocalAddr())
+	l := newHarness(t, spec, target.LocalAddr())
 	conn, err := l.caller.DialUDP(callerIP, serviceUDP)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -257,12 +258,12 @@
 	}
 }
 
-// TestDrainingAgentTakesNoNewFlow opens flows while one of two agents drains; the old flow of that agent goes on.
+// TestDrainingAgentTakesNoNewFlow opens flows while one of two agents drains; the open flow of that agent continues.
 func TestDrainingAgentTakesNoNewFlow(t *testing.T) {
 	one, two := listenTCP(t, echo), listenTCP(t, echo)
 	spec := streams()
 	spec.Preference = resource.PreferBalance
-	l := newLab(t, spec, one.Addr(), two.Addr())
+	l := newHarness(t, spec, one.Addr(), two.Addr())
 	first, second := l.mustDial(serviceIP), l.mustDial(serviceIP)
 	exchange(t, first)
 	exchange(t, second)
@@ -284,8 +285,8 @@
 	require.Empty(t, l.records.reasons())
 }
 
-// TestUDPTargetThatIsGoneIsRecorded closes the target's socket before and after its first answer.
-func TestUDPTargetThatIsGoneIsRecorded(t *testing.T) {
+// TestClosedUDPTargetIsRecorded closes the target's socket before and after its first answer.
+func TestClosedUDPTargetIsRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers bool
 		reason  refusal.Reason
@@ -295,7 +296,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := listenUDP(t)
-			l := newLab(t, streams(), target.LocalAddr())
+			l := newHarness(t, streams(), target.LocalAddr())
 			conn, err := l.caller.DialUDP(callerIP, serviceUDP)
 			require.NoError(t, err)
 			defer conn.Close()
@@ -317,7 +318,7 @@
 	}
 }
 
-// TestLastAcknowledgementIsRepeated loses every answer to the caller's first FIN; the agent closed before.
+// TestLastAcknowledgementIsRepeated loses every answer to the caller's first FIN, after the agent closed its side.
 func TestLastAcknowledgementIsRepeated(t *testing.T) {
 	target := listenTCP(t, func(c *net.TCPConn) {
 		_, _ = io.CopyN(c, c, 4)
@@ -325,19 +326,19 @@
 		_, _ = io.Copy(io.Discard, c)
 		_ = c.Close()
 	})
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	exchange(t, conn)
 	_, err := conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	fins := 0
 	l.mu.Lock()
-	l.sees = func(info packet.Info) {
+	l.onCallerPacket = func(info packet.Info) {
 		if info.Finish {
 			fins++
 		}
 	}
-	l.lose = func([]byte) bool { return fins == 1 }
+	l.shouldDrop = func([]byte) bool { return fins == 1 }
 	l.mu.Unlock()
 	require.NoError(t, conn.Close())
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
--- a/pkg/agent/bench_test.go
+++ b/pkg/agent/bench_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkUpload measures bytes from a caller's stack through one agent to its target.
+// BenchmarkUpload measures throughput from a caller's stack through one agent to its target.
 func BenchmarkUpload(b *testing.B) {
 	done := make(chan int64, 1)
 	target := listenTCP(b, func(c *net.TCPConn) {
 		n, _ := io.Copy(io.Discard, c)
 		done <- n
 	})
-	l := newLab(b, streams(), target.Addr())
+	l := newHarness(b, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
-	block := content(1<<20, 1)
+	block := randomBytes(1<<20, 1)
 	b.SetBytes(int64(len(block)))
 	var sent int64
 	for b.Loop() {
@@ -29,9 +29,9 @@
 	require.Equal(b, sent, <-done)
 }
 
-// BenchmarkDownload measures bytes from the target through one agent to a caller's stack.
+// BenchmarkDownload measures throughput from the target through one agent to a caller's stack.
 func BenchmarkDownload(b *testing.B) {
-	block := content(1<<20, 1)
+	block := randomBytes(1<<20, 1)
 	target := listenTCP(b, func(c *net.TCPConn) {
 		defer c.Close()
 		for {
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	l := newLab(b, streams(), target.Addr())
+	l := newHarness(b, streams(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	got := make([]byte, len(block))
 	b.SetBytes(int64(len(block)))
--- a/pkg/agent/config.go
+++ b/pkg/agent/config.go
@@ -22,29 +22,29 @@
 	maxWorkers = 256
 	// maxDatagram is the largest payload of a UDP datagram.
 	maxDatagram = 65507
-	// socketBuffer is asked of the kernel for each socket, in bytes; the kernel may give less.
+	// socketBuffer is the buffer size requested for each socket, in bytes; the kernel may grant less.
 	socketBuffer = 8 << 20
-	// tickTime is the time between two calls of Arbiter.Tick.
-	tickTime = 100 * time.Millisecond
-	// openingTime bounds how long a placed flow may have no connection, for example after a bad TCP checksum.
-	openingTime = 5 * time.Second
-	// endedTime is how long packets of an ended flow may still be sent: the time that the stack keeps it, and a second.
-	endedTime = netstack.DefaultTimeWait + time.Second
-	// messageFlows is the highest number of flow hashes in one datagram; 8 bytes each stay within one Ethernet frame.
-	messageFlows = 150
+	// tickInterval is the time between two calls of Arbiter.Tick.
+	tickInterval = 100 * time.Millisecond
+	// openingTimeout bounds how long a placed flow may stay without a connection, for example after a bad TCP checksum.
+	openingTimeout = 5 * time.Second
+	// endedRetention is how long packets of an ended flow may still be sent: the stack's TIME-WAIT plus one second.
+	endedRetention = netstack.DefaultTimeWait + time.Second
+	// maxMessageFlows bounds the flow hashes in one datagram; at 8 bytes each they fit in one Ethernet frame.
+	maxMessageFlows = 150
 )
 
 // Config holds the settings of an agent.
 type Config struct {
 	// Name identifies the agent in logs and refusal records.
 	Name string
-	// Incarnation rises each time the agent starts.
+	// Incarnation increases each time the agent starts.
 	Incarnation uint64
-	// Service is the service name that the target announced; SetAnnounced changes it. Empty takes any view.
+	// Service is the service name that the target announced; SetAnnounced changes it. Empty accepts any view.
 	Service string
-	// PacketAddress is the UDP address for datagrams; port 0 takes a free one.
+	// PacketAddress is the UDP listen address for datagrams; port 0 selects a free port.
 	PacketAddress netip.AddrPort
-	// FabricAddress is the UDP address for packets to callers.
+	// FabricAddress is the UDP address that packets to callers are sent to.
 	FabricAddress netip.AddrPort
 	// TargetAddress is the address of the target, TCP and UDP.
 	TargetAddress netip.AddrPort
@@ -52,13 +52,13 @@
 	MTU int
 	// Workers is the number of goroutines that handle datagrams; 0 means DefaultWorkers.
 	Workers int
-	// Connections is the highest number of open flows; 0 means no limit of the agent's own.
+	// Connections is the highest number of open flows; 0 means that the agent sets no limit.
 	Connections uint32
 	// DialTimeout bounds the opening of a connection to the target; 0 means DefaultDialTimeout.
 	DialTimeout time.Duration
-	// DrainTime replaces the service's drain time; 0 keeps it.
+	// DrainTime overrides the service's drain time; 0 keeps it.
 	DrainTime time.Duration
-	// Linger is how long a drained agent still forwards packets; 0 means DefaultLinger.
+	// Linger is how long a drained agent keeps forwarding packets; 0 means DefaultLinger.
 	Linger time.Duration
 	// RequestHandler serves the flows of services in request mode; nil treats them as streams.
 	RequestHandler StreamHandler
@@ -78,13 +78,13 @@
 		errs = append(errs, trace.BadParameter("name is empty"))
 	}
 	if !c.PacketAddress.IsValid() {
-		errs = append(errs, trace.BadParameter("packet address is no address and port"))
+		errs = append(errs, trace.BadParameter("packet address is not an address and port"))
 	}
 	if !c.FabricAddress.IsValid() || c.FabricAddress.Port() == 0 {
-		errs = append(errs, trace.BadParameter("fabric address is no address and port"))
+		errs = append(errs, trace.BadParameter("fabric address is not an address and port"))
 	}
 	if !c.TargetAddress.IsValid() || c.TargetAddress.Port() == 0 {
-		errs = append(errs, trace.BadParameter("target address is no address and port"))
+		errs = append(errs, trace.BadParameter("target address is not an address and port"))
 	}
 	if c.Workers < 0 || c.Workers > maxWorkers {
 		errs = append(errs, trace.BadParameter("workers %d is not in 0 to %d", c.Workers, maxWorkers))
@@ -95,7 +95,7 @@
 	return trace.NewAggregate(errs...)
 }
 
-// encodedAddr is a packet address in its form on the wire.
+// encodedAddr is a packet address in wire encoding.
 type encodedAddr [wire.AddrSize]byte
 
 func encodeAddr(a netip.AddrPort) encodedAddr {
--- a/pkg/agent/control.go
+++ b/pkg/agent/control.go
@@ -8,8 +8,9 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// control hands a message of another agent to the arbiter. The sender must name the address that it sends from, and the
-// agent's own service, and a view must name the sender: only agents of the service say who owns a flow.
+// control passes a message of another agent to the arbiter. The message must carry its source address as the sender and
+// the agent's own service, and the sender must be in a current or recent view: only agents of the service decide on the
+// ownership of flows. Messages of unknown senders are held until a view lists the sender.
 func (a *Agent) control(m *wire.Datagram, in []byte, from netip.AddrPort, now time.Time) {
 	sender, ok := wire.Addr(m.Sender)
 	if !ok || sender != from {
@@ -21,7 +22,7 @@
 		a.metrics.wrongService.Inc(1)
 		return
 	}
-	if s == nil || !a.senders.Load().knows(from, now) {
+	if s == nil || !a.senders.Load().contains(from, now) {
 		a.hold(in, from, now)
 		return
 	}
@@ -38,7 +39,8 @@
 	}))
 }
 
-// sendAll sends the arbiter's messages; long lists of flows go in several datagrams.
+// sendAll sends the arbiter's messages, splitting long lists of flows over several datagrams. A message to this agent
+// itself cuts the flows that it lists.
 func (a *Agent) sendAll(messages []arbiter.Message) {
 	s := a.service.Load()
 	if s == nil || len(messages) == 0 {
@@ -54,7 +56,7 @@
 	}
 }
 
-// drop cuts flows that another agent owns; their callers hear nothing of it.
+// drop cuts flows that another agent owns, without sending anything to their callers.
 func (a *Agent) drop(m *arbiter.Message) {
 	flows := m.Flows
 	if len(flows) == 0 {
@@ -67,7 +69,7 @@
 	}
 }
 
-// lost ends a flow that is silenced.
+// lost ends a silenced flow, whose owner is another agent.
 func (a *Agent) lost(f *openFlow) {
 	a.metrics.conflictsLost.Inc(1)
 	a.deps.Log.Warn().Str("op", "silence").Uint64("flow", f.hash).Str("reason", "another agent owns the flow").Send()
@@ -82,7 +84,7 @@
 	}
 	rest := m.Flows
 	for {
-		n := min(len(rest), messageFlows)
+		n := min(len(rest), maxMessageFlows)
 		d.Flows, rest = rest[:n], rest[n:]
 		b, err := d.MarshalVT()
 		if err != nil {
--- a/pkg/agent/copy.go
+++ b/pkg/agent/copy.go
@@ -10,13 +10,14 @@
 	"github.com/auburnwood/auburnwood/pkg/netstack"
 )
 
-// copyBuffer bounds the bytes of a flow that are neither in the caller's nor in the target's connection, one way.
+// copyBuffer is the size of a copy buffer. It bounds the bytes in transit between the two connections of a flow, per
+// direction.
 const copyBuffer = 32 << 10
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
 
-// copyBoth carries bytes both ways until both ends have closed, or one of them is gone. An end that closes its sending
-// side only still receives.
+// copyBoth copies bytes in both directions until both ends have closed or one has failed. An end that closes only its
+// sending side still receives.
 func (st *stream) copyBoth() {
 	var up sync.WaitGroup
 	up.Go(st.copyUp)
@@ -24,12 +25,12 @@
 	up.Wait()
 }
 
-// copyUp carries the caller's bytes to the target.
+// copyUp copies the caller's bytes to the target.
 func (st *stream) copyUp() {
 	readErr, writeErr := transfer(st.target, callerSource{st.caller})
 	switch {
 	case writeErr != nil:
-		st.targetGone(writeErr)
+		st.handleTargetError(writeErr)
 	case readErr != nil:
 		st.cut()
 	default:
@@ -37,8 +38,8 @@
 	}
 }
 
-// copyDown carries the target's bytes to the caller. A killed process closes its connections like one that has finished,
-// so that the target is probed after each close.
+// copyDown copies the target's bytes to the caller. The kernel closes the connections of a killed process like those of
+// one that has finished, so the target is probed after each close.
 func (st *stream) copyDown() {
 	raw, err := st.target.SyscallConn()
 	if err != nil {
@@ -50,8 +51,8 @@
 	case writeErr != nil:
 		st.cut()
 	case readErr != nil:
-		st.targetGone(readErr)
-	case !st.a.draining.Load() && st.a.probe.dead(time.Now()):
+		st.handleTargetError(readErr)
+	case !st.a.draining.Load() && st.a.probe.isDown(time.Now()):
 		st.a.targetDown(errTargetClosed)
 		st.targetDied(errTargetClosed.Error())
 	default:
@@ -62,11 +63,11 @@
 	}
 }
 
-var errTargetClosed = errors.New("the target closed the connection and takes no new one")
+var errTargetClosed = errors.New("target closed the connection and refuses new ones")
 
-// targetGone handles an error of the target's connection. A target that closed both ways before answers later bytes with
-// a reset; that is passed on but is no death.
-func (st *stream) targetGone(err error) {
+// handleTargetError resets the flow after an error on the target's connection. A target that has already closed its
+// connection in both directions answers later bytes with a reset, which is not recorded as a failure of the target.
+func (st *stream) handleTargetError(err error) {
 	st.mu.Lock()
 	done := st.targetDone
 	st.mu.Unlock()
@@ -77,9 +78,10 @@
 	st.targetDied(err.Error())
 }
 
-// source is one end of a flow to read from. An idle source holds no buffer.
+// source is the reading side of one end of a flow. It holds no buffer while it waits for bytes.
 type source interface {
-	// read returns a buffer with at least one byte, which the caller gives back, or an error.
+	// read returns a pooled buffer with at least one byte, or an error. A non-nil buffer must be returned to the pool
+	// in either case.
 	read() (*[]byte, int, error)
 }
 
@@ -119,7 +121,7 @@
 	return b, n, nil
 }
 
-// transfer copies from r to w until r ends; it says on which side an error was.
+// transfer copies from r to w until EOF. It returns a read or a write error, depending on the side that failed.
 func transfer(w io.Writer, r source) (readErr, writeErr error) {
 	for {
 		b, n, err := r.read()
--- a/pkg/agent/datagrams.go
+++ b/pkg/agent/datagrams.go
@@ -21,14 +21,15 @@
 	mu     sync.Mutex
 	target net.Conn
 	isCut  bool
-	// died is set when the target's death was recorded.
+	// died is set once the failure of the target was recorded.
 	died bool
+	// last is the time of the last datagram in either direction, in Unix nanoseconds.
 	last atomic.Int64
 	// answered is set once the target has sent a datagram.
 	answered atomic.Bool
 }
 
-// serve carries datagrams both ways until none has passed for the service's idle time.
+// serve relays datagrams in both directions until the flow has been idle for the service's UDP idle time.
 func (u *datagrams) serve() {
 	defer u.cut()
 	target, err := u.a.dialTarget("udp")
@@ -49,15 +50,15 @@
 	var both sync.WaitGroup
 	both.Go(func() { u.copy(target, u.caller, u.opened) })
 	both.Go(func() { u.copy(u.caller, target, func() {}) })
-	u.watch(idle)
-	// The arbiter is told first: a datagram that comes now starts a new flow.
+	u.waitIdle(idle)
+	// End the flow at the arbiter before closing the sockets, so that a datagram received meanwhile starts a new flow.
 	u.a.end(u.f)
 	u.cut()
 	both.Wait()
 }
 
-// watch returns when the flow is idle or cut.
-func (u *datagrams) watch(idle time.Duration) {
+// waitIdle blocks until the flow is idle or cut, or the agent is killed.
+func (u *datagrams) waitIdle(idle time.Duration) {
 	for {
 		left := idle - u.a.deps.Now().Sub(time.Unix(0, u.last.Load()))
 		if left <= 0 {
@@ -77,42 +78,42 @@
 	}
 }
 
-// opened tells the arbiter that the flow is in use.
+// opened reports to the arbiter that the flow is in use.
 func (u *datagrams) opened() {
 	u.a.sendAll(u.a.arbiter.Opened(u.a.deps.Now(), u.f.hash))
 }
 
 // copy carries datagrams until a socket is closed; it calls second when the second one has come.
-func (u *datagrams) copy(to, from net.Conn, second func()) {
+func (u *datagrams) copy(to, from net.Conn, onSecond func()) {
 	b := make([]byte, u.a.cfg.MTU)
 	count := 0
 	failures := 0
 	for {
 		n, err := from.Read(b)
 		if err != nil {
-			u.refusedBy(err)
-			if failures++; u.over() || failures > maxReadFailures {
+			u.endIfRefused(err)
+			if failures++; u.wasCut() || failures > maxReadFailures {
 				return
 			}
 			continue
 		}
 		failures = 0
 		if count++; count == 2 {
-			second()
+			onSecond()
 		}
 		u.last.Store(u.a.deps.Now().UnixNano())
 		if from == u.target {
 			u.answered.Store(true)
 		}
 		if _, err := to.Write(b[:n]); err != nil {
-			u.refusedBy(err)
+			u.endIfRefused(err)
 		}
 	}
 }
 
-// refusedBy ends the flow when the target's host says that nobody takes its datagrams. It does so for UDP as for TCP; a
-// caller's next datagram starts a new flow. Other errors pass.
-func (u *datagrams) refusedBy(err error) {
+// endIfRefused ends the flow when the target's host reports that the port is closed (ICMP port unreachable). The
+// caller's next datagram starts a new flow. Other errors are ignored.
+func (u *datagrams) endIfRefused(err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
@@ -131,15 +132,16 @@
 	u.record(reason, err)
 	u.a.end(u.f)
 	u.cut()
-	// A target that still takes TCP connections only lacks the UDP port.
-	if !u.a.draining.Load() && u.a.probe.dead(time.Now()) {
+	// A target that still accepts TCP connections is up; only its UDP port is closed.
+	if !u.a.draining.Load() && u.a.probe.isDown(time.Now()) {
 		u.a.targetDown(err)
 	}
 }
 
+// maxReadFailures bounds consecutive read errors of a socket before the flow is given up.
 const maxReadFailures = 100
 
-func (u *datagrams) over() bool {
+func (u *datagrams) wasCut() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isCut
--- a/pkg/agent/deps.go
+++ b/pkg/agent/deps.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// Arbiter decides about packets. *arbiter.Arbiter implements it; its methods are called by several goroutines. The slices
-// of an Input are valid during the call only.
+// Arbiter decides what to do with packets; *arbiter.Arbiter implements it. Its methods are called concurrently. The
+// slices of an Input are valid only during the call.
 type Arbiter interface {
 	SetService(now time.Time, s *view.Service) []arbiter.Message
 	Packet(now time.Time, in arbiter.Input) arbiter.Decision
@@ -26,21 +26,21 @@
 	Owns(flow uint64) bool
 }
 
-// Deps are what an agent works with.
+// Deps are the dependencies of an agent.
 type Deps struct {
-	// Log takes one line for each placed flow and each change of state.
+	// Log receives one line for each placed flow, refusal and change of state.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil drops them.
+	// Metrics receives the counters; nil discards them.
 	Metrics tally.Scope
-	// Refusals takes the refusal records; nil drops them.
+	// Refusals receives the refusal records; nil discards them.
 	Refusals refusal.Recorder
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// NewArbiter makes the arbiter; nil means arbiter.New.
+	// NewArbiter creates the arbiter; nil means arbiter.New.
 	NewArbiter func(arbiter.Config) Arbiter
-	// OnTargetDown is called, at most once a second, when the target takes no connection; it may be nil.
+	// OnTargetDown is called, at most once a second, when the target accepts no connections; may be nil.
 	OnTargetDown func(err error)
-	// OnDraining is called once when Drain begins, to announce it; it may be nil.
+	// OnDraining is called once when Drain begins, to announce it; may be nil.
 	OnDraining func()
 }
 
--- a/pkg/agent/drain.go
+++ b/pkg/agent/drain.go
@@ -8,9 +8,10 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// Drain takes no new flow from now on and waits until the open flows have ended, at most for the drain time; then it
-// resets the rest and records each. After that it forwards packets of other agents' flows for the linger time. The end
-// of ctx ends the waiting, as if the drain time were over. The agent runs until Run's context ends.
+// Drain stops accepting new flows and waits until the open ones have ended, at most for the drain time; then it resets
+// the remaining flows and records each. After that it forwards packets of other agents' flows for the linger time. The
+// end of ctx cuts both waits short. The agent itself runs until Run's context ends. Calls after the first return at
+// once.
 func (a *Agent) Drain(ctx context.Context) {
 	if a.draining.Swap(true) {
 		return
@@ -19,12 +20,12 @@
 	a.arbiter.Drain(a.deps.Now())
 	a.deps.OnDraining()
 	a.awaitFlows(ctx, a.DrainTime())
-	a.resetRest()
-	a.pause(ctx, a.cfg.Linger)
+	a.resetRemaining()
+	a.sleep(ctx, a.cfg.Linger)
 	a.deps.Log.Info().Str("op", "drained").Int("flows", a.OpenFlows()).Send()
 }
 
-// DrainTime returns the time that flows get to end: that of the settings or else that of the service.
+// DrainTime returns how long Drain waits for open flows: the configured value, else that of the service.
 func (a *Agent) DrainTime() time.Duration {
 	if a.cfg.DrainTime > 0 {
 		return a.cfg.DrainTime
@@ -39,7 +40,7 @@
 func (a *Agent) awaitFlows(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	t := time.NewTicker(tickTime)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for a.OpenFlows() > 0 {
 		select {
@@ -52,18 +53,18 @@
 	}
 }
 
-func (a *Agent) resetRest() {
+func (a *Agent) resetRemaining() {
 	s := a.service.Load()
 	for _, f := range a.registry.snapshot() {
-		if state, _ := f.view(); state == flowEnded {
+		if state, _ := f.status(); state == flowEnded {
 			continue
 		}
-		a.record(s, f.key, f.hash, refusal.ReasonDrainTimeOver, "the flow was open when the drain time was over", a.deps.Now())
+		a.record(s, f.key, f.hash, refusal.ReasonDrainTimeOver, "flow was still open when the drain time ended", a.deps.Now())
 		f.abort()
 	}
 }
 
-func (a *Agent) pause(ctx context.Context, d time.Duration) {
+func (a *Agent) sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/pkg/agent/errqueue.go
+++ b/pkg/agent/errqueue.go
@@ -8,9 +8,9 @@
 	"github.com/auburnwood/auburnwood/pkg/errqueue"
 )
 
-// refusedPacket reports whether the error of the packet socket says that a host refused an earlier datagram; if so, the
-// arbiter has been told of the agents concerned.
-func (a *Agent) refusedPacket(err error) bool {
+// reportUnreachable reports whether the packet socket's error says that a host refused an earlier datagram. If so, it
+// has passed the addresses of the agents concerned to the arbiter.
+func (a *Agent) reportUnreachable(err error) bool {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
--- a/pkg/agent/errqueue_test.go
+++ b/pkg/agent/errqueue_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The arbiter once heard of an agent's death from the views only; and the datagram that met the kernel's report was lost.
-func TestRefusedDatagramIsToldToTheArbiter(t *testing.T) {
-	a := &scripted{}
-	b := newBare(t, a)
+// Refusals by an agent's host must reach the arbiter without waiting for a view, and the datagram whose send returns
+// the kernel's error must not be lost.
+func TestRefusedDatagramIsReportedToArbiter(t *testing.T) {
+	a := &scriptedArbiter{}
+	b := newIdleAgent(t, a)
 	closed := listenUDP(t)
 	dead := closed.LocalAddr().(*net.UDPAddr).AddrPort()
 	require.NoError(t, closed.Close())
@@ -23,7 +24,7 @@
 		require.NoError(t, b.peer.SetReadDeadline(time.Now().Add(5*time.Second)))
 		n, _, err := b.peer.ReadFromUDPAddrPort(in)
 		require.NoError(t, err)
-		require.Equal(t, []byte{sent}, in[:n], "no datagram is lost to the report")
+		require.Equal(t, []byte{sent}, in[:n], "the datagram whose send returned the error is sent again")
 	}
 	require.Equal(t, dead, a.unreachable[0])
 	require.Zero(t, b.scope.Snapshot().Counters()["agent.send_errors+"].Value())
--- a/pkg/agent/fabric.go
+++ b/pkg/agent/fabric.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/ipv4"
 )
 
-// fabricBatch is the number of packets that one system call sends.
+// fabricBatch is the highest number of packets sent by one system call.
 const fabricBatch = 64
 
 // fabric sends raw IP packets to callers, one in each UDP datagram.
@@ -40,7 +40,7 @@
 	return f, nil
 }
 
-// output takes a packet of the agent's own stack; it is called by one goroutine.
+// output queues a packet of the agent's own stack. It must not be called concurrently.
 func (f *fabric) output(packet []byte) {
 	if !f.allowed(packet) {
 		f.metrics.muted.Inc(1)
@@ -54,14 +54,14 @@
 	}
 }
 
-// flush sends what output collected.
+// flush sends the packets that output has queued.
 func (f *fabric) flush() {
 	rest := f.messages[:f.used]
 	f.used = 0
 	for len(rest) > 0 && !f.closed.Load() {
 		n, err := f.batch.WriteBatch(rest, 0)
 		if err != nil {
-			// An error belongs to the first packet, or to an earlier one that the fabric's host refused.
+			// The error concerns the first packet, or an earlier one that the fabric's host refused; skip one packet.
 			f.metrics.fabricErrors.Inc(1)
 			n = max(n, 1)
 		}
@@ -70,7 +70,7 @@
 	}
 }
 
-// send sends one packet at once; any goroutine may call it.
+// send sends one packet without queueing; it may be called concurrently.
 func (f *fabric) send(packet []byte) {
 	if f.closed.Load() {
 		return
--- a/pkg/agent/filter.go
+++ b/pkg/agent/filter.go
@@ -5,8 +5,8 @@
 	"github.com/auburnwood/auburnwood/pkg/packet"
 )
 
-// mayLeave reports whether a packet of the agent's own stack may go to the caller: only packets of flows that this agent
-// owns, or owned until a moment ago. Else the stack could reset a flow that lives at another agent.
+// mayLeave reports whether a packet of the agent's own stack may be sent to the caller: only packets of flows that this
+// agent owns or that ended here recently. Otherwise the stack could reset a flow that another agent owns.
 func (a *Agent) mayLeave(raw []byte) bool {
 	info, err := packet.Parse(raw)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return f != nil && f.mayFinish()
 }
 
-// callerKey turns the key of a reply into the key of its flow.
+// callerKey returns the flow key of a reply by swapping source and destination.
 func callerKey(k flow.Key) flow.Key {
 	k.Source, k.Destination = k.Destination, k.Source
 	return k
--- a/pkg/agent/flow_counts.go
+++ b/pkg/agent/flow_counts.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// flowCounts count the TCP flows that came to the target, since the agent began.
+// flowCounts counts the TCP flows that were proxied to the target since the agent started.
 type flowCounts struct {
 	ended, failed atomic.Uint64
 }
 
-// add counts a flow that is over. It failed when the target took no connection or died; a flow that its caller, a drain
-// or another owner ended did not.
+// add counts an ended flow. A flow failed when the target accepted no connection or broke it; a flow ended by its
+// caller, a drain or another owner did not fail.
 func (c *flowCounts) add(failed bool) {
 	c.ended.Add(1)
 	if failed {
@@ -16,9 +16,9 @@
 	}
 }
 
-// FlowCounts returns the number of TCP flows of opaque bytes that came to the target and are over, and how many of them
-// failed because the target took no connection or broke it. Both only rise while the agent runs. Flows of requests are
-// left to the request handler, and UDP flows have no end that tells of a failure.
+// FlowCounts returns the number of ended TCP flows in stream mode, and how many of them failed because the target
+// accepted no connection or broke it. Both only increase while the agent runs. Flows in request mode are counted by the
+// request handler; UDP flows are not counted, since their end doesn't show a failure.
 func (a *Agent) FlowCounts() (ended, failed uint64) {
 	failed = a.counts.failed.Load()
 	return a.counts.ended.Load(), failed
--- a/pkg/agent/flow_counts_test.go
+++ b/pkg/agent/flow_counts_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted waits until the agent has counted the flows.
-func counted(t *testing.T, a *Agent, ended, failed uint64) {
+// requireCounts waits until the agent has counted the given numbers of flows.
+func requireCounts(t *testing.T, a *Agent, ended, failed uint64) {
 	t.Helper()
 	eventually(t, func() bool {
 		e, f := a.FlowCounts()
@@ -32,29 +32,29 @@
 			_, _ = c.Write(b)
 		}
 	})
-	l := newLab(t, streams(), target.Addr())
+	l := newHarness(t, streams(), target.Addr())
 	a := l.agents[0]
 
 	whole := l.mustDial(serviceIP)
 	exchange(t, whole)
-	counted(t, a, 0, 0)
+	requireCounts(t, a, 0, 0)
 	require.NoError(t, whole.Close())
-	counted(t, a, 1, 0)
+	requireCounts(t, a, 1, 0)
 
 	broken := l.mustDial(serviceIP)
 	_, err := broken.Write([]byte("fail"))
 	require.NoError(t, err)
 	_, err = broken.Read(make([]byte, 1))
 	require.ErrorContains(t, err, "reset")
-	counted(t, a, 2, 1)
+	requireCounts(t, a, 2, 1)
 
 	cancelled := l.mustDial(serviceIP)
 	exchange(t, cancelled)
 	cancelled.(interface{ Abort() }).Abort()
-	counted(t, a, 3, 1)
+	requireCounts(t, a, 3, 1)
 
 	require.NoError(t, target.Close())
 	_, err = l.dial(serviceIP)
 	require.ErrorContains(t, err, "refused")
-	counted(t, a, 4, 2)
+	requireCounts(t, a, 4, 2)
 }
--- a/pkg/agent/handler.go
+++ b/pkg/agent/handler.go
@@ -7,8 +7,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// StreamHandler serves the connections of callers. ServeFlow returns when the connection is closed; the end of ctx asks
-// it to close the connection.
+// StreamHandler serves callers' connections. ServeFlow returns once the connection is closed; it must close the
+// connection when ctx ends.
 type StreamHandler interface {
 	ServeFlow(ctx context.Context, conn net.Conn, key flow.Key)
 }
--- a/pkg/agent/harness_test.go
+++ b/pkg/agent/harness_test.go
@@ -33,7 +33,7 @@
 	serviceUDP = netip.MustParseAddrPort("203.0.113.10:53")
 )
 
-// records keeps refusal records.
+// records stores refusal records in memory.
 type records struct {
 	mu  sync.Mutex
 	all []refusal.Record
@@ -56,24 +56,26 @@
 	return out
 }
 
-// lab is a caller's stack, a fabric, a balancer that ranks by one fixed row, and agents.
-type lab struct {
-	t       testing.TB
-	caller  *netstack.Stack
-	fabric  *net.UDPConn
-	source  *net.UDPConn
-	agents  []*Agent
-	records *records
-	mu      sync.Mutex
-	table   *placement.Table
-	names   string
-	// lose drops packets on the way to the caller; sees is called with each packet of the caller. Both may be nil.
-	lose func(raw []byte) bool
-	sees func(info packet.Info)
+// harness connects a caller's stack, a fabric and agents by a minimal balancer that sends to the first agent of each
+// row.
+type harness struct {
+	t              testing.TB
+	caller         *netstack.Stack
+	fabric         *net.UDPConn
+	source         *net.UDPConn
+	agents         []*Agent
+	records        *records
+	mu             sync.Mutex
+	table          *placement.Table
+	claimedService string
+	// shouldDrop selects packets to the caller to drop; onCallerPacket is called with each packet from the caller. Both
+	// may be nil.
+	shouldDrop     func(raw []byte) bool
+	onCallerPacket func(info packet.Info)
 }
 
-func newLab(t testing.TB, spec resource.ServiceSpec, targets ...net.Addr) *lab {
-	l := &lab{t: t, records: &records{}, names: serviceName}
+func newHarness(t testing.TB, spec resource.ServiceSpec, targets ...net.Addr) *harness {
+	l := &harness{t: t, records: &records{}, claimedService: serviceName}
 	l.fabric = listenUDP(t)
 	l.source = listenUDP(t)
 	var err error
@@ -96,11 +98,11 @@
 	return c
 }
 
-func (l *lab) start(target netip.AddrPort) *Agent {
+func (l *harness) start(target netip.AddrPort) *Agent {
 	return l.startWith(Config{TargetAddress: target}, Deps{Log: zerolog.Nop(), Refusals: l.records})
 }
 
-func (l *lab) startWith(c Config, d Deps) *Agent {
+func (l *harness) startWith(c Config, d Deps) *Agent {
 	c.Name = "agent"
 	c.Incarnation = 1
 	c.Service = serviceName
@@ -120,7 +122,7 @@
 	return a
 }
 
-func (l *lab) setService(spec resource.ServiceSpec) {
+func (l *harness) setService(spec resource.ServiceSpec) {
 	v := &view.Service{Name: serviceName, Revision: 1, Spec: spec}
 	for i, a := range l.agents {
 		v.Targets = append(v.Targets, view.Target{
@@ -140,25 +142,25 @@
 	l.table = placement.NewTable(v)
 }
 
-// name sets the service that the balancer writes in its datagrams.
-func (l *lab) name(service string) {
+// setServiceName sets the service name in the balancer's datagrams.
+func (l *harness) setServiceName(service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.names = service
+	l.claimedService = service
 }
 
-// forward is the balancer: every packet goes to the first agent of its row.
-func (l *lab) forward(raw []byte) {
+// forward acts as the balancer: it sends each packet of the caller to the first agent of its row.
+func (l *harness) forward(raw []byte) {
 	info, err := packet.Parse(raw)
 	if err != nil {
 		return
 	}
 	l.mu.Lock()
-	hash, name := info.Key.Hash(), l.names
+	hash, name := info.Key.Hash(), l.claimedService
 	row := l.table.AppendRow(nil, hash)
 	first := l.table.FirstAgent(hash)
-	if l.sees != nil {
-		l.sees(info)
+	if l.onCallerPacket != nil {
+		l.onCallerPacket(info)
 	}
 	l.mu.Unlock()
 	balancer := wire.AppendAddr(nil, l.source.LocalAddr().(*net.UDPAddr).AddrPort())
@@ -173,8 +175,8 @@
 	_, _ = l.source.WriteToUDPAddrPort(b, first)
 }
 
-// deliver gives the agents' packets to the caller.
-func (l *lab) deliver() {
+// deliver injects the agents' packets into the caller's stack.
+func (l *harness) deliver() {
 	b := make([]byte, maxDatagram)
 	for {
 		n, err := l.fabric.Read(b)
@@ -182,7 +184,7 @@
 			return
 		}
 		l.mu.Lock()
-		lost := l.lose != nil && l.lose(b[:n])
+		lost := l.shouldDrop != nil && l.shouldDrop(b[:n])
 		l.mu.Unlock()
 		if !lost {
 			l.caller.Inject(b[:n])
@@ -190,7 +192,7 @@
 	}
 }
 
-func (l *lab) dial(to netip.AddrPort) (net.Conn, error) {
+func (l *harness) dial(to netip.AddrPort) (net.Conn, error) {
 	from := callerIP
 	if to.Addr().Is6() {
 		from = callerIP6
@@ -200,8 +202,8 @@
 	return l.caller.DialTCP(ctx, from, to)
 }
 
-// owner returns the agent that has the flow of a connection.
-func (l *lab) owner(conn net.Conn) *Agent {
+// owner returns the agent that owns the flow of a connection; nil if none does.
+func (l *harness) owner(conn net.Conn) *Agent {
 	key := flow.Key{
 		Source:      conn.LocalAddr().(*net.TCPAddr).AddrPort(),
 		Destination: conn.RemoteAddr().(*net.TCPAddr).AddrPort(),
@@ -215,7 +217,7 @@
 	return nil
 }
 
-func (l *lab) mustDial(to netip.AddrPort) net.Conn {
+func (l *harness) mustDial(to netip.AddrPort) net.Conn {
 	conn, err := l.dial(to)
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { _ = conn.Close() })
--- a/pkg/agent/metrics.go
+++ b/pkg/agent/metrics.go
@@ -2,15 +2,15 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics are the agent's counters; each hostile or foreign input has its own reason.
+// metrics holds the agent's counters. Each kind of invalid datagram is counted under its own reason.
 type metrics struct {
-	datagrams, delivered, forwarded, offered, declined, dropped, refused        tally.Counter
-	placed, neverOpened, conflictsLost, viewRefused                             tally.Counter
-	truncated, foreign, stranger, unknownKind, wrongService, badPacket, badFlow tally.Counter
-	control, learned, sendErrors, receiveErrors, peerRefused                    tally.Counter
-	fabricPackets, fabricErrors, muted                                          tally.Counter
-	targetDials, targetFailures, targetDied                                     tally.Counter
-	openFlows                                                                   tally.Gauge
+	datagrams, delivered, forwarded, offered, declined, dropped, refused             tally.Counter
+	placed, neverOpened, conflictsLost, viewRefused                                  tally.Counter
+	truncated, foreign, unknownSender, unknownKind, wrongService, badPacket, badFlow tally.Counter
+	control, learned, sendErrors, receiveErrors, peerRefused                         tally.Counter
+	fabricPackets, fabricErrors, muted                                               tally.Counter
+	targetDials, targetFailures, targetDied                                          tally.Counter
+	openFlows                                                                        tally.Gauge
 }
 
 func newMetrics(s tally.Scope) metrics {
@@ -35,7 +35,7 @@
 		viewRefused:    s.Counter("views_refused"),
 		truncated:      reason("truncated"),
 		foreign:        reason("foreign"),
-		stranger:       reason("unknown-sender"),
+		unknownSender:  reason("unknown-sender"),
 		unknownKind:    reason("unknown-kind"),
 		wrongService:   reason("wrong-service"),
 		badPacket:      reason("packet"),
--- a/pkg/agent/open_flow.go
+++ b/pkg/agent/open_flow.go
@@ -10,31 +10,31 @@
 type flowState uint8
 
 const (
-	// flowPlaced has a decision but no connection yet.
+	// flowPlaced is accepted but has no connection yet.
 	flowPlaced flowState = iota
-	// flowServed has a goroutine that ends it.
+	// flowServed has a goroutine that serves it and ends it.
 	flowServed
-	// flowEnded is over; its last packets may still be sent.
+	// flowEnded has ended; its last packets may still be sent.
 	flowEnded
 )
 
 // openFlow is a flow that this agent owns.
 type openFlow struct {
-	hash    uint64
-	key     flow.Key
-	placed  time.Time
-	mu      sync.Mutex
-	state   flowState
-	endedAt time.Time
-	cut     func()
-	silent  bool
-	taught  taught
-	// lingers reports whether the caller's connection still answers a repeated FIN; nil for a flow without one.
+	hash     uint64
+	key      flow.Key
+	placed   time.Time
+	mu       sync.Mutex
+	state    flowState
+	endedAt  time.Time
+	cut      func()
+	silent   bool
+	notified notified
+	// lingers reports whether the caller's connection still answers a retransmitted FIN; nil without a connection.
 	lingers func() bool
 }
 
-// serve claims the flow for a goroutine that will end it; it returns false when there is one already. cut closes its
-// connections at once and may be called more than once, from any goroutine.
+// serve claims the flow for a goroutine that will end it; it returns false when the flow is not waiting for one or is
+// silenced. cut closes the flow's connections immediately; it may be called more than once, from any goroutine.
 func (f *openFlow) serve(cut func()) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// abort cuts the flow's connections.
+// abort closes the flow's connections immediately, if it is being served.
 func (f *openFlow) abort() {
 	f.mu.Lock()
 	cut := f.cut
@@ -55,7 +55,7 @@
 	}
 }
 
-// end marks the flow as over; it returns false when it was already.
+// end marks the flow as ended; it returns false when it had ended before.
 func (f *openFlow) end(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,29 +66,30 @@
 	return true
 }
 
-// mayFinish reports whether the flow is over but its last packets may be sent.
+// mayFinish reports whether the flow has ended but its last packets may still be sent.
 func (f *openFlow) mayFinish() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state == flowEnded && !f.silent
 }
 
-// mayAnswer reports whether the flow is over and its connection still answers a FIN that the caller repeats because the
-// last acknowledgement was lost.
+// mayAnswer reports whether the flow has ended but its connection still answers a FIN that the caller retransmits
+// because the last acknowledgement was lost.
 func (f *openFlow) mayAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state == flowEnded && !f.silent && f.lingers != nil && f.lingers()
 }
 
-// linger sets how to find out whether the flow's connection still answers.
-func (f *openFlow) linger(lingers func() bool) {
+// setLingers sets the function that reports whether the flow's connection still answers a retransmitted FIN.
+func (f *openFlow) setLingers(lingers func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lingers = lingers
 }
 
-// silence stops every packet of the flow, also after its end; it returns false when it was silent already.
+// silence suppresses every packet of the flow to its caller, also after its end; it returns false when it was silenced
+// before.
 func (f *openFlow) silence() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +100,7 @@
 	return true
 }
 
-func (f *openFlow) view() (state flowState, endedAt time.Time) {
+func (f *openFlow) status() (state flowState, endedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state, f.endedAt
--- a/pkg/agent/probe.go
+++ b/pkg/agent/probe.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const targetDownTime = time.Second
+const targetDownInterval = time.Second
 
-// probe finds out whether the target takes connections.
+// probe checks whether the target accepts connections, and limits the rate of reports that it doesn't.
 type probe struct {
 	address  string
 	timeout  time.Duration
@@ -21,8 +21,8 @@
 	reported time.Time
 }
 
-// dead reports whether the target refused a connection that was tried after since. Many callers share one try.
-func (p *probe) dead(since time.Time) bool {
+// isDown reports whether the target refused a connection attempted after since. Concurrent callers share one attempt.
+func (p *probe) isDown(since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.began.After(since) {
@@ -37,11 +37,11 @@
 	return p.refused
 }
 
-// report limits reports of the target's death.
-func (p *probe) report(now time.Time) bool {
+// shouldReport reports whether a failure of the target may be reported now: at most one per targetDownInterval.
+func (p *probe) shouldReport(now time.Time) bool {
 	p.reportMu.Lock()
 	defer p.reportMu.Unlock()
-	if now.Sub(p.reported) < targetDownTime {
+	if now.Sub(p.reported) < targetDownInterval {
 		return false
 	}
 	p.reported = now
--- a/pkg/agent/recent_flows.go
+++ b/pkg/agent/recent_flows.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	recentSlots = 1024
-	recentTime  = time.Second
+	recentSlots  = 1024
+	recentWindow = time.Second
 )
 
-// recentFlows remembers flows for a short time, to record a refusal once and not for each packet of a window. Two flows
-// may share a slot; then one is recorded more often.
+// recentFlows deduplicates refusal records: a refusal is recorded once and not for each packet of a TCP window. It is a
+// direct-mapped table by flow hash; flows that share a slot may be recorded more than once.
 type recentFlows struct {
 	mu    sync.Mutex
 	slots [recentSlots]recentFlow
@@ -24,12 +24,12 @@
 
 func newRecentFlows() *recentFlows { return &recentFlows{} }
 
-// first reports whether the flow was not seen within recentTime.
-func (r *recentFlows) first(hash uint64, now time.Time) bool {
+// isFirst reports whether the flow was not seen within recentWindow.
+func (r *recentFlows) isFirst(hash uint64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := &r.slots[hash%recentSlots]
-	if s.hash == hash && now.Sub(s.at) < recentTime {
+	if s.hash == hash && now.Sub(s.at) < recentWindow {
 		return false
 	}
 	*s = recentFlow{hash: hash, at: now}
--- a/pkg/agent/refuse.go
+++ b/pkg/agent/refuse.go
@@ -9,13 +9,14 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// refuse records why a caller's packet is refused, and then answers it with a reset. A caller's own reset needs neither.
+// refuse records why a caller's packet is refused, then answers a TCP packet with a reset. A reset from the caller is
+// neither recorded nor answered.
 func (a *Agent) refuse(s *service, raw []byte, info packet.Info, hash uint64, reason refusal.Reason, detail string, now time.Time) {
 	a.metrics.refused.Inc(1)
 	if info.Reset {
 		return
 	}
-	if a.refused.first(hash, now) {
+	if a.refused.isFirst(hash, now) {
 		a.record(s, info.Key, hash, reason, detail, now)
 	}
 	if info.Key.Protocol != flow.ProtocolTCP {
@@ -26,8 +27,8 @@
 	}
 }
 
-// record leaves a refusal record and a log line. No work of the flow will be run after it; whether some was run is not
-// known for a flow that was open.
+// record writes a refusal record and a log line. The target gets no more work of the flow afterwards; for a flow that
+// was open, it is unknown whether it already ran some.
 func (a *Agent) record(s *service, key flow.Key, hash uint64, reason refusal.Reason, detail string, now time.Time) {
 	r := refusal.Record{
 		Time:        now,
--- a/pkg/agent/registry.go
+++ b/pkg/agent/registry.go
@@ -8,7 +8,7 @@
 
 const registryShards = 64
 
-// registry holds the flows that this agent owns, by flow hash, and those that ended a short time ago.
+// registry holds the flows that this agent owns and those that ended recently, by flow hash.
 type registry struct {
 	shards [registryShards]registryShard
 	count  atomic.Int64
@@ -36,7 +36,7 @@
 	return s.flows[hash]
 }
 
-// put adds a flow that was placed here. An earlier flow of the same key is forgotten; it ends by itself.
+// put adds a newly placed flow. It replaces an earlier flow with the same hash, which ends on its own.
 func (r *registry) put(f *openFlow) {
 	s := r.shard(f.hash)
 	s.mu.Lock()
@@ -71,24 +71,24 @@
 
 func (r *registry) abortAll() { r.each((*openFlow).abort) }
 
-// reap returns the placed flows that got no connection in time, and the served flows that this agent does not own, each
-// of these once. It forgets flows that ended long ago.
+// reap returns the placed flows without a connection after openingTimeout, and the served flows that this agent doesn't
+// own, each of the latter once. It removes flows that ended more than endedRetention ago.
 func (r *registry) reap(now time.Time, owns func(uint64) bool) (late, lost []*openFlow) {
 	for _, f := range r.snapshot() {
-		state, endedAt := f.view()
+		state, endedAt := f.status()
 		switch {
-		case state == flowPlaced && now.Sub(f.placed) > openingTime:
+		case state == flowPlaced && now.Sub(f.placed) > openingTimeout:
 			late = append(late, f)
 		case state == flowServed && !owns(f.hash) && f.silence():
 			lost = append(lost, f)
-		case state == flowEnded && now.Sub(endedAt) > endedTime:
-			r.forget(f)
+		case state == flowEnded && now.Sub(endedAt) > endedRetention:
+			r.remove(f)
 		}
 	}
 	return late, lost
 }
 
-func (r *registry) forget(f *openFlow) {
+func (r *registry) remove(f *openFlow) {
 	s := r.shard(f.hash)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/agent/request_test.go
+++ b/pkg/agent/request_test.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// echoHandler serves a connection by itself, without the target.
+// echoHandler echoes the caller's bytes without using the target.
 type echoHandler struct {
 	served atomic.Pointer[flow.Key]
 }
@@ -30,7 +30,7 @@
 }
 
 func TestRequestFlowsGoToTheHandler(t *testing.T) {
-	l := newLab(t, streams())
+	l := newHarness(t, streams())
 	h := &echoHandler{}
 	l.startWith(Config{TargetAddress: netip.MustParseAddrPort("127.0.0.1:1"), RequestHandler: h}, Deps{Log: zerolog.Nop()})
 	spec := streams()
@@ -46,7 +46,7 @@
 
 func TestDrainIsAnnouncedOnce(t *testing.T) {
 	announced := 0
-	l := newLab(t, streams())
+	l := newHarness(t, streams())
 	a := l.startWith(Config{TargetAddress: netip.MustParseAddrPort("127.0.0.1:1")},
 		Deps{Log: zerolog.Nop(), OnDraining: func() { announced++ }})
 	l.setService(streams())
--- a/pkg/agent/senders.go
+++ b/pkg/agent/senders.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// pastSenderTime is how long an agent that left the view is still heard. Views are uneven, and a drained agent goes on
-	// forwarding for some seconds after it has left.
+	// pastSenderTime is how long datagrams of an agent that left the view are still accepted. Processes don't receive
+	// views at the same time, and a drained agent keeps forwarding for some seconds after it has left.
 	pastSenderTime = 30 * time.Second
-	// strangerHops is the highest number of agents that a packet may have passed when an agent that is not in the view
-	// sends it on.
-	strangerHops = 2
+	// maxUnknownSenderHops is the highest hop count of a packet that is accepted from an agent outside the view.
+	maxUnknownSenderHops = 2
 )
 
-// senders is an immutable set of the agents that may speak of flows: those of the present view and of recent ones.
+// senders is an immutable set of the agents whose messages about flows are accepted: those of the present view, and
+// those that left it within pastSenderTime.
 type senders struct {
 	present map[netip.AddrPort]struct{}
 	past    map[netip.AddrPort]time.Time
 }
 
-// next returns the set for a newer view; nil means that there is no view any more.
+// next returns the set for a newer view; nil means that there is no longer a view.
 func (s *senders) next(v *view.Service, now time.Time) *senders {
 	n := &senders{present: map[netip.AddrPort]struct{}{}, past: map[netip.AddrPort]time.Time{}}
 	if v != nil {
@@ -47,8 +47,8 @@
 	return n
 }
 
-// knows reports whether the agent at an address is or was of late in the view.
-func (s *senders) knows(a netip.AddrPort, now time.Time) bool {
+// contains reports whether the agent with the given address is in the view or left it recently.
+func (s *senders) contains(a netip.AddrPort, now time.Time) bool {
 	if s == nil {
 		return false
 	}
@@ -59,35 +59,36 @@
 	return ok && now.Before(until)
 }
 
-// mayPass reports whether a datagram with a packet may be acted on. A balancer is in no view; its packets have passed no
-// agent. A packet that a stranger passed on is taken only while it says nothing of who owns the flow, since the stranger
-// may be an agent that joined a moment ago. Only agents of the service offer flows.
-func (a *Agent) mayPass(m *wire.Datagram, info packet.Info, from netip.AddrPort, now time.Time) bool {
+// isAdmissible reports whether a datagram with a packet may be processed. Balancers are in no view, but their packets
+// have a hop count of 0. A packet that an unknown sender forwarded is accepted if this agent owns the flow, or if it
+// neither opens a flow nor claims ownership and is within maxUnknownSenderHops, since the sender may be an agent that
+// has just joined. Only agents of the service may offer flows.
+func (a *Agent) isAdmissible(m *wire.Datagram, info packet.Info, from netip.AddrPort, now time.Time) bool {
 	forwarded := m.Kind == wire.Kind_KIND_FORWARD
 	if forwarded && m.Hops == 0 {
 		return true
 	}
-	if a.senders.Load().knows(from, now) {
+	if a.senders.Load().contains(from, now) {
 		return true
 	}
 	if !forwarded {
 		return false
 	}
-	return a.arbiter.Owns(m.Flow) || !m.Final && !info.Opening && m.Hops <= strangerHops
+	return a.arbiter.Owns(m.Flow) || !m.Final && !info.Opening && m.Hops <= maxUnknownSenderHops
 }
 
-// hold keeps a stranger's datagram until a view names its sender.
+// hold buffers a datagram of an unknown sender until a view lists the sender.
 func (a *Agent) hold(in []byte, from netip.AddrPort, now time.Time) {
-	a.metrics.stranger.Inc(1)
+	a.metrics.unknownSender.Inc(1)
 	if !a.held.add(in, from, now) {
 		a.metrics.foreign.Inc(1)
 	}
 }
 
-// hearHeld handles the datagrams whose senders a new view names.
-func (a *Agent) hearHeld(now time.Time) {
+// handleHeld handles the held datagrams whose senders are listed by a new view.
+func (a *Agent) handleHeld(now time.Time) {
 	s := a.senders.Load()
-	late := a.held.take(func(from netip.AddrPort) bool { return s.knows(from, now) }, now)
+	late := a.held.take(func(from netip.AddrPort) bool { return s.contains(from, now) }, now)
 	if len(late) == 0 {
 		return
 	}
--- a/pkg/agent/senders_test.go
+++ b/pkg/agent/senders_test.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// spoken returns a message that names its true sender.
-func (b *bare) spoken(kind wire.Kind, flow uint64) *wire.Datagram {
+// ownershipMessage returns a message about a flow's ownership with the peer's real address as its sender.
+func (b *idleAgent) ownershipMessage(kind wire.Kind, flow uint64) *wire.Datagram {
 	peer := encodeAddr(b.peerAddr())
 	return &wire.Datagram{Kind: kind, Service: serviceName, Revision: 1, Flow: flow, Sender: peer[:], Owner: peer[:], Incarnation: 1, Final: true}
 }
@@ -23,38 +23,38 @@
 	wire.Kind_KIND_LOCATE, wire.Kind_KIND_LOCATED, wire.Kind_KIND_LOAD,
 }
 
-func TestStrangersSayNothingOfFlows(t *testing.T) {
+func TestUnknownSendersCannotChangeOwnership(t *testing.T) {
 	for _, kind := range ownershipKinds {
 		t.Run(kind.String(), func(t *testing.T) {
-			a := &scripted{}
-			b := newBare(t, a)
+			a := &scriptedArbiter{}
+			b := newIdleAgent(t, a)
 			now := time.Now()
-			b.w.handle(encode(t, b.spoken(kind, 7)), b.peerAddr(), now)
+			b.w.handle(encode(t, b.ownershipMessage(kind, 7)), b.peerAddr(), now)
 			require.Empty(t, a.controls)
 			require.Equal(t, int64(1), b.count("agent.bad_datagrams", "unknown-sender"))
 			b.listPeer()
-			require.Len(t, a.controls, 1, "the view named the sender")
+			require.Len(t, a.controls, 1, "the view lists the sender")
 			require.Equal(t, kind, a.controls[0].Kind)
 			b.SetService(b.view())
-			b.w.handle(encode(t, b.spoken(kind, 8)), b.peerAddr(), now.Add(time.Second))
-			require.Len(t, a.controls, 2, "an agent that left a moment ago is heard")
-			b.w.handle(encode(t, b.spoken(kind, 9)), b.peerAddr(), time.Now().Add(pastSenderTime+time.Second))
-			require.Len(t, a.controls, 2, "an agent that left long ago is not")
+			b.w.handle(encode(t, b.ownershipMessage(kind, 8)), b.peerAddr(), now.Add(time.Second))
+			require.Len(t, a.controls, 2, "messages of an agent that left recently are accepted")
+			b.w.handle(encode(t, b.ownershipMessage(kind, 9)), b.peerAddr(), time.Now().Add(pastSenderTime+time.Second))
+			require.Len(t, a.controls, 2, "messages of an agent that left long ago are not")
 		})
 	}
 }
 
 func TestMessagesBeforeTheFirstViewAreHeld(t *testing.T) {
-	a := &scripted{}
-	b := newBare(t, a)
+	a := &scriptedArbiter{}
+	b := newIdleAgent(t, a)
 	b.SetService(nil)
-	b.w.handle(encode(t, b.spoken(wire.Kind_KIND_MOVED, 7)), b.peerAddr(), time.Now())
+	b.w.handle(encode(t, b.ownershipMessage(wire.Kind_KIND_MOVED, 7)), b.peerAddr(), time.Now())
 	require.Empty(t, a.controls)
 	b.listPeer()
 	require.Len(t, a.controls, 1)
 }
 
-func TestStrangersPacketsAreBoundToWhatABalancerMaySay(t *testing.T) {
+func TestPacketsOfUnknownSendersAreRestricted(t *testing.T) {
 	syn := opening(t, serviceIP)
 	for name, c := range map[string]struct {
 		change func(d *wire.Datagram)
@@ -72,14 +72,14 @@
 		"answer to an offer":   {change: func(d *wire.Datagram) { d.Kind = wire.Kind_KIND_DECLINED }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := &scripted{decision: arbiter.Decision{Action: arbiter.ActionDrop}, owns: c.owns}
-			b := newBare(t, a)
+			a := &scriptedArbiter{decision: arbiter.Decision{Action: arbiter.ActionDrop}, owns: c.owns}
+			b := newIdleAgent(t, a)
 			d := b.envelope(syn)
 			c.change(d)
 			b.w.handle(encode(t, d), b.peerAddr(), time.Now())
 			require.Equal(t, c.passes, len(a.inputs) == 1)
 			b.listPeer()
-			require.Len(t, a.inputs, 1, "the sender is an agent after all")
+			require.Len(t, a.inputs, 1, "held packets are handled once the view lists the sender")
 		})
 	}
 }
@@ -88,8 +88,8 @@
 	var h held
 	now := time.Now()
 	one := netip.MustParseAddrPort("127.0.0.1:1")
-	for i := range maxHeldOfOne + 1 {
-		require.Equal(t, i < maxHeldOfOne, h.add([]byte{byte(i)}, one, now))
+	for i := range maxHeldPerSender + 1 {
+		require.Equal(t, i < maxHeldPerSender, h.add([]byte{byte(i)}, one, now))
 	}
 	require.False(t, h.add(make([]byte, maxHeldSize+1), netip.MustParseAddrPort("127.0.0.1:2"), now))
 	for port := uint16(2); len(h.list) < maxHeld; port++ {
@@ -97,15 +97,15 @@
 	}
 	require.False(t, h.add([]byte{1}, netip.MustParseAddrPort("127.0.0.2:1"), now))
 	got := h.take(func(a netip.AddrPort) bool { return a == one }, now)
-	require.Len(t, got, maxHeldOfOne)
+	require.Len(t, got, maxHeldPerSender)
 	for i, d := range got {
 		require.Equal(t, []byte{byte(i)}, d.bytes)
 	}
 	require.True(t, h.add([]byte{1}, one, now), "there is room again")
 	all := func(netip.AddrPort) bool { return true }
-	require.Empty(t, h.take(all, now.Add(heldTime+1)), "old ones are dropped")
+	require.Empty(t, h.take(all, now.Add(maxHeldTime+1)), "expired ones are dropped")
 	require.Empty(t, h.list)
-	require.Empty(t, h.of)
+	require.Empty(t, h.perSender)
 }
 
 func TestSendersOfRecentViews(t *testing.T) {
@@ -119,12 +119,12 @@
 		return v
 	}
 	var s *senders
-	require.False(t, s.knows(x, now))
+	require.False(t, s.contains(x, now))
 	s = s.next(of(x), now).next(of(y), now)
-	require.True(t, s.knows(x, now.Add(pastSenderTime-1)))
-	require.False(t, s.knows(x, now.Add(pastSenderTime)))
+	require.True(t, s.contains(x, now.Add(pastSenderTime-1)))
+	require.False(t, s.contains(x, now.Add(pastSenderTime)))
 	s = s.next(of(x, y), now.Add(time.Second))
-	require.True(t, s.knows(x, now.Add(time.Hour)), "it came back")
+	require.True(t, s.contains(x, now.Add(time.Hour)), "it came back")
 	s = s.next(nil, now.Add(time.Hour)).next(of(), now.Add(2*time.Hour))
 	require.Empty(t, s.past)
 }
--- a/pkg/agent/service.go
+++ b/pkg/agent/service.go
@@ -13,7 +13,7 @@
 	protocol uint8
 }
 
-// service is a view of the agent's service with its addresses in a form for the packet path.
+// service is a snapshot of the agent's service with its addresses indexed for the packet path.
 type service struct {
 	*view.Service
 	addresses map[serviceAddr]struct{}
--- a/pkg/agent/stream.go
+++ b/pkg/agent/stream.go
@@ -21,13 +21,14 @@
 	caller *netstack.Conn
 	target *net.TCPConn
 	isCut  bool
-	// died is set when the target's death was recorded.
+	// died is set once the failure of the target was recorded.
 	died bool
-	// targetDone is set when the target has closed its sending side and lives.
+	// targetDone is set when the target has closed its sending side while it was up.
 	targetDone bool
 }
 
-// serveBytes dials the target first, so that a caller of a dead target gets a reset in place of a handshake.
+// serveBytes proxies an opaque byte stream. It dials the target before it accepts the caller's connection, so that a
+// caller gets a reset instead of a handshake when the target is down.
 func (st *stream) serveBytes(in netstack.Accepted) {
 	target, err := st.a.dialTarget("tcp")
 	if err != nil {
@@ -45,12 +46,12 @@
 		return
 	}
 	defer st.closeCaller()
-	st.carry()
+	st.proxy()
 	st.a.counts.add(st.hasDied())
 }
 
-// carry carries the bytes of both connections until both have ended.
-func (st *stream) carry() {
+// proxy sends the PROXY header if the service asks for it, then copies bytes until both connections have ended.
+func (st *stream) proxy() {
 	if err := st.sendProxyHeader(); err != nil {
 		st.targetDied("PROXY header: " + err.Error())
 		return
@@ -58,14 +59,14 @@
 	st.copyBoth()
 }
 
-// hasDied reports whether the target's death was recorded.
+// hasDied reports whether a failure of the target was recorded.
 func (st *stream) hasDied() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.died
 }
 
-// serveRequests hands the connection to the request handler.
+// serveRequests passes the caller's connection to the request handler.
 func (st *stream) serveRequests(in netstack.Accepted) {
 	if !st.open(in) {
 		return
@@ -87,10 +88,10 @@
 	return true
 }
 
-// closeCaller closes the caller's connection and waits until its last bytes are acknowledged: the flow is owned until
-// then.
+// closeCaller closes the caller's connection and waits until its last bytes are acknowledged; the agent owns the flow
+// until then.
 func (st *stream) closeCaller() {
-	st.f.linger(st.caller.InTimeWait)
+	st.f.setLingers(st.caller.InTimeWait)
 	_ = st.caller.Close()
 	st.caller.WaitClosed(st.a.ctx)
 }
@@ -127,7 +128,7 @@
 	}
 }
 
-// targetDied records the target's death and resets the caller's connection, unless the flow was cut before.
+// targetDied records the failure of the target and resets both connections, unless the flow was cut before.
 func (st *stream) targetDied(detail string) {
 	st.mu.Lock()
 	again := st.isCut || st.died
@@ -154,7 +155,7 @@
 	return trace.Wrap(err)
 }
 
-// dialTarget opens a connection to the target.
+// dialTarget opens a connection to the target within the dial timeout. It reports a target that can't be reached.
 func (a *Agent) dialTarget(network string) (net.Conn, error) {
 	a.metrics.targetDials.Inc(1)
 	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.DialTimeout)
@@ -170,9 +171,9 @@
 	return conn, nil
 }
 
-// targetDown reports the target's death at most once a second, unless the agent itself is at its end.
+// targetDown reports that the target is down, at most once per targetDownInterval, unless the agent itself is stopping.
 func (a *Agent) targetDown(err error) {
-	if a.ctx.Err() != nil || !a.probe.report(a.deps.Now()) {
+	if a.ctx.Err() != nil || !a.probe.shouldReport(a.deps.Now()) {
 		return
 	}
 	a.deps.Log.Warn().Str("op", "target-down").Err(err).Send()
--- a/pkg/agent/worker.go
+++ b/pkg/agent/worker.go
@@ -12,10 +12,10 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// maxRow is the highest number of agents in a row that a datagram may name.
+// maxRow is the highest number of agents in a datagram's row.
 const maxRow = 64
 
-// worker handles one datagram at a time with buffers that it reuses.
+// worker handles one datagram at a time and reuses its buffers.
 type worker struct {
 	a   *Agent
 	in  []byte
@@ -42,7 +42,7 @@
 	}
 }
 
-// handle takes any bytes from any sender. It doesn't change them.
+// handle processes a datagram, which may be invalid and come from any sender. It doesn't modify in.
 func (w *worker) handle(in []byte, from netip.AddrPort, now time.Time) {
 	w.a.metrics.datagrams.Inc(1)
 	m := &w.msg
@@ -62,7 +62,7 @@
 	}
 }
 
-// packet handles a datagram with a caller's packet.
+// packet validates a datagram with a caller's packet and applies the arbiter's decision on it.
 func (w *worker) packet(m *wire.Datagram, in []byte, from netip.AddrPort, now time.Time) {
 	if len(m.Row)%wire.AddrSize != 0 || wire.RowLen(m.Row) > maxRow {
 		w.a.metrics.foreign.Inc(1)
@@ -80,10 +80,10 @@
 		return
 	}
 	s := w.a.service.Load()
-	if !w.belongs(s, m, info, now) {
+	if !w.isForService(s, m, info, now) {
 		return
 	}
-	if !w.a.mayPass(m, info, from, now) {
+	if !w.a.isAdmissible(m, info, from, now) {
 		w.a.hold(in, from, now)
 		return
 	}
@@ -99,14 +99,15 @@
 		Bound:    m.Bound,
 		Final:    m.Final,
 	})
-	w.carryOut(s, m, info, &d, now)
+	w.apply(s, m, info, &d, now)
 }
 
-// belongs checks that the packet is for the service that this agent's target announced. A packet that the agent cannot
-// judge, because its view is older than the sender's, is dropped: the caller's TCP sends it again. So is a packet of an
-// open TCP flow of another service: its owner may live, and a balancer whose view is old sent the packet to an address
-// that another agent has now. A reset would cut the flow.
-func (w *worker) belongs(s *service, m *wire.Datagram, info packet.Info, now time.Time) bool {
+// isForService checks that the packet is for the service that this agent's target announced. A packet that can't be
+// checked, because the agent has no view or an older one than the sender, is dropped: the caller's TCP retransmits it.
+// A packet of an open flow of another service is dropped too: a balancer with an old view may have sent it to an
+// address that now belongs to this agent, and a reset would cut the flow at its owner. Only opening packets are
+// refused.
+func (w *worker) isForService(s *service, m *wire.Datagram, info packet.Info, now time.Time) bool {
 	if s != nil && m.Service == s.Name && s.has(info.Key) {
 		return true
 	}
@@ -123,20 +124,20 @@
 	return false
 }
 
-// carryOut does what the arbiter decided.
-func (w *worker) carryOut(s *service, m *wire.Datagram, info packet.Info, d *arbiter.Decision, now time.Time) {
+// apply carries out the arbiter's decision on a packet.
+func (w *worker) apply(s *service, m *wire.Datagram, info packet.Info, d *arbiter.Decision, now time.Time) {
 	switch d.Action {
 	case arbiter.ActionDeliver:
 		w.deliver(s, m, info, d, now)
 	case arbiter.ActionForward:
 		w.a.metrics.forwarded.Inc(1)
-		w.pass(m, wire.Kind_KIND_FORWARD, d)
+		w.relay(m, wire.Kind_KIND_FORWARD, d)
 	case arbiter.ActionOffer:
 		w.a.metrics.offered.Inc(1)
-		w.pass(m, wire.Kind_KIND_OFFER, d)
+		w.relay(m, wire.Kind_KIND_OFFER, d)
 	case arbiter.ActionDecline:
 		w.a.metrics.declined.Inc(1)
-		w.pass(m, wire.Kind_KIND_DECLINED, d)
+		w.relay(m, wire.Kind_KIND_DECLINED, d)
 	case arbiter.ActionRefuse:
 		w.a.refuse(s, m.Packet, info, m.Flow, d.Reason, d.Why, now)
 	default:
@@ -147,7 +148,7 @@
 	}
 }
 
-// drop drops a packet, but for the FIN of an ended flow whose last acknowledgement was lost.
+// drop drops a packet, except a retransmitted FIN of an ended flow, which the stack acknowledges again.
 func (w *worker) drop(m *wire.Datagram, info packet.Info) {
 	if info.Finish && !info.Reset {
 		if f := w.a.registry.get(m.Flow); f != nil && f.mayAnswer() {
@@ -165,13 +166,13 @@
 		w.a.placed(s, info, m.Flow, d, now)
 	}
 	if m.Hops > 0 {
-		w.a.teach(m, now)
+		w.a.notifyBalancer(m, now)
 	}
 	w.a.inject(m.Packet)
 }
 
-// pass sends the datagram on to another agent.
-func (w *worker) pass(m *wire.Datagram, kind wire.Kind, d *arbiter.Decision) {
+// relay forwards the datagram to another agent with the decision's kind and fields.
+func (w *worker) relay(m *wire.Datagram, kind wire.Kind, d *arbiter.Decision) {
 	m.Kind = kind
 	m.Position = d.Position
 	m.Hops++
@@ -188,11 +189,11 @@
 	w.a.send(w.out[len(w.out)-n:], d.To)
 }
 
-// send sends a datagram. A refusal by an earlier receiver's host is reported in place of this one, which is then tried
-// once more.
+// send sends a datagram. The kernel may return the refusal of an earlier datagram instead of sending this one, which is
+// then retried once.
 func (a *Agent) send(b []byte, to netip.AddrPort) {
 	_, err := a.conn.WriteToUDPAddrPort(b, to)
-	if err != nil && a.refusedPacket(err) {
+	if err != nil && a.reportUnreachable(err) {
 		_, err = a.conn.WriteToUDPAddrPort(b, to)
 	}
 	if err != nil {
@@ -201,12 +202,12 @@
 }
 
 func (a *Agent) receiveFailed(err error) {
-	if !a.refusedPacket(err) {
+	if !a.reportUnreachable(err) {
 		a.metrics.receiveErrors.Inc(1)
 	}
 }
 
-// placed registers a new flow and logs the placement.
+// placed registers a newly accepted flow and logs the placement.
 func (a *Agent) placed(s *service, info packet.Info, hash uint64, d *arbiter.Decision, now time.Time) {
 	a.metrics.placed.Inc(1)
 	a.registry.put(&openFlow{hash: hash, key: info.Key, placed: now})
--- a/pkg/agent/worker_test.go
+++ b/pkg/agent/worker_test.go
@@ -23,41 +23,41 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// scripted is an arbiter that gives the same decision always and keeps what it was asked.
-type scripted struct {
+// scriptedArbiter is an arbiter that returns a fixed decision and records its inputs.
+type scriptedArbiter struct {
 	decision arbiter.Decision
 	answers  []arbiter.Message
 	inputs   []arbiter.Input
 	controls []arbiter.Message
 	ended    []uint64
 	owns     bool
-	// unreachable are the agents whose hosts refused a datagram.
+	// unreachable lists the agents reported as unreachable.
 	unreachable []netip.AddrPort
 }
 
-func (s *scripted) SetService(time.Time, *view.Service) []arbiter.Message { return nil }
-func (s *scripted) Packet(_ time.Time, in arbiter.Input) arbiter.Decision {
+func (s *scriptedArbiter) SetService(time.Time, *view.Service) []arbiter.Message { return nil }
+func (s *scriptedArbiter) Packet(_ time.Time, in arbiter.Input) arbiter.Decision {
 	s.inputs = append(s.inputs, in)
 	return s.decision
 }
-func (s *scripted) Control(_ time.Time, _ netip.AddrPort, m arbiter.Message) []arbiter.Message {
+func (s *scriptedArbiter) Control(_ time.Time, _ netip.AddrPort, m arbiter.Message) []arbiter.Message {
 	s.controls = append(s.controls, m)
 	return s.answers
 }
-func (s *scripted) Opened(time.Time, uint64) []arbiter.Message { return nil }
-func (s *scripted) Ended(_ time.Time, flow uint64) []arbiter.Message {
+func (s *scriptedArbiter) Opened(time.Time, uint64) []arbiter.Message { return nil }
+func (s *scriptedArbiter) Ended(_ time.Time, flow uint64) []arbiter.Message {
 	s.ended = append(s.ended, flow)
 	return nil
 }
-func (s *scripted) Tick(time.Time) []arbiter.Message { return nil }
-func (s *scripted) Drain(time.Time)                  {}
-func (s *scripted) Owns(uint64) bool                 { return s.owns }
-func (s *scripted) Unreachable(_ time.Time, agent netip.AddrPort) {
+func (s *scriptedArbiter) Tick(time.Time) []arbiter.Message { return nil }
+func (s *scriptedArbiter) Drain(time.Time)                  {}
+func (s *scriptedArbiter) Owns(uint64) bool                 { return s.owns }
+func (s *scriptedArbiter) Unreachable(_ time.Time, agent netip.AddrPort) {
 	s.unreachable = append(s.unreachable, agent)
 }
 
-// bare is an agent that does not run; its worker is called by hand.
-type bare struct {
+// idleAgent is an agent that isn't running; tests call its worker directly.
+type idleAgent struct {
 	*Agent
 	w       *worker
 	scope   tally.TestScope
@@ -66,8 +66,8 @@
 	peer    *net.UDPConn
 }
 
-func newBare(t testing.TB, a Arbiter) *bare {
-	b := &bare{records: &records{}, fabric: listenUDP(t), peer: listenUDP(t), scope: tally.NewTestScope("", nil)}
+func newIdleAgent(t testing.TB, a Arbiter) *idleAgent {
+	b := &idleAgent{records: &records{}, fabric: listenUDP(t), peer: listenUDP(t), scope: tally.NewTestScope("", nil)}
 	deps := Deps{Log: zerolog.Nop(), Refusals: b.records, Metrics: b.scope}
 	if a != nil {
 		deps.NewArbiter = func(arbiter.Config) Arbiter { return a }
@@ -89,14 +89,14 @@
 	return b
 }
 
-func (b *bare) view() *view.Service {
+func (b *idleAgent) view() *view.Service {
 	return &view.Service{Name: serviceName, Revision: 1, Spec: streams(), Targets: []view.Target{
 		{ID: "a", Incarnation: 1, Agent: b.addr, Weight: 1, State: view.StateActive, Connections: 1 << 20},
 	}}
 }
 
-// listPeer adopts a view in which the peer is an agent of the service.
-func (b *bare) listPeer() {
+// listPeer applies a view in which the peer is an agent of the service.
+func (b *idleAgent) listPeer() {
 	v := b.view()
 	v.Targets = append(v.Targets, view.Target{
 		ID: "b", Incarnation: 1, Agent: b.peerAddr(), Weight: 1, State: view.StateActive, Connections: 1 << 20,
@@ -104,10 +104,10 @@
 	b.SetService(v)
 }
 
-func (b *bare) peerAddr() netip.AddrPort { return b.peer.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (b *idleAgent) peerAddr() netip.AddrPort { return b.peer.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// count returns the sum of the counters of a name and reason.
-func (b *bare) count(name, reason string) int64 {
+// count returns the sum of the counters with a name and reason.
+func (b *idleAgent) count(name, reason string) int64 {
 	var sum int64
 	for _, c := range b.scope.Snapshot().Counters() {
 		if c.Name() == name && c.Tags()["reason"] == reason {
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// received returns the next datagram that the agent sent to the peer.
-func (b *bare) received(t *testing.T) *wire.Datagram {
+// received returns the next datagram sent to the peer.
+func (b *idleAgent) received(t *testing.T) *wire.Datagram {
 	require.NoError(t, b.peer.SetReadDeadline(time.Now().Add(10*time.Second)))
 	buf := make([]byte, maxDatagram)
 	n, err := b.peer.Read(buf)
@@ -152,8 +152,8 @@
 	return b
 }
 
-// envelope returns a good datagram for a packet.
-func (b *bare) envelope(raw []byte) *wire.Datagram {
+// envelope returns a valid datagram with a packet.
+func (b *idleAgent) envelope(raw []byte) *wire.Datagram {
 	info, _ := packet.Parse(raw)
 	hash := info.Key.Hash()
 	peer := encodeAddr(b.peerAddr())
@@ -190,8 +190,8 @@
 		"message, service": {func(d *wire.Datagram) { d.Kind, d.Service = wire.Kind_KIND_ENDED, "reports-svc" }, "wrong-service", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := &scripted{decision: arbiter.Decision{Action: arbiter.ActionDeliver}}
-			b := newBare(t, a)
+			a := &scriptedArbiter{decision: arbiter.Decision{Action: arbiter.ActionDeliver}}
+			b := newIdleAgent(t, a)
 			b.inject = func([]byte) bool { t.Error("delivered"); return true }
 			d := b.envelope(syn)
 			c.change(d)
@@ -221,19 +221,20 @@
 	return &wire.Datagram{Kind: d.Kind, Service: d.Service, Revision: d.Revision, Flow: info.Key.Hash(), Packet: raw, Row: d.Row}
 }
 
-// TestOpenFlowOfAnotherServiceIsNotReset gives the agent a packet that a balancer with an old view sent to its address.
+// TestOpenFlowOfAnotherServiceIsNotReset covers packets from a balancer with an old view, in which the agent's address
+// belonged to another service.
 func TestOpenFlowOfAnotherServiceIsNotReset(t *testing.T) {
-	b := newBare(t, &scripted{})
+	b := newIdleAgent(t, &scriptedArbiter{})
 	d := b.envelope(established(opening(t, serviceIP)))
 	d.Service = "reports-svc"
 	b.w.handle(encode(t, d), b.peerAddr(), time.Now())
 	require.Equal(t, int64(1), b.count("agent.bad_datagrams", "wrong-service"))
 	require.Empty(t, b.records.reasons())
-	require.Zero(t, b.count("agent.fabric_packets", ""), "a reset would cut a flow whose owner lives")
+	require.Zero(t, b.count("agent.fabric_packets", ""), "a reset would cut the flow at its owner")
 }
 
 func TestTruncatedDatagramsAreCounted(t *testing.T) {
-	b := newBare(t, &scripted{})
+	b := newIdleAgent(t, &scriptedArbiter{})
 	whole := encode(t, b.envelope(opening(t, serviceIP)))
 	b.w.handle(whole[:len(whole)-1], b.peerAddr(), time.Now())
 	b.w.handle([]byte("GET / HTTP/1.1"), b.peerAddr(), time.Now())
@@ -241,16 +242,16 @@
 }
 
 func TestNewerRevisionIsNotRefused(t *testing.T) {
-	b := newBare(t, &scripted{})
+	b := newIdleAgent(t, &scriptedArbiter{})
 	d := newEnvelope(t, b.envelope(opening(t, serviceIP)), "203.0.113.99:80")
 	d.Revision = 2
 	b.w.handle(encode(t, d), b.peerAddr(), time.Now())
-	require.Empty(t, b.records.reasons(), "an agent whose view is old must not refuse what the operator has just allowed")
+	require.Empty(t, b.records.reasons(), "an agent with an older view must not refuse an address that was just added")
 	require.Zero(t, b.count("agent.bad_datagrams", "wrong-service"))
 }
 
 func TestViewOfAnotherServiceIsRefused(t *testing.T) {
-	b := newBare(t, &scripted{})
+	b := newIdleAgent(t, &scriptedArbiter{})
 	v := b.view()
 	v.Name = "reports-svc"
 	b.SetService(v)
@@ -267,8 +268,8 @@
 		wire.Kind_KIND_DECLINED: arbiter.ActionDecline,
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
-			a := &scripted{}
-			b := newBare(t, a)
+			a := &scriptedArbiter{}
+			b := newIdleAgent(t, a)
 			b.listPeer()
 			a.decision = arbiter.Decision{Action: action, To: b.peerAddr(), Position: 3, Bound: 7, Final: true, Load: 5}
 			in := b.envelope(opening(t, serviceIP))
@@ -286,9 +287,9 @@
 	}
 }
 
-func TestNoticeIsSentBesideTheAction(t *testing.T) {
-	a := &scripted{}
-	b := newBare(t, a)
+func TestNotificationIsSentWithAction(t *testing.T) {
+	a := &scriptedArbiter{}
+	b := newIdleAgent(t, a)
 	a.decision = arbiter.Decision{Action: arbiter.ActionDrop, Notify: arbiter.Message{
 		To: b.peerAddr(), Kind: wire.Kind_KIND_PLACED, Flow: 9, Owner: b.addr, Load: 4, Final: true,
 	}}
@@ -302,8 +303,8 @@
 }
 
 func TestLongListsAreSplit(t *testing.T) {
-	b := newBare(t, &scripted{})
-	flows := make([]uint64, 2*messageFlows+1)
+	b := newIdleAgent(t, &scriptedArbiter{})
+	flows := make([]uint64, 2*maxMessageFlows+1)
 	for i := range flows {
 		flows[i] = uint64(i)
 	}
@@ -315,9 +316,9 @@
 	require.Equal(t, flows, got)
 }
 
-func TestOwnerIsTaughtOnceToEachBalancer(t *testing.T) {
-	a := &scripted{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}}
-	b := newBare(t, a)
+func TestEachBalancerIsNotifiedOfOwnerOnce(t *testing.T) {
+	a := &scriptedArbiter{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}}
+	b := newIdleAgent(t, a)
 	b.listPeer()
 	in := b.envelope(opening(t, serviceIP))
 	now := time.Now()
@@ -332,14 +333,15 @@
 	require.Equal(t, b.self[:], out.Owner)
 	require.Equal(t, in.Flow, out.Flow)
 	require.Equal(t, int64(1), b.count("agent.owners_taught", ""))
-	b.w.handle(encode(t, in), b.peerAddr(), now.Add(2*teachAgainAfter))
+	b.w.handle(encode(t, in), b.peerAddr(), now.Add(2*notifyInterval))
 	require.Equal(t, int64(2), b.count("agent.owners_taught", ""))
 }
 
-// TestLostConflictIsSilent checks that a flow that another agent owns is ended without a packet to its caller.
+// TestLostConflictIsSilent checks that an agent ends a flow owned by another agent without sending a packet to its
+// caller.
 func TestLostConflictIsSilent(t *testing.T) {
-	a := &scripted{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}, owns: true}
-	b := newBare(t, a)
+	a := &scriptedArbiter{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}, owns: true}
+	b := newIdleAgent(t, a)
 	b.listPeer()
 	syn := opening(t, serviceIP)
 	in := b.envelope(syn)
@@ -361,28 +363,28 @@
 }
 
 func TestPlacedFlowWithoutConnectionEnds(t *testing.T) {
-	a := &scripted{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}, owns: true}
-	b := newBare(t, a)
+	a := &scriptedArbiter{decision: arbiter.Decision{Action: arbiter.ActionDeliver, Accepted: true}, owns: true}
+	b := newIdleAgent(t, a)
 	now := time.Now()
 	in := b.envelope(opening(t, serviceIP))
 	b.w.handle(encode(t, in), b.peerAddr(), now)
-	b.reap(now.Add(openingTime))
+	b.reap(now.Add(openingTimeout))
 	require.Equal(t, 1, b.OpenFlows())
-	b.reap(now.Add(openingTime + 1))
+	b.reap(now.Add(openingTimeout + 1))
 	require.Zero(t, b.OpenFlows())
 	require.Equal(t, []uint64{in.Flow}, a.ended)
-	b.reap(time.Now().Add(2 * endedTime))
+	b.reap(time.Now().Add(2 * endedRetention))
 	require.Nil(t, b.registry.get(in.Flow))
 }
 
-// known is an arbiter that knows every flow.
-type known struct{ scripted }
+// fixedArbiter is an arbiter that returns a fixed decision without recording its inputs.
+type fixedArbiter struct{ scriptedArbiter }
 
-func (k *known) Packet(time.Time, arbiter.Input) arbiter.Decision { return k.decision }
+func (k *fixedArbiter) Packet(time.Time, arbiter.Input) arbiter.Decision { return k.decision }
 
 func TestKnownFlowAllocatesNothing(t *testing.T) {
-	b := newBare(t, nil)
-	k := &known{}
+	b := newIdleAgent(t, nil)
+	k := &fixedArbiter{}
 	syn := opening(t, serviceIP)
 	now := time.Now()
 	from := b.peerAddr()
@@ -403,7 +405,7 @@
 }
 
 func FuzzDatagrams(f *testing.F) {
-	b := newBare(f, nil)
+	b := newIdleAgent(f, nil)
 	b.listPeer()
 	syn := opening(f, serviceIP)
 	for _, raw := range [][]byte{syn, established(syn)} {
@@ -422,15 +424,16 @@
 			return
 		}
 		if placed := b.registry.get(d.Flow); placed != nil && (placed.hash != placed.key.Hash() || !b.service.Load().has(placed.key)) {
-			t.Fatal("a flow was placed that is not the agent's")
+			t.Fatal("placed a flow that doesn't belong to the agent's service")
 		}
 	})
 }
 
-// BenchmarkKnownFlow measures a packet of a known flow from its datagram to the stack's input, without the sockets.
+// BenchmarkKnownFlow measures handling of a known flow's packet from its datagram to the stack's input, without
+// sockets.
 func BenchmarkKnownFlow(b *testing.B) {
 	const flows = 64
-	a := newBare(b, nil)
+	a := newIdleAgent(b, nil)
 	now := time.Now()
 	from := a.peerAddr()
 	var later [flows][]byte
