--- a/pkg/agentd/announcehandler.go
+++ b/pkg/agentd/announcehandler.go
@@ -10,21 +10,21 @@
 
 // Paths of the announcement listener.
 const (
-	// PathTarget takes PUT with an Announcement and answers GET with the target's state.
+	// PathTarget accepts PUT with an Announcement and answers GET with the target's state.
 	PathTarget = "/v1/target"
-	// PathDrain takes POST when the target leaves.
+	// PathDrain accepts POST to start the drain of the target.
 	PathDrain = "/v1/target/drain"
 )
 
 const maxAnnouncementBytes = 16 << 10
 
-// announceHandler takes the announcements of the target.
+// announceHandler serves the announcement listener.
 type announceHandler struct {
 	mu       sync.Mutex
 	current  Announcement
 	known    bool
 	draining bool
-	// announced takes the first announcement; drained is closed when the target leaves.
+	// announced receives the first announcement; drained is closed when the drain starts.
 	announced chan Announcement
 	drained   chan struct{}
 	state     func() string
@@ -34,7 +34,6 @@
 	return &announceHandler{announced: make(chan Announcement, 1), drained: make(chan struct{}), state: state}
 }
 
-// handler returns the HTTP handler of the listener.
 func (h *announceHandler) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathTarget, h.put)
@@ -62,15 +61,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// accept takes the first announcement; a repeated one must be equal, since a changed target is a new incarnation.
+// accept stores the first announcement. A repeated one must be equal, since a changed target needs a new incarnation.
 func (h *announceHandler) accept(a Announcement) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.draining {
-		return trace.CompareFailed("the target has drained; restart the agent to serve again")
+		return trace.CompareFailed("target is draining or has drained; restart the agent to serve again")
 	}
 	if h.known && h.current != a {
-		return trace.CompareFailed("announced before with other values; drain and restart the agent to change them")
+		return trace.CompareFailed("already announced with other values; drain and restart the agent to change them")
 	}
 	if !h.known {
 		h.known, h.current = true, a
--- a/pkg/agentd/announcehandler_test.go
+++ b/pkg/agentd/announcehandler_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `{"service":"route-svc","slots":3,"connections":2000}`
+const validAnnouncement = `{"service":"route-svc","slots":3,"connections":2000}`
 
 func send(t *testing.T, h http.Handler, method, path, body string) int {
 	t.Helper()
@@ -23,9 +23,9 @@
 		bodies []string
 		want   int
 	}{
-		"good":          {[]string{good}, http.StatusNoContent},
-		"repeated":      {[]string{good, good}, http.StatusNoContent},
-		"changed":       {[]string{good, `{"service":"route-svc","slots":4,"connections":2000}`}, http.StatusConflict},
+		"good":          {[]string{validAnnouncement}, http.StatusNoContent},
+		"repeated":      {[]string{validAnnouncement, validAnnouncement}, http.StatusNoContent},
+		"changed":       {[]string{validAnnouncement, `{"service":"route-svc","slots":4,"connections":2000}`}, http.StatusConflict},
 		"no service":    {[]string{`{"slots":3,"connections":2000}`}, http.StatusBadRequest},
 		"no slots":      {[]string{`{"service":"a","connections":1}`}, http.StatusBadRequest},
 		"unknown field": {[]string{`{"service":"a","slots":1,"connections":1,"x":1}`}, http.StatusBadRequest},
@@ -47,9 +47,9 @@
 func TestDrainIsFinal(t *testing.T) {
 	a := newAnnounceHandler(func() string { return "active" })
 	h := a.handler()
-	require.Equal(t, http.StatusNoContent, send(t, h, http.MethodPut, PathTarget, good))
+	require.Equal(t, http.StatusNoContent, send(t, h, http.MethodPut, PathTarget, validAnnouncement))
 	require.Equal(t, http.StatusAccepted, send(t, h, http.MethodPost, PathDrain, ""))
 	require.Equal(t, http.StatusAccepted, send(t, h, http.MethodPost, PathDrain, ""))
-	require.Equal(t, http.StatusConflict, send(t, h, http.MethodPut, PathTarget, good))
+	require.Equal(t, http.StatusConflict, send(t, h, http.MethodPut, PathTarget, validAnnouncement))
 	<-a.drained
 }
--- a/pkg/agentd/claim_rate.go
+++ b/pkg/agentd/claim_rate.go
@@ -1,24 +1,24 @@
 package agentd
 
-// Numbers of the claims that the agents make.
+// Limits on the claims that agents write to the object API.
 const (
-	// FleetClaims is the rate of all agents together, in claims a second: half of the several hundred writes a second
-	// that the object API takes, 300 being planned with. The other half is left to leases, configuration, members, refusal
-	// records and the deletion of old claims.
+	// FleetClaims is the rate of all agents together, in claims per second: half of the 300 writes per second that are
+	// planned for the object API, which takes several hundred. The other half is left to leases, configuration, members,
+	// refusal records and the deletion of old claims.
 	FleetClaims = 150
-	// ClaimBurst is the number of claims that an agent may make at once. An agent saves them up at its own rate, so that
-	// in the worst case 3,300 agents that were all idle, or have all just started, ask for 16,500 claims at one moment,
-	// and for FleetClaims a second from then on. What the object API doesn't take of that is refused as not run.
+	// ClaimBurst is the number of claims that an agent may write at once; unused ones accumulate at the agent's rate. In
+	// the worst case 3,300 agents that were all idle, or have all just started, send 16,500 claims at one moment and
+	// FleetClaims per second from then on. Requests whose claims the object API rejects are refused as not run.
 	ClaimBurst = 5
-	// mostAgents is the number of agents to design for.
-	mostAgents = 3300
+	// maxFleetAgents is the largest number of agents that the system is designed for.
+	maxFleetAgents = 3300
 )
 
-// claimRate returns an agent's part of the fleet's claims, in claims a second, at most limit. An unknown number of agents,
-// 0, is taken for the largest fleet, so that the sum holds whatever it is.
+// claimRate returns an agent's share of FleetClaims, in claims per second, at most limit. When the number of agents is
+// unknown (0), it assumes the largest fleet, so that the fleet's total stays within FleetClaims.
 func claimRate(limit float64, agents uint32) float64 {
 	if agents == 0 {
-		agents = mostAgents
+		agents = maxFleetAgents
 	}
 	return min(limit, FleetClaims/float64(agents))
 }
--- a/pkg/agentd/claim_rate_test.go
+++ b/pkg/agentd/claim_rate_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// The options of a server that starts late must follow the last number of agents, and those before one is known too.
-func TestServerStartsWithItsPartOfTheClaims(t *testing.T) {
+// A server that starts late must use the last reported number of agents, and the largest fleet before one is reported.
+func TestServerStartsWithItsShareOfClaims(t *testing.T) {
 	d := &Daemon{}
 	d.o.Settings.ObjectAPI.CallsPerSecond = 6
 	r := &requests{d: d}
--- a/pkg/agentd/daemon.go
+++ b/pkg/agentd/daemon.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Daemon is one agent process.
+// Daemon is an agent process.
 type Daemon struct {
 	o         Options
 	listener  net.Listener
@@ -30,11 +30,12 @@
 	killed    context.Context
 	kill      context.CancelFunc
 	once      sync.Once
-	// tls secures the connections between agents; nil means plain TCP.
+	// tls is the configuration of connections between agents; nil means plain TCP.
 	tls *tls.Config
 }
 
-// New opens the announcement listener. Run waits for the target's announcement and then serves it.
+// New loads the TLS files and opens the announcement and control listeners. Run waits for the target's announcement and
+// then serves the target.
 func New(o Options) (*Daemon, error) {
 	o = o.withDefaults()
 	l, err := net.Listen("tcp", o.Settings.AnnounceAddress)
@@ -69,13 +70,13 @@
 // AnnounceAddr returns the address of the announcement listener.
 func (d *Daemon) AnnounceAddr() string { return d.listener.Addr().String() }
 
-// Agent returns the packet path; nil until the target has announced itself.
+// Agent returns the packet path; nil before the target's announcement.
 func (d *Daemon) Agent() *agent.Agent { return d.agent.Load() }
 
 // Refusals returns the process's refusal records.
 func (d *Daemon) Refusals() *refusal.Log { return d.refusals }
 
-// announceDrain spreads that the target leaves, and stops new requests on connections that are open.
+// announceDrain announces that the target is draining, and stops new requests on open connections.
 func (d *Daemon) announceDrain() {
 	d.requests.drain()
 	if s := d.session.Load(); s != nil {
@@ -83,8 +84,8 @@
 	}
 }
 
-// targetDown ends the agent's life when its target takes no connection any more: a target that comes back announces
-// itself to the agent's next incarnation.
+// targetDown starts the drain, which ends the agent's incarnation, when the target refuses connections: a restarted
+// target announces itself to the agent's next incarnation.
 func (d *Daemon) targetDown(err error) {
 	d.o.Env.Log.Warn().Err(err).Str("op", "target-down").Str("peer", d.o.Settings.TargetAddress).Send()
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Kill closes every socket at once and tells nobody, as if the VM were gone.
+// Kill closes every socket immediately without notifying anyone, as a crash of the VM would.
 func (d *Daemon) Kill() {
 	d.once.Do(func() {
 		if s := d.session.Load(); s != nil {
--- a/pkg/agentd/daemon_test.go
+++ b/pkg/agentd/daemon_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-func TestUnusableTLSFilesEndTheStart(t *testing.T) {
+func TestUnreadableTLSFilesFailStartup(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
--- a/pkg/agentd/open.go
+++ b/pkg/agentd/open.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// openControl listens for the requests of other agents when the settings ask for it.
+// openControl opens the listener for requests that other agents hand over, if the settings give an address for it.
 func (d *Daemon) openControl() error {
 	addr := d.o.Settings.ControlAddress
 	if addr == "" {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// secure loads the TLS files that the settings name, so that a mistake in them ends the start.
+// secure loads the TLS files of the settings, so that an invalid file fails startup.
 func (d *Daemon) secure() error {
 	config, err := d.tlsFiles().Load()
 	if err != nil {
@@ -39,7 +39,6 @@
 	return nil
 }
 
-// tlsFiles returns the TLS files of the settings as the peers' connections take them.
 func (d *Daemon) tlsFiles() peer.TLSConfig {
 	s := d.o.Settings.TLS
 	return peer.TLSConfig{CA: s.CA, Cert: s.Certificate, Key: s.Key}
@@ -53,7 +52,7 @@
 	return d.control.Addr().String()
 }
 
-// parts are what runs once the target has announced itself.
+// parts holds the components that run from the target's announcement on.
 type parts struct {
 	agent   *agent.Agent
 	session *peer.Session
@@ -131,7 +130,7 @@
 		Seeds:    s.Balancers,
 		TLS:      d.tlsFiles(),
 		JoinTime: d.o.JoinTime,
-		Ready:    newReadiness(d.requests.service.Load, s.Name).ready,
+		Ready:    newReadiness(d.requests.service.Load, s.Name).isReady,
 		Load:     func() uint32 { return uint32(p.OpenFlows()) },
 		Counts:   func() (uint64, uint64) { return d.counts(p) },
 		OnView: d.o.WrapView(func(v *view.Service) {
--- a/pkg/agentd/options.go
+++ b/pkg/agentd/options.go
@@ -8,17 +8,17 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// Options are what a Daemon is made of.
+// Options configures a Daemon.
 type Options struct {
-	// Settings are the checked settings.
+	// Settings are the validated settings.
 	Settings settings.Agent
 	// Env holds logger, metrics and status.
 	Env telemetry.Env
-	// WrapView, when not nil, wraps the receiver of views. Programs that embed the daemon use it to hold views back.
+	// WrapView, when not nil, wraps the receiver of views. Programs that embed the daemon use it to delay views.
 	WrapView func(next func(*view.Service)) func(*view.Service)
-	// Incarnation replaces the start time in nanoseconds; 0 keeps it.
+	// Incarnation is the process's incarnation; 0 means the start time in Unix nanoseconds.
 	Incarnation uint64
-	// JoinTime replaces the time for which the agent stays joining; 0 keeps the default.
+	// JoinTime is how long the agent stays joining; 0 means the default.
 	JoinTime time.Duration
 }
 
--- a/pkg/agentd/peer_conn.go
+++ b/pkg/agentd/peer_conn.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// peerConn is the accepted side of a mutual TLS connection. It logs and closes the connection of a peer without a valid
+// peerConn is the server side of a mutual TLS connection. It logs and closes the connection if the peer has no valid
 // certificate.
 type peerConn struct {
 	*tls.Conn
@@ -18,24 +18,24 @@
 	err  error
 }
 
-// Read runs the handshake before the first byte.
+// Read runs the handshake before the first read.
 func (c *peerConn) Read(b []byte) (int, error) {
-	c.once.Do(c.admit)
+	c.once.Do(c.handshake)
 	if c.err != nil {
 		return 0, c.err
 	}
 	return c.Conn.Read(b)
 }
 
-// admit runs the handshake and closes the connection when it fails.
-func (c *peerConn) admit() {
+// handshake runs the TLS handshake and closes the connection when it fails.
+func (c *peerConn) handshake() {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	err := c.HandshakeContext(ctx)
 	if err == nil {
 		return
 	}
-	logRefused(c.log, "accept peer", c.RemoteAddr(), err)
+	logHandshakeFailure(c.log, "accept peer", c.RemoteAddr(), err)
 	_ = c.Close()
 	c.err = trace.Wrap(err, "TLS handshake with %s", c.RemoteAddr())
 }
--- a/pkg/agentd/peer_dialer.go
+++ b/pkg/agentd/peer_dialer.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// peerDialTimeout bounds the TCP connection to another agent.
+	// peerDialTimeout bounds the dial of a TCP connection to another agent.
 	peerDialTimeout = 2 * time.Second
-	// handshakeTimeout bounds the TLS handshake of either side.
+	// handshakeTimeout bounds the TLS handshake on either side.
 	handshakeTimeout = 5 * time.Second
 )
 
@@ -23,7 +23,7 @@
 	log    zerolog.Logger
 }
 
-// DialContext implements request.DialFunc. It fails when the peer's certificate isn't valid for the called address.
+// DialContext implements request.DialFunc. It fails when the peer's certificate isn't valid for the host of address.
 func (d *peerDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return d.secure(ctx, conn, host)
 }
 
-// secure runs the handshake on a connection to a host; it closes the connection when that fails.
+// secure runs the TLS handshake on a connection to host, and closes the connection if that fails.
 func (d *peerDialer) secure(ctx context.Context, conn net.Conn, host string) (net.Conn, error) {
 	config := d.config.Clone()
 	config.ServerName = host
@@ -49,14 +49,14 @@
 		return secure, nil
 	}
 	_ = conn.Close()
-	// A caller that gave up says nothing about the peer.
+	// A cancelled call isn't a failure of the peer.
 	if ctx.Err() == nil {
-		logRefused(d.log, "call peer", conn.RemoteAddr(), err)
+		logHandshakeFailure(d.log, "call peer", conn.RemoteAddr(), err)
 	}
 	return nil, trace.Wrap(err, "TLS handshake with agent %s", conn.RemoteAddr())
 }
 
-// logRefused logs a peer whose handshake failed, as connections to balancers do.
-func logRefused(log zerolog.Logger, op string, peer net.Addr, err error) {
+// logHandshakeFailure logs a failed handshake in the same form as the connections to balancers.
+func logHandshakeFailure(log zerolog.Logger, op string, peer net.Addr, err error) {
 	log.Warn().Str("op", op).Str("peer", peer.String()).Str("reason", err.Error()).Msg("peer refused")
 }
--- a/pkg/agentd/peer_listener.go
+++ b/pkg/agentd/peer_listener.go
@@ -14,8 +14,8 @@
 	log    zerolog.Logger
 }
 
-// Accept returns the next connection at once. The handshake runs with the connection's first read, so that a peer that
-// stalls it doesn't hold up the others.
+// Accept returns the next connection without waiting for its handshake, which runs at the connection's first read, so
+// that a peer that stalls its handshake doesn't block other peers.
 func (l *peerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/pkg/agentd/peer_table.go
+++ b/pkg/agentd/peer_table.go
@@ -7,11 +7,11 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// peerTable holds the other agents of a service as the view names them.
+// peerTable holds the other agents of a service, as listed in the view.
 type peerTable struct {
-	// candidates may be given new work.
+	// candidates are the agents that may be given new requests.
 	candidates []request.Peer
-	// all includes the draining ones, by name.
+	// all holds every agent with a control address, by name.
 	all map[string]request.Peer
 }
 
--- a/pkg/agentd/peer_table_test.go
+++ b/pkg/agentd/peer_table_test.go
@@ -19,5 +19,5 @@
 	p := newPeerTable(v, "self")
 	require.Len(t, p.candidates, 1)
 	require.Equal(t, "a", p.candidates[0].Agent)
-	require.Len(t, p.all, 3, "a draining agent is found for its tickets, but gets no new work")
+	require.Len(t, p.all, 3, "a draining agent can be found for its tickets but gets no new requests")
 }
--- a/pkg/agentd/readiness.go
+++ b/pkg/agentd/readiness.go
@@ -6,15 +6,15 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// settleTime is how long a target stays joining while others of its service serve: the time after which every process
-// has the view that names it, so that the owners of its future rows have announced their flows.
+// settleTime is how long a target stays joining while other targets of its service are serving. By then every process
+// has a view that lists the target, and the owners of flows in its future rows have notified it of them.
 const settleTime = 3 * time.Second
 
-// readiness says when a joining agent may become active.
+// readiness determines when a joining agent may become active.
 type readiness struct {
 	view func() *view.Service
 	self string
-	// began is when the agent had its first view.
+	// began is when isReady first found a view.
 	began time.Time
 	now   func() time.Time
 }
@@ -23,9 +23,9 @@
 	return &readiness{view: v, self: self, now: time.Now}
 }
 
-// ready reports whether the agent has a view, and either no other target serves or the others had time to announce their
-// flows. A balancer sends packets to an active agent; without a view it could only drop them.
-func (r *readiness) ready() bool {
+// isReady reports whether the agent has a view, and either no other target is serving or settleTime has passed since
+// the first view. Balancers send packets to active agents, and an agent without a view could only drop them.
+func (r *readiness) isReady() bool {
 	v := r.view()
 	if v == nil {
 		return false
@@ -33,10 +33,10 @@
 	if r.began.IsZero() {
 		r.began = r.now()
 	}
-	return r.alone(v) || r.now().Sub(r.began) >= settleTime
+	return r.isAlone(v) || r.now().Sub(r.began) >= settleTime
 }
 
-func (r *readiness) alone(v *view.Service) bool {
+func (r *readiness) isAlone(v *view.Service) bool {
 	for _, t := range v.Targets {
 		if t.ID != r.self && t.State != view.StateJoining {
 			return false
--- a/pkg/agentd/requests.go
+++ b/pkg/agentd/requests.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// requests is the request side of an agent. Its server starts with the first view in request mode.
+// requests serves an agent's flows in request mode. Its server starts with the first view in that mode.
 type requests struct {
 	d         *Daemon
 	announced Announcement
@@ -46,7 +46,7 @@
 	return r.server
 }
 
-// setService adopts a view of the agent's service, and starts the server when it is in request mode.
+// setService applies a view of the agent's service. It starts the server if the service is in request mode.
 func (r *requests) setService(v *view.Service) {
 	r.service.Store(v)
 	r.peers.Store(newPeerTable(v, r.d.o.Settings.Name))
@@ -59,17 +59,17 @@
 		return
 	}
 	if r.server != nil {
-		r.follow(v)
+		r.applyLimits(v)
 		return
 	}
 	r.start(v)
 }
 
-// start starts the server; the caller holds the lock.
+// start starts the server. The caller holds r.mu.
 func (r *requests) start(v *view.Service) {
 	s := request.New(r.options(v))
 	r.server = s
-	r.follow(v)
+	r.applyLimits(v)
 	if r.d.control != nil {
 		go func() { _ = s.ServeControl(r.d.control) }()
 	}
@@ -78,14 +78,14 @@
 	}
 }
 
-// follow brings changed limits into force; the caller holds the lock.
-func (r *requests) follow(v *view.Service) {
+// applyLimits applies the view's limits and evacuations to the server. The caller holds r.mu.
+func (r *requests) applyLimits(v *view.Service) {
 	r.server.SetLimits(r.slots(v), deadlineOf(v))
 	r.server.SetQueue(int(v.Spec.Limits.Queue))
 	r.server.SetEvacuated(slices.Contains(v.Spec.Evacuated, r.d.o.Settings.DataCentre))
 }
 
-// setAgents takes the number of live agents of the fleet, by which the claims are shared out.
+// setAgents applies the fleet's number of live agents, by which the claim rate is divided.
 func (r *requests) setAgents(agents uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// slots returns what the service allows of what the target announced.
+// slots returns the announced slots, at most the service's limit.
 func (r *requests) slots(v *view.Service) int {
 	slots := r.announced.Slots
 	if v.Spec.Limits.Slots > 0 {
@@ -110,7 +110,7 @@
 
 func (r *requests) options(v *view.Service) request.Options {
 	s := r.d.o.Settings
-	// The settings were checked, so that the address is valid.
+	// The settings were validated, so the address parses.
 	target, _ := netip.ParseAddrPort(s.TargetAddress)
 	eras := objectapi.NewEras()
 	return request.Options{
@@ -135,7 +135,7 @@
 	}
 }
 
-// dialPeer returns how other agents are reached: by TLS when the settings name its files, else nil for plain TCP.
+// dialPeer returns the dial function for other agents: TLS if configured, else nil for plain TCP.
 func (r *requests) dialPeer() request.DialFunc {
 	if r.d.tls == nil {
 		return nil
@@ -143,7 +143,7 @@
 	return (&peerDialer{config: r.d.tls, log: r.d.o.Env.Log}).DialContext
 }
 
-// store returns the object API for claims; nil when the settings name none.
+// store returns the object API client for claims; nil when the settings give no URL.
 func (r *requests) store(eras *objectapi.Eras) objectapi.Store {
 	s := r.d.o.Settings.ObjectAPI
 	if s.URL == "" {
@@ -180,7 +180,7 @@
 	return p, ok
 }
 
-// drain stops new requests; those that run are answered.
+// drain stops new requests; running ones are still answered.
 func (r *requests) drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,14 +194,14 @@
 	go func() { _ = s.Drain(r.d.killed) }()
 }
 
-// await waits until no request is in progress, also none that another agent handed over, or until ctx ends.
+// await blocks until no request is in progress, including those that other agents handed over, or until ctx ends.
 func (r *requests) await(ctx context.Context) {
 	if s := r.current(); s != nil {
 		_ = s.Drain(ctx)
 	}
 }
 
-// close ends the server; connections that are still open are cut.
+// close closes the server with its open connections, and the control listener.
 func (r *requests) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/agentd/run.go
+++ b/pkg/agentd/run.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// leaveLinger is how long a drained agent goes on forwarding packets of other agents' flows after it has left, so that
-// balancers that learn of it late lose nothing.
+// leaveLinger is how long a drained agent keeps forwarding packets of other agents' flows after it has left the
+// membership, for balancers that receive the change late. It also bounds the final transfer of refusal records.
 const leaveLinger = 2 * time.Second
 
-// Run waits for the target's announcement and serves it until ctx ends or the target drains. Either way flows get their
-// drain time to end.
+// Run waits for the target's announcement and serves the target until ctx ends or the target drains. In both cases open
+// flows get the drain time to end.
 func (d *Daemon) Run(ctx context.Context) error {
 	g, run := errgroup.WithContext(d.killed)
 	server := &http.Server{Handler: d.announce.handler(), ReadHeaderTimeout: time.Second}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// serve runs the packet path and the control session from the announcement to the end of the drain.
+// serve runs the packet path and the control session from the target's announcement until the drain has finished.
 func (d *Daemon) serve(ctx, run context.Context) error {
 	a, ok := d.awaitAnnouncement(ctx, run)
 	if !ok {
@@ -89,8 +89,8 @@
 	}
 }
 
-// drain lets flows and requests end, hands over the refusal records, leaves the membership and forwards late packets a
-// while. A request that another agent hands over in that while is answered too.
+// drain waits for flows and requests to end, sends the refusal records to balancers, leaves the membership and keeps
+// forwarding packets for leaveLinger. Requests that other agents hand over meanwhile are answered too.
 func (d *Daemon) drain(run context.Context, p parts, leave context.CancelFunc) {
 	if run.Err() != nil {
 		return
--- a/pkg/agentd/status.go
+++ b/pkg/agentd/status.go
@@ -4,7 +4,7 @@
 
 // Status describes an agent for its status listener.
 type Status struct {
-	// State is the target's state in the membership; "unannounced" before the target's announcement.
+	// State is the target's membership state; "unannounced" before the target's announcement.
 	State string `json:"state"`
 	// Service is the announced service.
 	Service string `json:"service,omitempty"`
@@ -14,7 +14,7 @@
 	RefusalsHeld int `json:"refusalsHeld"`
 }
 
-// Load returns what the agent observes of its target's requests; zero unless the service is in request mode.
+// Load returns the observed load of the target's requests; zero unless the service is in request mode.
 func (d *Daemon) Load() limit.Load {
 	s := d.requests.current()
 	if s == nil {
--- a/pkg/agentd/transport.go
+++ b/pkg/agentd/transport.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// transport hands the agent's refusal records to balancers, which write them.
+// transport sends the agent's refusal records to balancers, which write them to the store.
 type transport struct {
 	session atomic.Pointer[peer.Session]
 }
