--- a/pkg/agent/copy.go
+++ b/pkg/agent/copy.go
@@ -63,7 +63,7 @@
 	}
 }
 
-var errTargetClosed = errors.New("target closed the connection and refuses new ones")
+var errTargetClosed = errors.New("the target closed the connection and takes no new one")
 
 // handleTargetError resets the flow after an error on the target's connection. A target that has already closed its
 // connection in both directions answers later bytes with a reset, which is not recorded as a failure of the target.
--- a/pkg/agent/drain.go
+++ b/pkg/agent/drain.go
@@ -59,7 +59,7 @@
 		if state, _ := f.status(); state == flowEnded {
 			continue
 		}
-		a.record(s, f.key, f.hash, refusal.ReasonDrainTimeOver, "flow was still open when the drain time ended", a.deps.Now())
+		a.record(s, f.key, f.hash, refusal.ReasonDrainTimeOver, "the flow was open when the drain time was over", a.deps.Now())
 		f.abort()
 	}
 }
