--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -20,7 +20,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// Balancer forwards the fabric's packets to agents.
+// Balancer forwards packets from the fabric to agents.
 type Balancer struct {
 	cfg      Config
 	deps     Deps
@@ -38,7 +38,7 @@
 	viewMu     sync.Mutex
 }
 
-// New opens the packet socket. It returns every mistake of the configuration at once.
+// New opens the packet socket. The error for an invalid configuration lists all invalid fields.
 func New(cfg Config, deps Deps) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, trace.Wrap(err, "balancer configuration")
@@ -59,7 +59,7 @@
 		refusals: rate.NewLimiter(rate.Limit(cfg.RefusalRate), cfg.RefusalRate),
 	}
 	b.self = encodeAgent(b.Addr())
-	b.tuneSocket()
+	b.configureSocket()
 	return b, nil
 }
 
@@ -69,8 +69,8 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// SetView puts a view in force for all later packets. It ignores a view of a lower revision and reports whether it was
-// adopted. The view must not be changed afterwards.
+// SetView applies a view to all later packets and reports whether it did; a nil view and one of a lower revision are
+// ignored. The view must not be modified afterwards.
 func (b *Balancer) SetView(v *view.View) bool {
 	b.viewMu.Lock()
 	defer b.viewMu.Unlock()
@@ -83,8 +83,8 @@
 	return true
 }
 
-// Run forwards packets until ctx ends, then goes on until no packet has come for the quiet time or the drain time is
-// over, so that packets that the fabric still sends here reach their agents.
+// Run forwards packets until ctx ends, then drains: it continues until no packet has arrived for the quiet time or the
+// drain time is over, since the fabric may still send packets here.
 func (b *Balancer) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for range b.cfg.Workers {
@@ -92,38 +92,38 @@
 	}
 	done := make(chan struct{})
 	g.Go(func() error {
-		b.housekeep(done)
+		b.runOverflowReports(done)
 		return nil
 	})
 	g.Go(func() error {
 		defer close(done)
-		b.waitForEnd(ctx)
+		b.closeAfterDrain(ctx)
 		return nil
 	})
 	return trace.Wrap(g.Wait(), "forward packets")
 }
 
-// Kill closes the packet socket at once; Run then returns.
+// Kill closes the packet socket immediately; Run then returns.
 func (b *Balancer) Kill() { _ = b.conn.Close() }
 
-// waitForEnd returns after the socket was closed, by Kill or at the end of the draining.
-func (b *Balancer) waitForEnd(ctx context.Context) {
+// closeAfterDrain waits until ctx ends and the drain is over, then closes the packet socket.
+func (b *Balancer) closeAfterDrain(ctx context.Context) {
 	<-ctx.Done()
 	limit := b.deps.Now().Add(b.cfg.DrainTime)
 	tick := time.NewTicker(b.cfg.QuietTime / 2)
 	defer tick.Stop()
-	for now := b.deps.Now(); now.Before(limit) && !b.quiet(now); now = b.deps.Now() {
+	for now := b.deps.Now(); now.Before(limit) && !b.isQuiet(now); now = b.deps.Now() {
 		<-tick.C
 	}
 	b.Kill()
 }
 
-func (b *Balancer) quiet(now time.Time) bool {
+func (b *Balancer) isQuiet(now time.Time) bool {
 	return now.Sub(time.Unix(0, b.lastPacket.Load())) >= b.cfg.QuietTime
 }
 
-// housekeep writes the records of refusals above the rate until done is closed.
-func (b *Balancer) housekeep(done <-chan struct{}) {
+// runOverflowReports records refusals above the rate once per refusalReportPeriod, and a last time when done is closed.
+func (b *Balancer) runOverflowReports(done <-chan struct{}) {
 	tick := time.NewTicker(refusalReportPeriod)
 	defer tick.Stop()
 	for {
@@ -137,25 +137,25 @@
 	}
 }
 
-// send sends what is queued. A refusal by an earlier receiver's host is reported in place of a later datagram, which is
-// then tried once more.
+// send sends the queued datagrams. The kernel may return the refusal of an earlier datagram instead of sending one,
+// which is then retried once.
 func (b *Balancer) send(q *batch) {
 	rest := q.take()
-	again := true
+	retry := true
 	for len(rest) > 0 {
 		n, err := q.conn.WriteBatch(rest, 0)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, syscall.ECONNREFUSED) && again:
+		case errors.Is(err, syscall.ECONNREFUSED) && retry:
 			b.drainErrors()
-			again = false
+			retry = false
 		case err != nil:
 			b.metrics.sendErrors.Inc(1)
 			n = max(n, 1)
-			again = true
+			retry = true
 		default:
-			again = true
+			retry = true
 		}
 		rest = rest[max(n, 0):]
 	}
@@ -169,7 +169,7 @@
 	b.metrics.receiveError.Inc(1)
 }
 
-// logRoute writes the line of a new flow.
+// logRoute logs the routing of a new flow.
 func (b *Balancer) logRoute(r *route, k flow.Key, hash uint64, first netip.AddrPort, row []byte) {
 	e := b.deps.Log.Info()
 	if e == nil {
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -31,7 +31,7 @@
 	start       = time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
 )
 
-// records is a refusal.Recorder that keeps what it gets.
+// records is a refusal.Recorder that stores records in memory.
 type records struct {
 	mu  sync.Mutex
 	all []refusal.Record
@@ -54,7 +54,7 @@
 	return out
 }
 
-type bench struct {
+type harness struct {
 	b       *Balancer
 	w       *worker
 	log     *bytes.Buffer
@@ -62,8 +62,8 @@
 	scope   tally.TestScope
 }
 
-func newBench(t testing.TB, edit func(*Config, *Deps)) *bench {
-	x := &bench{log: &bytes.Buffer{}, records: &records{}, scope: tally.NewTestScope("", nil)}
+func newHarness(t testing.TB, edit func(*Config, *Deps)) *harness {
+	x := &harness{log: &bytes.Buffer{}, records: &records{}, scope: tally.NewTestScope("", nil)}
 	cfg := Config{Name: "b1", Listen: loopback, Fabric: netip.MustParseAddrPort("127.0.0.1:9"), CachedFlows: 4096}
 	deps := Deps{
 		Log:      zerolog.New(x.log),
@@ -81,7 +81,7 @@
 	return x
 }
 
-func (x *bench) count(name string) int64 {
+func (x *harness) count(name string) int64 {
 	return x.scope.Snapshot().Counters()["balancer."+name+"+"].Value()
 }
 
@@ -101,7 +101,7 @@
 	return s
 }
 
-func zarqa() *view.View {
+func testView() *view.View {
 	return &view.View{Revision: 3, Services: []*view.Service{
 		serviceOf("reports-svc", 2, reportsAddr, 4, resource.ProtocolTCP),
 		serviceOf("route-svc", 1, routeAddr, 7, ""),
@@ -141,8 +141,8 @@
 }
 
 func TestRoutesToFirstOfRow(t *testing.T) {
-	x := newBench(t, nil)
-	require.True(t, x.b.SetView(zarqa()))
+	x := newHarness(t, nil)
+	require.True(t, x.b.SetView(testView()))
 	for port := uint16(1000); port < 1100; port++ {
 		p := tcpPacket(port, routeAddr, header.TCPFlagSyn)
 		to, out := x.w.handle(p, loopback, start)
@@ -161,9 +161,9 @@
 }
 
 func TestSameRowOnEveryBalancer(t *testing.T) {
-	x, y := newBench(t, nil), newBench(t, nil)
-	x.b.SetView(zarqa())
-	y.b.SetView(zarqa())
+	x, y := newHarness(t, nil), newHarness(t, nil)
+	x.b.SetView(testView())
+	y.b.SetView(testView())
 	for port := uint16(1000); port < 1100; port++ {
 		p := tcpPacket(port, reportsAddr, header.TCPFlagAck)
 		_, a := x.w.handle(p, loopback, start)
@@ -173,8 +173,8 @@
 }
 
 func TestOneLogLineForEachNewFlow(t *testing.T) {
-	x := newBench(t, nil)
-	x.b.SetView(zarqa())
+	x := newHarness(t, nil)
+	x.b.SetView(testView())
 	p := tcpPacket(1000, routeAddr, header.TCPFlagSyn)
 	x.w.handle(p, loopback, start)
 	x.w.handle(p, loopback, start.Add(time.Second))
@@ -186,12 +186,12 @@
 		require.Contains(t, x.log.String(), field)
 	}
 	x.w.handle(p, loopback, start.Add(time.Minute))
-	require.Equal(t, 2, bytes.Count(x.log.Bytes(), []byte("\n")), "a later life of the flow is a new flow")
+	require.Equal(t, 2, bytes.Count(x.log.Bytes(), []byte("\n")), "an opening packet after the window is a new flow")
 }
 
 func TestLearnedOwner(t *testing.T) {
-	x := newBench(t, nil)
-	x.b.SetView(zarqa())
+	x := newHarness(t, nil)
+	x.b.SetView(testView())
 	p := tcpPacket(1000, routeAddr, header.TCPFlagAck)
 	first, _ := x.w.handle(p, loopback, start)
 	owner := agentAddr(1, 0)
@@ -209,7 +209,7 @@
 	to, _ = x.w.handle(tcpPacket(1000, routeAddr, header.TCPFlagSyn), loopback, start)
 	require.Equal(t, first, to, "an opening packet goes to the first of the row")
 	to, _ = x.w.handle(p, loopback, start)
-	require.Equal(t, first, to, "an opening packet ends the earlier life")
+	require.Equal(t, first, to, "an opening packet removes the learned owner")
 }
 
 // udpPacket turns a TCP packet into a UDP one of the same addresses and ports.
@@ -224,8 +224,8 @@
 }
 
 func TestLearnedOwnerOfUDPFlow(t *testing.T) {
-	x := newBench(t, nil)
-	v := zarqa()
+	x := newHarness(t, nil)
+	v := testView()
 	v.Services[1] = serviceOf("route-svc", 1, routeAddr, 7, resource.ProtocolUDP)
 	x.b.SetView(v)
 	p := udpPacket(1000, routeAddr)
@@ -240,24 +240,24 @@
 		to, _ := x.w.handle(p, loopback, start)
 		require.Equal(t, owner, to)
 	}
-	require.Equal(t, 1, bytes.Count(x.log.Bytes(), []byte("\n")), "one line for the flow, none for a packet")
+	require.Equal(t, 1, bytes.Count(x.log.Bytes(), []byte("\n")), "one line for the flow, not for each packet")
 }
 
 func TestLearnedOwnerEnds(t *testing.T) {
-	without := zarqa()
+	without := testView()
 	without.Services[1].Targets = without.Services[1].Targets[1:]
 	tests := map[string]struct {
-		change func(x *bench)
+		change func(x *harness)
 		at     time.Time
 	}{
-		"owner left the view":  {func(x *bench) { x.b.SetView(without) }, start},
-		"time is over":         {func(*bench) {}, start.Add(DefaultCacheTime + time.Second)},
-		"owner is unreachable": {func(x *bench) { x.b.agentUnreachable(agentAddr(1, 0)) }, start},
+		"owner left the view":  {func(x *harness) { x.b.SetView(without) }, start},
+		"time is over":         {func(*harness) {}, start.Add(DefaultCacheTime + time.Second)},
+		"owner is unreachable": {func(x *harness) { x.b.agentUnreachable(agentAddr(1, 0)) }, start},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newBench(t, nil)
-			x.b.SetView(zarqa())
+			x := newHarness(t, nil)
+			x.b.SetView(testView())
 			for port := uint16(1000); port < 1020; port++ {
 				p := tcpPacket(port, routeAddr, header.TCPFlagAck)
 				x.w.handle(learnedMessage(t, "route-svc", hashOf(t, p), agentAddr(1, 0)), agentAddr(1, 3), start)
@@ -271,8 +271,8 @@
 }
 
 func TestHostileDatagrams(t *testing.T) {
-	x := newBench(t, nil)
-	x.b.SetView(zarqa())
+	x := newHarness(t, nil)
+	x.b.SetView(testView())
 	p := tcpPacket(1000, routeAddr, header.TCPFlagAck)
 	hash := hashOf(t, p)
 	agent, foreign := agentAddr(1, 0), netip.MustParseAddrPort("127.9.9.9:1")
@@ -306,7 +306,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	empty := zarqa()
+	empty := testView()
 	empty.Services[1].Targets = nil
 	tests := map[string]struct {
 		view *view.View
@@ -315,13 +315,13 @@
 	}{
 		"no view":         {nil, routeAddr, refusal.ReasonNoConfiguration},
 		"no revision":     {&view.View{}, routeAddr, refusal.ReasonNoConfiguration},
-		"unknown address": {zarqa(), netip.MustParseAddrPort("198.51.100.9:80"), refusal.ReasonUnknownAddress},
-		"unknown port":    {zarqa(), netip.MustParseAddrPort("198.51.100.1:81"), refusal.ReasonUnknownAddress},
+		"unknown address": {testView(), netip.MustParseAddrPort("198.51.100.9:80"), refusal.ReasonUnknownAddress},
+		"unknown port":    {testView(), netip.MustParseAddrPort("198.51.100.1:81"), refusal.ReasonUnknownAddress},
 		"no target":       {empty, routeAddr, refusal.ReasonNoTarget},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			x := newBench(t, nil)
+			x := newHarness(t, nil)
 			x.b.SetView(tt.view)
 			later := start.Add(DefaultStartTime)
 			p := tcpPacket(1000, tt.to, header.TCPFlagSyn)
@@ -344,9 +344,10 @@
 	}
 }
 
-// TestStartingBalancerRefusesNothingItMayNotKnow: a newcomer without configuration once reset established flows.
-func TestStartingBalancerRefusesNothingItMayNotKnow(t *testing.T) {
-	x := newBench(t, nil)
+// TestStartingBalancerDropsUnroutablePackets guards against a newly started balancer without configuration that
+// refuses opening packets or resets established flows.
+func TestStartingBalancerDropsUnroutablePackets(t *testing.T) {
+	x := newHarness(t, nil)
 	for _, flags := range []header.TCPFlags{header.TCPFlagSyn, header.TCPFlagAck} {
 		_, out := x.w.handle(tcpPacket(1000, routeAddr, flags), loopback, start.Add(DefaultStartTime-1))
 		require.Nil(t, out)
@@ -356,8 +357,8 @@
 }
 
 func TestRefusalsAboveRateAreMerged(t *testing.T) {
-	x := newBench(t, func(c *Config, _ *Deps) { c.RefusalRate = 5 })
-	x.b.SetView(zarqa())
+	x := newHarness(t, func(c *Config, _ *Deps) { c.RefusalRate = 5 })
+	x.b.SetView(testView())
 	nowhere := netip.MustParseAddrPort("198.51.100.9:80")
 	answered := 0
 	for port := uint16(1000); port < 1100; port++ {
@@ -372,8 +373,8 @@
 }
 
 func TestLowerRevisionIsIgnored(t *testing.T) {
-	x := newBench(t, nil)
-	require.True(t, x.b.SetView(zarqa()))
+	x := newHarness(t, nil)
+	require.True(t, x.b.SetView(testView()))
 	require.False(t, x.b.SetView(&view.View{Revision: 2}))
 	_, out := x.w.handle(tcpPacket(1000, routeAddr, header.TCPFlagSyn), loopback, start)
 	require.Equal(t, "route-svc", decode(t, out).Service)
@@ -386,17 +387,17 @@
 	}
 }
 
-// TestUnreachableAgent sends to a closed port and expects the word of the host's refusal.
+// TestUnreachableAgent sends to a closed port and expects OnUnreachable to report the agent.
 func TestUnreachableAgent(t *testing.T) {
 	gone, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
 	require.NoError(t, err)
 	agent := gone.LocalAddr().(*net.UDPAddr).AddrPort()
 	require.NoError(t, gone.Close())
 	reported := make(chan netip.AddrPort, 1)
-	x := newBench(t, func(_ *Config, d *Deps) {
+	x := newHarness(t, func(_ *Config, d *Deps) {
 		d.OnUnreachable = func(a netip.AddrPort) { reported <- a }
 	})
-	v := zarqa()
+	v := testView()
 	v.Services[1].Targets = v.Services[1].Targets[:1]
 	v.Services[1].Targets[0].Agent = agent
 	x.b.SetView(v)
@@ -411,16 +412,16 @@
 	require.Equal(t, agent, <-reported)
 }
 
-// TestRunEndsAfterQuietTime forwards a packet over real sockets and then leaves.
+// TestRunEndsAfterQuietTime forwards a packet over real sockets and then ends Run's context.
 func TestRunEndsAfterQuietTime(t *testing.T) {
 	agent, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
 	require.NoError(t, err)
 	defer agent.Close()
-	x := newBench(t, func(c *Config, d *Deps) {
+	x := newHarness(t, func(c *Config, d *Deps) {
 		c.QuietTime = 10 * time.Millisecond
 		d.Now = time.Now
 	})
-	v := zarqa()
+	v := testView()
 	v.Services[1].Targets = v.Services[1].Targets[:1]
 	v.Services[1].Targets[0].Agent = agent.LocalAddr().(*net.UDPAddr).AddrPort()
 	x.b.SetView(v)
@@ -446,8 +447,8 @@
 	p := tcpPacket(1000, routeAddr, header.TCPFlagSyn)
 	f.Add(p)
 	f.Add(learnedMessage(f, "route-svc", 1, agentAddr(1, 0)))
-	x := newBench(f, func(_ *Config, d *Deps) { d.Log = zerolog.Nop() })
-	x.b.SetView(zarqa())
+	x := newHarness(f, func(_ *Config, d *Deps) { d.Log = zerolog.Nop() })
+	x.b.SetView(testView())
 	f.Fuzz(func(t *testing.T, in []byte) {
 		to, out := x.w.handle(in, agentAddr(1, 0), start)
 		if out == nil {
--- a/pkg/balancer/batch.go
+++ b/pkg/balancer/batch.go
@@ -7,13 +7,13 @@
 	"golang.org/x/net/ipv4"
 )
 
-// batch holds the datagrams that one system call reads, and those that one system call sends. It works on IPv6 sockets
-// too.
+// batch holds the buffers for datagrams that one system call reads and one system call sends. It works on IPv4 and IPv6
+// sockets.
 type batch struct {
 	conn *ipv4.PacketConn
 	in   []ipv4.Message
 	out  []ipv4.Message
-	// buffers and addrs belong to the slots of out.
+	// buffers and addrs hold the bytes and addresses of the slots of out.
 	buffers [][]byte
 	addrs   []net.UDPAddr
 	used    int
@@ -36,7 +36,7 @@
 	return b
 }
 
-// read waits for datagrams and returns how many came.
+// read blocks until datagrams arrive and returns their number.
 func (b *batch) read() (int, error) { return b.conn.ReadBatch(b.in, 0) }
 
 // received returns datagram i and its sender.
@@ -53,7 +53,7 @@
 // buffer returns the buffer of the next datagram to send.
 func (b *batch) buffer() []byte { return b.buffers[b.used] }
 
-// add queues a datagram; it must stay as it is until the queue was sent.
+// add queues a datagram; out must not be modified until the queue has been sent.
 func (b *batch) add(out []byte, to netip.AddrPort) {
 	m, addr := &b.out[b.used], &b.addrs[b.used]
 	addr.IP = appendIP(addr.IP[:0], to.Addr())
@@ -72,7 +72,7 @@
 	return append(b, v[:]...)
 }
 
-// take returns the queue and empties it.
+// take returns the queued datagrams and empties the queue.
 func (b *batch) take() []ipv4.Message {
 	out := b.out[:b.used]
 	b.used = 0
--- a/pkg/balancer/bench_test.go
+++ b/pkg/balancer/bench_test.go
@@ -18,8 +18,8 @@
 
 const benchFlows = 1 << 12
 
-func speedBench(b *testing.B) *bench {
-	return newBench(b, func(c *Config, d *Deps) {
+func newBenchmarkHarness(b *testing.B) *harness {
+	return newHarness(b, func(c *Config, d *Deps) {
 		c.CachedFlows = benchFlows * 4
 		d.Log = zerolog.New(io.Discard)
 		d.Metrics = tally.NoopScope
@@ -35,17 +35,17 @@
 	return packets
 }
 
-func (x *bench) learnAll(b testing.TB, packets [][]byte) {
+func (x *harness) learnAll(b testing.TB, packets [][]byte) {
 	for i, p := range packets {
 		m := learnedMessage(b, "route-svc", hashOf(b, p), agentAddr(1, i%7))
 		x.w.handle(m, agentAddr(1, 0), time.Now())
 	}
 }
 
-// BenchmarkKnownFlow decides on packets of flows with a learned owner, from the received bytes to the datagram.
+// BenchmarkKnownFlow routes packets of flows with a learned owner, from the received bytes to the datagram.
 func BenchmarkKnownFlow(b *testing.B) {
-	x := speedBench(b)
-	x.b.SetView(zarqa())
+	x := newBenchmarkHarness(b)
+	x.b.SetView(testView())
 	packets := benchPackets(header.TCPFlagAck)
 	x.learnAll(b, packets)
 	b.ReportAllocs()
@@ -56,24 +56,24 @@
 	}
 }
 
-// BenchmarkNewFlow decides on opening packets, log line included.
+// BenchmarkNewFlow routes opening packets, including the log line.
 func BenchmarkNewFlow(b *testing.B) {
-	x := speedBench(b)
-	x.b.SetView(zarqa())
+	x := newBenchmarkHarness(b)
+	x.b.SetView(testView())
 	packets := benchPackets(header.TCPFlagSyn)
 	b.ReportAllocs()
 	i := 0
 	now := start
 	for b.Loop() {
 		if i%benchFlows == 0 {
-			now = now.Add(2 * logOpeningAgainAfter)
+			now = now.Add(2 * openingRepeatWindow)
 		}
 		x.w.handle(packets[i%benchFlows], loopback, now)
 		i++
 	}
 }
 
-// BenchmarkCacheMemory reports the memory of the cache for each flow that it holds.
+// BenchmarkCacheMemory reports the memory of the cache per held flow.
 func BenchmarkCacheMemory(b *testing.B) {
 	const flows = 1 << 19
 	var before, after runtime.MemStats
@@ -100,12 +100,12 @@
 	require.LessOrEqual(b, unsafe.Sizeof(entry{}), uintptr(32))
 }
 
-// BenchmarkWorkers decides with 1 to 8 workers on one balancer's tables.
+// BenchmarkWorkers routes packets with 1 to 8 workers that share one balancer.
 func BenchmarkWorkers(b *testing.B) {
 	for _, n := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprintf("%d", n), func(b *testing.B) {
-			x := speedBench(b)
-			x.b.SetView(zarqa())
+			x := newBenchmarkHarness(b)
+			x.b.SetView(testView())
 			packets := benchPackets(header.TCPFlagAck)
 			x.learnAll(b, packets)
 			done := make(chan struct{})
--- a/pkg/balancer/cache.go
+++ b/pkg/balancer/cache.go
@@ -11,7 +11,7 @@
 	cacheWays   = 4
 )
 
-// entry is one flow of the cache. It holds no pointer, so that the garbage collector skips the cache.
+// entry is a cached flow. It holds no pointers, so the garbage collector doesn't scan the cache.
 type entry struct {
 	flow    uint64
 	expires uint32
@@ -20,22 +20,21 @@
 	learned bool
 }
 
-// cacheShard is a part of the cache with its own lock.
 type cacheShard struct {
 	mu      sync.Mutex
 	entries []entry
 	_       [32]byte
 }
 
-// cache maps flow hashes to learned owners. It is a set-associative table of fixed size: when the set of a flow is full,
-// the entry that expires first makes room.
+// cache maps flow hashes to learned owners. It is a set-associative table of fixed size: when the set of a flow is
+// full, the entry that expires first is replaced.
 type cache struct {
 	epoch  time.Time
 	shards [cacheShards]cacheShard
 	mask   uint64
 }
 
-// newCache returns a cache for about flows entries; expiry is counted in seconds from epoch.
+// newCache returns a cache with at least flows entries; expiry times are stored in seconds since epoch.
 func newCache(flows int, epoch time.Time) *cache {
 	sets := (flows + cacheShards*cacheWays - 1) / (cacheShards * cacheWays)
 	sets = 1 << bits.Len(uint(max(sets, 1)-1))
@@ -71,7 +70,7 @@
 	return e.owner, true
 }
 
-// learn stores the owner of a flow for the time ttl.
+// learn stores the owner of a flow for ttl.
 func (c *cache) learn(flow uint64, owner agentKey, now time.Time, ttl time.Duration) {
 	s := c.shard(flow)
 	s.mu.Lock()
@@ -80,21 +79,21 @@
 	*e = entry{flow: flow, owner: owner, used: true, learned: true, expires: c.seconds(now.Add(ttl))}
 }
 
-// open forgets the owner of a flow that starts anew and reports whether this is its first opening packet. A repeated
-// opening packet within the time again is not the first. After an owner was learned, an opening packet starts a new life
-// of the flow, but for a connectionless one, whose packets all look like opening packets.
-func (c *cache) open(flow uint64, connectionless bool, now time.Time, again time.Duration) bool {
+// recordOpening removes the learned owner of a flow and reports whether this is the first opening packet of a new flow.
+// A retransmission within repeatWindow is not the first. After an owner was learned, an opening packet starts a new
+// flow with the same key, unless the flow is connectionless: all its packets look like opening packets.
+func (c *cache) recordOpening(flow uint64, connectionless bool, now time.Time, repeatWindow time.Duration) bool {
 	s := c.shard(flow)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := findOrReplace(c.set(s, flow), flow)
 	repeated := e.used && e.flow == flow && e.expires > c.seconds(now) && (connectionless || !e.learned)
-	*e = entry{flow: flow, used: true, expires: c.seconds(now.Add(again))}
+	*e = entry{flow: flow, used: true, expires: c.seconds(now.Add(repeatWindow))}
 	return !repeated
 }
 
-// forget drops a flow.
-func (c *cache) forget(flow uint64) {
+// remove evicts a flow.
+func (c *cache) remove(flow uint64) {
 	s := c.shard(flow)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// findOrReplace returns the flow's entry, or else a free one, or else the one that expires first.
+// findOrReplace returns the flow's entry, or else a free entry, or else the one that expires first.
 func findOrReplace(set []entry, flow uint64) *entry {
 	oldest := &set[0]
 	for i := range set {
--- a/pkg/balancer/config.go
+++ b/pkg/balancer/config.go
@@ -10,29 +10,29 @@
 
 // Defaults of a Config's fields.
 const (
-	DefaultWorkers       = 4
-	DefaultCachedFlows   = 1 << 19
-	DefaultCacheTime     = 5 * time.Minute
-	DefaultRefusalRate   = 200
-	DefaultDrainTime     = 10 * time.Second
-	DefaultQuietTime     = 500 * time.Millisecond
-	DefaultStartTime     = 4 * time.Second
-	DefaultSocketBuffer  = 8 << 20
-	maxWorkers           = 256
-	maxPacketSize        = 64 << 10
-	datagramOverhead     = 2 << 10
-	batchSize            = 32
-	refusalReportPeriod  = time.Second
-	logOpeningAgainAfter = 10 * time.Second
+	DefaultWorkers      = 4
+	DefaultCachedFlows  = 1 << 19
+	DefaultCacheTime    = 5 * time.Minute
+	DefaultRefusalRate  = 200
+	DefaultDrainTime    = 10 * time.Second
+	DefaultQuietTime    = 500 * time.Millisecond
+	DefaultStartTime    = 4 * time.Second
+	DefaultSocketBuffer = 8 << 20
+	maxWorkers          = 256
+	maxPacketSize       = 64 << 10
+	datagramOverhead    = 2 << 10
+	batchSize           = 32
+	refusalReportPeriod = time.Second
+	openingRepeatWindow = 10 * time.Second
 )
 
 // Config holds the settings of a balancer.
 type Config struct {
 	// Name identifies the balancer in logs and refusal records.
 	Name string
-	// Listen is the address of the packet socket; port 0 takes a free one.
+	// Listen is the address of the packet socket; port 0 selects a free port.
 	Listen netip.AddrPort
-	// Fabric is the fabric's address for packets to callers.
+	// Fabric is the address that packets to callers are sent to.
 	Fabric netip.AddrPort
 	// Workers is the number of goroutines that decide on packets; 0 means DefaultWorkers.
 	Workers int
@@ -40,14 +40,14 @@
 	CachedFlows int
 	// CacheTime is how long a learned owner is used; 0 means DefaultCacheTime.
 	CacheTime time.Duration
-	// RefusalRate is the highest number of refusals answered in a second; 0 means DefaultRefusalRate.
+	// RefusalRate is the highest number of refusals answered per second; 0 means DefaultRefusalRate.
 	RefusalRate int
-	// DrainTime bounds how long Run forwards packets after its context ended; 0 means DefaultDrainTime.
+	// DrainTime bounds how long Run forwards packets after its context has ended; 0 means DefaultDrainTime.
 	DrainTime time.Duration
 	// StartTime is how long after its start a balancer without configuration or targets drops opening packets instead of
 	// refusing them; 0 means DefaultStartTime.
 	StartTime time.Duration
-	// QuietTime without any packet ends the draining early; 0 means DefaultQuietTime.
+	// QuietTime is the time without any packet after which the drain ends early; 0 means DefaultQuietTime.
 	QuietTime time.Duration
 }
 
@@ -68,10 +68,10 @@
 		errs = append(errs, trace.BadParameter("name is empty"))
 	}
 	if !c.Listen.IsValid() {
-		errs = append(errs, trace.BadParameter("listen is no address and port"))
+		errs = append(errs, trace.BadParameter("listen is not an address and port"))
 	}
 	if !c.Fabric.IsValid() || c.Fabric.Port() == 0 {
-		errs = append(errs, trace.BadParameter("fabric is no address and port"))
+		errs = append(errs, trace.BadParameter("fabric is not an address and port"))
 	}
 	if c.Workers < 0 || c.Workers > maxWorkers {
 		errs = append(errs, trace.BadParameter("workers %d is not in 0 to %d", c.Workers, maxWorkers))
--- a/pkg/balancer/control.go
+++ b/pkg/balancer/control.go
@@ -7,8 +7,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// control handles a datagram that is not an IP packet. Only an agent of the named service may teach the owner of a flow,
-// and the owner must be an agent of that service too; anything else is counted and dropped.
+// control handles a datagram that is not an IP packet. It accepts only the owner of a flow, sent by an agent of the
+// flow's service and naming an agent of that service; anything else is counted and dropped.
 func (w *worker) control(in []byte, from netip.AddrPort, now time.Time) {
 	var m wire.Datagram
 	if err := m.UnmarshalVTUnsafe(in); err != nil {
--- a/pkg/balancer/deps.go
+++ b/pkg/balancer/deps.go
@@ -10,17 +10,18 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// Deps are what a balancer works with.
+// Deps are the dependencies of a balancer.
 type Deps struct {
-	// Log takes one line for each new flow and each change of the view.
+	// Log receives one line for each new flow, refusal and unreachable agent.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil drops them.
+	// Metrics receives the counters; nil discards them.
 	Metrics tally.Scope
-	// Refusals takes the refusal records; nil drops them.
+	// Refusals receives the refusal records; nil discards them.
 	Refusals refusal.Recorder
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// OnUnreachable is called, at most once a second for each agent, when the agent's host refused a datagram; may be nil.
+	// OnUnreachable is called, at most once per suspectTime for each agent, when the agent's host refused a datagram; may
+	// be nil.
 	OnUnreachable func(agent netip.AddrPort)
 }
 
--- a/pkg/balancer/errqueue.go
+++ b/pkg/balancer/errqueue.go
@@ -6,15 +6,15 @@
 	"github.com/auburnwood/auburnwood/pkg/errqueue"
 )
 
-// tuneSocket enlarges the socket's buffers and asks the kernel to keep the addresses of hosts that refused a datagram.
-// Both are improvements only, so errors are ignored.
-func (b *Balancer) tuneSocket() {
+// configureSocket enlarges the socket's buffers and enables the error queue, which gives the addresses of hosts that
+// refused a datagram. Both are best effort, so errors are ignored.
+func (b *Balancer) configureSocket() {
 	_ = b.conn.SetReadBuffer(DefaultSocketBuffer)
 	_ = b.conn.SetWriteBuffer(DefaultSocketBuffer)
 	errqueue.Enable(b.conn)
 }
 
-// drainErrors reports each agent whose host refused a datagram.
+// drainErrors drains the socket's error queue and reports each agent whose host refused a datagram.
 func (b *Balancer) drainErrors() { errqueue.Drain(b.conn, b.agentUnreachable) }
 
 func (b *Balancer) agentUnreachable(agent netip.AddrPort) {
--- a/pkg/balancer/forward_bench_test.go
+++ b/pkg/balancer/forward_bench_test.go
@@ -12,7 +12,7 @@
 	"gvisor.dev/gvisor/pkg/tcpip/header"
 )
 
-// BenchmarkForward forwards packets from socket to socket; packets that a full socket loses are not counted.
+// BenchmarkForward forwards packets from socket to socket; packets lost to full socket buffers are not counted.
 func BenchmarkForward(b *testing.B) {
 	for _, workers := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprintf("%d", workers), func(b *testing.B) { forward(b, workers) })
@@ -21,12 +21,12 @@
 
 func forward(b *testing.B, workers int) {
 	const senders = 3
-	x := newBench(b, func(c *Config, d *Deps) {
+	x := newHarness(b, func(c *Config, d *Deps) {
 		c.Workers = workers
 		c.QuietTime = time.Millisecond
 		d.Now = time.Now
 	})
-	v := zarqa()
+	v := testView()
 	var received atomic.Int64
 	for i := range v.Services[1].Targets {
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
--- a/pkg/balancer/refuse.go
+++ b/pkg/balancer/refuse.go
@@ -12,18 +12,18 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// refuse leaves a refusal record and returns the reset for the caller. Above the configured rate, refusals are counted
-// and written as one record a second, and the caller gets no answer.
+// refuse records the refusal and returns the reset for the caller. Refusals above the configured rate are not answered;
+// they are merged into one record per reason and refusalReportPeriod.
 //
-// A packet of a flow that is open already is dropped instead: other balancers may know more than this one, and a reset
-// would cut a flow whose owner lives. So is an opening packet while this balancer has just started and may not have
-// heard of configuration and targets yet; the caller sends it again.
+// A packet of an open flow is dropped instead: other balancers may have a newer view, and a reset would cut the flow at
+// its owner. An opening packet is dropped while this balancer has just started and may not have received configuration
+// and targets yet; the caller retransmits it.
 func (w *worker) refuse(in []byte, info packet.Info, reason refusal.Reason, service string, revision uint64, now time.Time) (netip.AddrPort, []byte) {
 	none := netip.AddrPort{}
 	if info.Reset {
 		return none, nil
 	}
-	if !info.Opening || w.b.starting(reason, now) {
+	if !info.Opening || w.b.isStarting(reason, now) {
 		w.b.metrics.unroutable.Inc(1)
 		return none, nil
 	}
@@ -44,8 +44,8 @@
 	return w.b.cfg.Fabric, reset
 }
 
-// starting reports whether the balancer may not have learned yet what it lacks.
-func (b *Balancer) starting(reason refusal.Reason, now time.Time) bool {
+// isStarting reports whether the reason may be that the balancer has just started and has no complete view yet.
+func (b *Balancer) isStarting(reason refusal.Reason, now time.Time) bool {
 	return reason != refusal.ReasonUnknownAddress && now.Sub(b.started) < b.cfg.StartTime
 }
 
@@ -72,7 +72,7 @@
 		Msg("")
 }
 
-// overflow counts the refusals above the rate, by reason.
+// overflow counts refusals above the rate by reason.
 type overflow struct {
 	unknownAddress  atomic.Uint32
 	noTarget        atomic.Uint32
--- a/pkg/balancer/suspects.go
+++ b/pkg/balancer/suspects.go
@@ -8,18 +8,18 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// suspectTime is how long an agent whose host refused a datagram gets no packets. It is longer than the first wait of a
-// caller's TCP, so that a repeated opening packet does not meet the dead agent again.
+// suspectTime is how long an agent whose host refused a datagram gets no packets. It exceeds the initial retransmission
+// timeout of TCP, so that a retransmitted SYN isn't sent to the unreachable agent again.
 const suspectTime = 2 * time.Second
 
-// suspects remembers the agents whose hosts refused a datagram of late.
+// suspects is the set of agents whose hosts refused a datagram within suspectTime.
 type suspects struct {
-	latest atomic.Int64
-	mu     sync.Mutex
-	until  map[agentKey]time.Time
+	latestExpiry atomic.Int64
+	mu           sync.Mutex
+	until        map[agentKey]time.Time
 }
 
-// add marks an agent and reports whether it was not marked before.
+// add marks an agent as suspect and reports whether it was not marked already.
 func (s *suspects) add(k agentKey, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,13 +29,13 @@
 	if now.Before(s.until[k]) {
 		return false
 	}
-	s.dropOld(now)
+	s.removeExpired(now)
 	s.until[k] = now.Add(suspectTime)
-	s.latest.Store(now.Add(suspectTime).UnixNano())
+	s.latestExpiry.Store(now.Add(suspectTime).UnixNano())
 	return true
 }
 
-func (s *suspects) dropOld(now time.Time) {
+func (s *suspects) removeExpired(now time.Time) {
 	for k, t := range s.until {
 		if !now.Before(t) {
 			delete(s.until, k)
@@ -43,9 +43,9 @@
 	}
 }
 
-// has reports whether an agent is marked. It takes the lock only while any agent is.
+// has reports whether an agent is suspect. It takes the lock only while any agent is.
 func (s *suspects) has(k agentKey, now time.Time) bool {
-	if now.UnixNano() >= s.latest.Load() {
+	if now.UnixNano() >= s.latestExpiry.Load() {
 		return false
 	}
 	s.mu.Lock()
@@ -53,10 +53,10 @@
 	return now.Before(s.until[k])
 }
 
-// skip returns a row without its leading marked agents, so that the next agent of the row stands in for a dead first one
-// before the views say so. The last agent is kept in any case.
+// skip returns a row without its leading suspects, so that the next agent replaces an unreachable first one before a
+// view does. The last agent of the row is always kept.
 func (s *suspects) skip(row []byte, now time.Time) []byte {
-	if now.UnixNano() >= s.latest.Load() {
+	if now.UnixNano() >= s.latestExpiry.Load() {
 		return row
 	}
 	for wire.RowLen(row) > 1 && s.has(agentKey(row[:wire.AddrSize]), now) {
--- a/pkg/balancer/suspects_test.go
+++ b/pkg/balancer/suspects_test.go
@@ -10,10 +10,10 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// TestNextAgentStandsInForARefusedFirst: new flows waited for up to 3 s (p95) until the views dropped a dead first agent.
-func TestNextAgentStandsInForARefusedFirst(t *testing.T) {
-	x := newBench(t, nil)
-	x.b.SetView(zarqa())
+// TestUnreachableFirstAgentIsSkipped guards against new flows that wait until a view drops an unreachable first agent.
+func TestUnreachableFirstAgentIsSkipped(t *testing.T) {
+	x := newHarness(t, nil)
+	x.b.SetView(testView())
 	p := tcpPacket(1000, routeAddr, header.TCPFlagSyn)
 	first, out := x.w.handle(p, loopback, start)
 	row := append([]byte(nil), decode(t, out).Row...)
@@ -22,10 +22,10 @@
 	x.b.agentUnreachable(first)
 	to, out := x.w.handle(p, loopback, start)
 	require.Equal(t, second, to)
-	require.Equal(t, row[wire.AddrSize:], decode(t, out).Row, "the receiver is the first of the row that it gets")
+	require.Equal(t, row[wire.AddrSize:], decode(t, out).Row, "the receiver is the first agent of the row in its datagram")
 
 	to, _ = x.w.handle(p, loopback, start.Add(suspectTime))
-	require.Equal(t, first, to, "a mark ends")
+	require.Equal(t, first, to, "the mark expires")
 }
 
 func TestLastAgentOfARowIsKept(t *testing.T) {
--- a/pkg/balancer/table.go
+++ b/pkg/balancer/table.go
@@ -19,7 +19,7 @@
 	protocol uint8
 }
 
-// route is what the packet path needs to know of one service.
+// route holds the data of one service that the packet path needs.
 type route struct {
 	service *view.Service
 	rows    *placement.Table
@@ -47,8 +47,8 @@
 	return t
 }
 
-// reuse returns the earlier route when the service's snapshot is the same object, and a new one otherwise. Each view has
-// new snapshots of all services, so that a new route takes the earlier rows when the ranking did not change.
+// reuse returns the existing route when the service's snapshot is the same object, else a new one. A new route keeps
+// the existing rows if the ranking hasn't changed, since each view has new snapshots of all services.
 func (t *table) reuse(s *view.Service) *route {
 	if t == nil || t.services[s.Name] == nil {
 		return newRoute(s, nil)
@@ -102,7 +102,6 @@
 	return k
 }
 
-// addr returns the decoded address.
 func (k agentKey) addr() netip.AddrPort {
 	a, _ := wire.Addr(k[:])
 	return a
--- a/pkg/balancer/worker.go
+++ b/pkg/balancer/worker.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// worker decides on packets one at a time with buffers that it reuses.
+// worker routes one packet at a time and reuses its buffers.
 type worker struct {
 	b   *Balancer
 	out []byte
-	// ranked is the row of the view, and row the part of it that is used.
+	// ranked is the row according to the view; row is ranked without its leading suspects.
 	ranked, row []byte
 	msg         wire.Datagram
 }
@@ -49,7 +49,8 @@
 	}
 }
 
-// handle decides on one datagram and returns what to send and where; the bytes are valid until the next call.
+// handle processes one datagram and returns the datagram to send and its receiver; nil bytes mean nothing to send. The
+// bytes are valid until the next call.
 func (w *worker) handle(in []byte, from netip.AddrPort, now time.Time) (netip.AddrPort, []byte) {
 	w.b.lastPacket.Store(now.UnixNano())
 	info, err := packet.Parse(in)
@@ -65,7 +66,7 @@
 	return w.route(in[:info.Length], info, now)
 }
 
-// route finds the agent for a caller's packet and encodes the datagram for it.
+// route selects the agent for a caller's packet and encodes the datagram for it.
 func (w *worker) route(in []byte, info packet.Info, now time.Time) (netip.AddrPort, []byte) {
 	t := w.b.table.Load()
 	if t == nil || t.revision == 0 {
@@ -82,33 +83,34 @@
 	if !ok {
 		return w.refuse(in, info, refusal.ReasonNoTarget, r.service.Name, r.service.Revision, now)
 	}
-	// An opening TCP segment may start a new life of a known flow, so that only the first agent may place it. Every UDP
-	// packet counts as opening; those of a known flow go to its owner, which passes them to the first agent once it has
+	// An opening TCP segment may reuse the key of a known flow, and only the first agent may place it. Every UDP packet
+	// counts as opening; packets of a known flow go to its owner, which forwards them to the first agent once it has
 	// ended the flow.
 	if info.Opening && info.Key.Protocol == flow.ProtocolTCP {
-		w.opening(r, info, hash, first, now)
+		w.logNewFlow(r, info, hash, first, now)
 		return first, w.encode(r, hash, 0, in)
 	}
 	if owner, ok := w.learnedOwner(r, hash, now); ok {
 		return owner.addr(), w.encode(r, hash, rowPosition(w.row, owner), in)
 	}
 	if info.Opening {
-		w.opening(r, info, hash, first, now)
+		w.logNewFlow(r, info, hash, first, now)
 	}
 	return first, w.encode(r, hash, 0, in)
 }
 
-// opening logs the first opening packet of a flow.
-func (w *worker) opening(r *route, info packet.Info, hash uint64, first netip.AddrPort, now time.Time) {
+// logNewFlow counts and logs a flow at its first opening packet.
+func (w *worker) logNewFlow(r *route, info packet.Info, hash uint64, first netip.AddrPort, now time.Time) {
 	connectionless := info.Key.Protocol == flow.ProtocolUDP
-	if !w.b.cache.open(hash, connectionless, now, logOpeningAgainAfter) {
+	if !w.b.cache.recordOpening(hash, connectionless, now, openingRepeatWindow) {
 		return
 	}
 	w.b.metrics.newFlows.Inc(1)
 	w.b.logRoute(r, info.Key, hash, first, w.row)
 }
 
-// learnedOwner returns the learned owner of a flow if it is still an agent of the service.
+// learnedOwner returns the learned owner of a flow if it is still an agent of the service and not suspect; otherwise it
+// evicts the flow.
 func (w *worker) learnedOwner(r *route, hash uint64, now time.Time) (agentKey, bool) {
 	owner, ok := w.b.cache.owner(hash, now)
 	if !ok {
@@ -116,7 +118,7 @@
 		return agentKey{}, false
 	}
 	if !r.hasAgent(owner) || w.b.suspects.has(owner, now) {
-		w.b.cache.forget(hash)
+		w.b.cache.remove(hash)
 		w.b.metrics.cacheMisses.Inc(1)
 		return agentKey{}, false
 	}
@@ -124,7 +126,7 @@
 	return owner, true
 }
 
-// encode writes the datagram to the end of the worker's buffer.
+// encode marshals the datagram to the end of the worker's buffer.
 func (w *worker) encode(r *route, hash uint64, position uint32, in []byte) []byte {
 	m := &w.msg
 	m.Kind = wire.Kind_KIND_FORWARD
@@ -145,7 +147,7 @@
 	return w.out[len(w.out)-n:]
 }
 
-// rowPosition returns the index of an agent in a row, or the row's length when it is not in the row.
+// rowPosition returns the index of an agent in a row, or the row's length if the row doesn't contain it.
 func rowPosition(row []byte, k agentKey) uint32 {
 	n := wire.RowLen(row)
 	for i := range n {
