--- a/pkg/balancerd/await_head.go
+++ b/pkg/balancerd/await_head.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// awaitHeadInterval is the time between two looks at the adopted revision.
+// awaitHeadInterval is the polling interval of awaitHead.
 const awaitHeadInterval = 50 * time.Millisecond
 
-// awaitHead returns once the adopted revision is at least the one that the head names now. It returns an error when the
-// head can't be read or ctx ends.
+// awaitHead reads the head object and blocks until the adopted revision is at least the head's. Without a head object
+// it returns at once. It returns an error when the head can't be read or ctx ends.
 func awaitHead(ctx context.Context, s objectapi.Store, adopted func() uint64) error {
 	o, err := s.Get(ctx, resource.KindHead, resource.HeadName)
 	if errors.Is(err, objectapi.ErrNotFound) {
--- a/pkg/balancerd/cleanup_duty.go
+++ b/pkg/balancerd/cleanup_duty.go
@@ -14,40 +14,41 @@
 
 const (
 	cleanupLease = "cleanup"
-	// refusalsInterval is the time between two looks for refusal records that are too old.
-	refusalsInterval = time.Hour
-	// claimsInterval is the time between two looks for claims whose retention is over.
-	claimsInterval = 10 * time.Minute
-	// claimsLimit is the highest number of claims that one look deletes; within the call budget it takes under a minute.
-	claimsLimit = 300
+	// refusalSweepInterval is the time between two deletions of expired refusal records.
+	refusalSweepInterval = time.Hour
+	// claimSweepInterval is the time between two deletions of expired claims.
+	claimSweepInterval = 10 * time.Minute
+	// maxSweptClaims is the highest number of claims that one sweep deletes, so that a sweep takes under a minute within
+	// the call budget.
+	maxSweptClaims = 300
 )
 
-// cleanupDuty competes for the duty that deletes old objects. One lease serves all kinds, since each lease costs the
-// object API renewals.
+// cleanupDuty competes for the duty of deleting expired objects. One lease covers all kinds, since each lease costs
+// renewals at the object API.
 func (d *Daemon) cleanupDuty(ctx context.Context) error {
 	r := d.leaseRunner(cleanupLease, func(membership.Member) bool { return true })
 	return r.Run(ctx, d.cleanup)
 }
 
-// cleanup is a lease.Duty. Deleting twice does no harm, so its writes need no fence.
+// cleanup is a lease.Duty. Deletions are idempotent, so they need no fencing.
 func (d *Daemon) cleanup(ctx context.Context, _ lease.Grant) error {
 	retention := refusal.Retention{Store: d.store}
 	g, run := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		return d.every(run, refusalsInterval, "expire-refusals", func(now time.Time) (int, error) {
+		return d.runEvery(run, refusalSweepInterval, "expire-refusals", func(now time.Time) (int, error) {
 			return retention.Run(run, now)
 		})
 	})
 	g.Go(func() error {
-		return d.every(run, claimsInterval, "sweep-claims", func(now time.Time) (int, error) {
-			return request.SweepClaims(run, d.store, now, request.DefaultClaimRetention, claimsLimit)
+		return d.runEvery(run, claimSweepInterval, "sweep-claims", func(now time.Time) (int, error) {
+			return request.SweepClaims(run, d.store, now, request.DefaultClaimRetention, maxSweptClaims)
 		})
 	})
 	return g.Wait()
 }
 
-// every runs a clean-up at once and then at each interval until ctx ends, and logs what it deleted.
-func (d *Daemon) every(ctx context.Context, interval time.Duration, op string, clean func(now time.Time) (int, error)) error {
+// runEvery calls clean immediately and then at each interval until ctx ends, and logs the number of deleted objects.
+func (d *Daemon) runEvery(ctx context.Context, interval time.Duration, op string, clean func(now time.Time) (int, error)) error {
 	for ctx.Err() == nil {
 		n, err := clean(time.Now())
 		if err != nil {
--- a/pkg/balancerd/counter_source.go
+++ b/pkg/balancerd/counter_source.go
@@ -12,16 +12,16 @@
 	"github.com/auburnwood/auburnwood/pkg/rollout"
 )
 
-// counters are the calls of a peer.Node that a counterSource makes.
+// counters is the part of peer.Node that a counterSource uses.
 type counters interface {
 	Counters(ctx context.Context, service string) peer.CounterReadings
 }
 
-// counterSource is the rollout.Source of one term: it asks the watchers of a service's targets.
+// counterSource is a rollout.Source for one term. It reads counters from the watchers of a service's targets.
 type counterSource struct {
 	node   counters
 	totals map[string]*rollout.Totals
-	// now is the local clock; it is monotonic.
+	// now is the local clock; its readings are monotonic.
 	now func() time.Time
 }
 
--- a/pkg/balancerd/counter_source_test.go
+++ b/pkg/balancerd/counter_source_test.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/rollout"
 )
 
-// scriptedCounters answers each call by the next answer.
+// scriptedCounters returns the next of its answers at each call.
 type scriptedCounters struct {
 	asked   []string
 	answers []peer.CounterReadings
--- a/pkg/balancerd/daemon.go
+++ b/pkg/balancerd/daemon.go
@@ -18,13 +18,13 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// Daemon is one balancer process.
+// Daemon is a balancer process.
 type Daemon struct {
 	o     Options
 	store objectapi.Store
-	// compileStore is the store within the call budget of the compile duty.
+	// compileStore is the object API within the call budget of the compile duty.
 	compileStore objectapi.Store
-	// eras are those of the object API.
+	// eras tracks the eras of the object API.
 	eras     *objectapi.Eras
 	listener net.Listener
 	adopter  *revision.Adopter
@@ -101,7 +101,7 @@
 		Seeds:            s.Peers,
 		TLS:              peer.TLSConfig{CA: s.TLS.CA, Cert: s.TLS.Certificate, Key: s.TLS.Key},
 		Adopter:          d.adopter,
-		Mirror:           d.takeMirrored,
+		Mirror:           d.receiveMirrored,
 		Dial:             d.o.Dial,
 		BytesPerSecond:   s.Control.BytesPerSecond,
 		ExchangeInterval: s.Control.ExchangeInterval.Duration(),
@@ -127,22 +127,22 @@
 // Revision returns the number of the adopted revision; 0 when none is known.
 func (d *Daemon) Revision() uint64 { return d.adopter.Number() }
 
-// Members returns what this balancer knows of all processes.
+// Members returns this balancer's view of all processes.
 func (d *Daemon) Members() []membership.Member { return d.node.Table().Members() }
 
 // Refusals returns the process's refusal records.
 func (d *Daemon) Refusals() *refusal.Log { return d.refusals }
 
-// Run runs the balancer until ctx ends, then shuts down gracefully: it leaves the membership, forwards what still comes
-// for a short time and writes its refusal records.
+// Run runs the balancer until ctx ends, then shuts down gracefully: it leaves the membership, drains the packet path
+// and writes its refusal records.
 func (d *Daemon) Run(ctx context.Context) error {
-	ctx, cancel := d.until(ctx)
+	ctx, cancel := d.withKill(ctx)
 	defer cancel()
 	g, run := errgroup.WithContext(ctx)
 	g.Go(func() error { return d.balancer.Run(run) })
 	g.Go(func() error { return d.node.Serve(run) })
 	g.Go(func() error { return d.node.WatchViews(run, d.o.WrapView(d.adoptView)) })
-	g.Go(func() error { return d.follow(run) })
+	g.Go(func() error { return d.followRevisions(run) })
 	g.Go(func() error { return d.compileDuty(run) })
 	g.Go(func() error { return d.membersDuty(run) })
 	g.Go(func() error { return d.cleanupDuty(run) })
@@ -156,8 +156,8 @@
 	return trace.Wrap(err, "balancer %s", d.o.Settings.Name)
 }
 
-// until returns a context that ends with ctx or with Kill.
-func (d *Daemon) until(ctx context.Context) (context.Context, context.CancelFunc) {
+// withKill returns a context that ends with ctx or when Kill is called.
+func (d *Daemon) withKill(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(d.killed, cancel)
 	return ctx, func() {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Kill closes the packet socket and the control listener at once, as if the VM were gone.
+// Kill closes the packet socket and the control listener immediately, as a crash of the VM would.
 func (d *Daemon) Kill() {
 	d.once.Do(func() {
 		d.balancer.Kill()
@@ -175,15 +175,15 @@
 	})
 }
 
-// adoptView puts a view in force and counts this balancer's acknowledgement of its revision.
+// adoptView applies a view to the packet path and, if it was applied, acknowledges its revision.
 func (d *Daemon) adoptView(v *view.View) {
 	if d.balancer.SetView(v) {
 		d.node.Confirm(v.Revision)
 	}
 }
 
-// follow brings the adopter to the highest accepted revision.
-func (d *Daemon) follow(ctx context.Context) error {
+// followRevisions keeps the adopter at the highest accepted revision.
+func (d *Daemon) followRevisions(ctx context.Context) error {
 	f := revision.Follower{Store: d.store, Adopter: d.adopter, Log: d.o.Env.Log}
 	return f.Run(ctx)
 }
--- a/pkg/balancerd/duties.go
+++ b/pkg/balancerd/duties.go
@@ -9,10 +9,11 @@
 	"github.com/auburnwood/auburnwood/pkg/revision"
 )
 
-// candidates is the number of live balancers that compete for a duty. More would only add reads of the lease object.
-const candidates = 3
+// maxCandidates is the highest number of live balancers that compete for a duty. More would only add reads of the lease
+// object.
+const maxCandidates = 3
 
-// compileDuty competes for the duty that compiles services into revisions.
+// compileDuty competes for the duty of compiling services into revisions.
 func (d *Daemon) compileDuty(ctx context.Context) error {
 	c := revision.Compiler{Store: d.compileStore, Acks: d.node, Adopter: d.adopter, Metrics: d.o.Env.Scope, Log: d.o.Env.Log}
 	r := d.leaseRunner(revision.LeaseName, func(membership.Member) bool { return true })
@@ -20,7 +21,7 @@
 	return r.Run(ctx, c.Duty)
 }
 
-// leaseRunner returns a runner of one duty for which the balancers selected by match are candidates.
+// leaseRunner returns a runner for a duty whose candidates are selected from the balancers that match.
 func (d *Daemon) leaseRunner(name string, match func(membership.Member) bool) *lease.Runner {
 	return &lease.Runner{
 		Store: d.store,
--- a/pkg/balancerd/eligible.go
+++ b/pkg/balancerd/eligible.go
@@ -8,8 +8,8 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// eligible reports whether a balancer is one of the candidates for a duty: the first of the matching live balancers in
-// an order that differs from duty to duty, so that the duties spread over the fleet.
+// eligible reports whether a balancer is a candidate for a duty: one of the first maxCandidates matching live
+// balancers, ordered by a hash of duty and name, so that duties are spread over the fleet.
 func eligible(duty, self string, balancers []membership.Member, match func(membership.Member) bool) bool {
 	var ranks []uint64
 	for _, b := range balancers {
@@ -18,7 +18,7 @@
 		}
 	}
 	slices.Sort(ranks)
-	ranks = ranks[:min(len(ranks), candidates)]
+	ranks = ranks[:min(len(ranks), maxCandidates)]
 	return slices.Contains(ranks, rank(duty, self))
 }
 
--- a/pkg/balancerd/eligible_test.go
+++ b/pkg/balancerd/eligible_test.go
@@ -32,7 +32,7 @@
 func anyMember(membership.Member) bool { return true }
 
 func TestFewBalancersAreCandidates(t *testing.T) {
-	require.Len(t, eligibleOf("compile", fleet(490), anyMember), candidates)
+	require.Len(t, eligibleOf("compile", fleet(490), anyMember), maxCandidates)
 	require.Len(t, eligibleOf("compile", fleet(2), anyMember), 2)
 }
 
@@ -45,7 +45,7 @@
 		}
 	}
 	after := eligibleOf("compile", all, anyMember)
-	require.Len(t, after, candidates)
+	require.Len(t, after, maxCandidates)
 	require.NotContains(t, after, before[0])
 	require.Subset(t, after, before[1:])
 }
--- a/pkg/balancerd/members_duty.go
+++ b/pkg/balancerd/members_duty.go
@@ -9,15 +9,16 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// dataCentreCheck is the time between two looks for data centres that nobody has a runner for.
-const dataCentreCheck = 5 * time.Second
+// dataCentreCheckInterval is the time between two checks for data centres for which this process has no lease runner
+// yet.
+const dataCentreCheckInterval = 5 * time.Second
 
-// membersDuty reads the stored members once and then competes for the duty to write those of each data centre.
+// membersDuty reads the stored members once and competes, for each data centre, for the duty of writing its members.
 func (d *Daemon) membersDuty(ctx context.Context) error {
 	go d.readMembers(ctx)
 	var g errgroup.Group
 	started := map[string]bool{}
-	t := time.NewTicker(dataCentreCheck)
+	t := time.NewTicker(dataCentreCheckInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		for _, m := range d.Members() {
@@ -35,7 +36,8 @@
 	return g.Wait()
 }
 
-// readMembers merges what the store holds, so that a newcomer knows the fleet before its peers have told it.
+// readMembers merges the stored members into the table, so that a new process has them before it receives updates from
+// its peers.
 func (d *Daemon) readMembers(ctx context.Context) {
 	members, err := membership.ReadGroups(ctx, d.store)
 	if err != nil {
@@ -46,7 +48,8 @@
 	}
 }
 
-// writeMembers competes for one data centre. Its own balancers are the candidates, or all when it has none.
+// writeMembers competes for the duty of one data centre. The candidates are its own balancers, or all balancers when it
+// has none that are live and reachable.
 func (d *Daemon) writeMembers(ctx context.Context, dataCentre string) error {
 	w := membership.GroupWriter{Store: d.store, Table: d.node.Table(), DataCentre: dataCentre, Log: d.o.Env.Log}
 	r := d.leaseRunner(membership.GroupLeaseName(dataCentre), func(m membership.Member) bool {
--- a/pkg/balancerd/options.go
+++ b/pkg/balancerd/options.go
@@ -11,24 +11,24 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// Options are what a Daemon is made of.
+// Options configures a Daemon.
 type Options struct {
-	// Settings are the checked settings.
+	// Settings are the validated settings.
 	Settings settings.Balancer
 	// Env holds logger, metrics and status.
 	Env telemetry.Env
-	// Store replaces the object API client made from the settings; nil keeps it. Programs that embed the daemon use it.
+	// Store replaces the object API client that is created from the settings; nil keeps that client. Programs that embed
+	// the daemon use it.
 	Store objectapi.Store
-	// WrapStore, when not nil, wraps each client of the object API. Programs that embed the daemon use it to hold calls back.
+	// WrapStore, when not nil, wraps each client of the object API. Programs that embed the daemon use it to delay calls.
 	WrapStore func(objectapi.Store) objectapi.Store
-	// WrapView, when not nil, wraps the receiver of views. Programs that embed the daemon use it to hold views back.
+	// WrapView, when not nil, wraps the receiver of views. Programs that embed the daemon use it to delay views.
 	WrapView func(next func(*view.View)) func(*view.View)
-	// Dial replaces TCP for the connections to other balancers; nil keeps it. Programs that embed the daemon cut peers off
-	// by it.
+	// Dial opens connections to other balancers; nil means TCP. Programs that embed the daemon use it to isolate peers.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// RolloutTick replaces the time between two judgements of a rollout; 0 keeps it.
+	// RolloutTick is the time between two evaluations of a rollout; 0 means the default.
 	RolloutTick time.Duration
-	// Incarnation replaces the start time in nanoseconds; 0 keeps it.
+	// Incarnation is the process's incarnation; 0 means the start time in Unix nanoseconds.
 	Incarnation uint64
 }
 
--- a/pkg/balancerd/refusals.go
+++ b/pkg/balancerd/refusals.go
@@ -12,8 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// lastWrites bounds the writing of refusal records at a graceful shutdown.
-const lastWrites = 5 * time.Second
+// finalWriteTimeout bounds the writing of the remaining refusal records at a graceful shutdown.
+const finalWriteTimeout = 5 * time.Second
 
 func (d *Daemon) newRefusals() *refusal.Log {
 	return refusal.NewLog(refusal.Config{
@@ -27,7 +27,7 @@
 	})
 }
 
-// mirror hands this balancer's records to other balancers.
+// mirror sends copies of this balancer's records to other balancers.
 type mirror Daemon
 
 // Mirror implements refusal.Mirror.
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// holders are the balancers that hold copies of this balancer's records.
+// holders is the set of balancers that hold copies of this balancer's records.
 type holders struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -61,7 +61,7 @@
 	h.ids[id] = true
 }
 
-// remove reports whether the balancer held copies, and forgets it.
+// remove removes a balancer and reports whether it held copies.
 func (h *holders) remove(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,9 +70,9 @@
 	return held
 }
 
-// takeMirrored keeps the records that another process hands over. An agent does not write to the store, so the balancer
-// writes an agent's records like its own; those of a balancer only when that balancer is dead.
-func (d *Daemon) takeMirrored(id string, b []byte) error {
+// receiveMirrored stores the records sent by another process. Agents don't write to the store, so the balancer writes
+// their records like its own. Those of another balancer are kept as copies and written only when that balancer is dead.
+func (d *Daemon) receiveMirrored(id string, b []byte) error {
 	records, err := refusal.DecodeRecords(b)
 	if err != nil {
 		return err
@@ -85,17 +85,17 @@
 	return nil
 }
 
-// runRefusals writes records until ctx ends, then writes what is left.
+// runRefusals writes records until ctx ends, then writes the remaining ones unless the daemon was killed.
 func (d *Daemon) runRefusals(ctx context.Context) error {
 	g, run := errgroup.WithContext(ctx)
 	g.Go(func() error { return d.refusals.Run(run) })
 	g.Go(func() error { return d.watchDeaths(run) })
 	err := g.Wait()
 	if d.killed.Err() == nil {
-		last, cancel := context.WithTimeout(context.Background(), lastWrites)
+		last, cancel := context.WithTimeout(context.Background(), finalWriteTimeout)
 		defer cancel()
 		if derr := d.refusals.Drain(last); derr != nil {
-			d.o.Env.Log.Warn().Err(derr).Str("op", "drain-refusals").Msg("records left to the mirror")
+			d.o.Env.Log.Warn().Err(derr).Str("op", "drain-refusals").Msg("remaining records left to the balancers that hold copies")
 		}
 	}
 	if errors.Is(err, context.Canceled) {
@@ -104,14 +104,15 @@
 	return err
 }
 
-// watchDeaths takes over the records of dead balancers, and mirrors this balancer's again when their holder died.
+// watchDeaths takes over the records of dead balancers, and mirrors this balancer's records again when a holder of
+// copies has died.
 func (d *Daemon) watchDeaths(ctx context.Context) error {
 	changes, cancel := d.node.Table().Subscribe()
 	defer cancel()
-	known := lives{}
+	known := incarnations{}
 	for {
 		for _, m := range d.node.Table().Members() {
-			if m.Role != membership.RoleBalancer || !known.ended(&m) {
+			if m.Role != membership.RoleBalancer || !known.hasEnded(&m) {
 				continue
 			}
 			d.refusals.PeerDied(m.ID)
@@ -127,13 +128,13 @@
 	}
 }
 
-// lives are the incarnations of the balancers that were seen last.
-type lives map[string]uint64
+// incarnations maps each balancer to the incarnation that was last seen.
+type incarnations map[string]uint64
 
-// ended reports whether a life of the balancer is over, or may be: it is gone, a later life has begun before anybody found
-// the earlier one dead, or its whole region is out of reach, where nobody may be left to find it dead. Records that are
-// written by two processes count once.
-func (l lives) ended(m *membership.Member) bool {
+// hasEnded reports whether an incarnation of the balancer has ended or may have: it is no longer live, a later
+// incarnation started before the earlier one was declared dead, or its whole region is unreachable, where no process
+// may be left to declare it dead. Records that are written by two processes are counted once.
+func (l incarnations) hasEnded(m *membership.Member) bool {
 	before, known := l[m.ID]
 	l[m.ID] = m.Incarnation
 	return !m.Live() || m.Unreachable || known && m.Incarnation > before
--- a/pkg/balancerd/refusals_test.go
+++ b/pkg/balancerd/refusals_test.go
@@ -8,21 +8,22 @@
 	"github.com/auburnwood/auburnwood/pkg/membership"
 )
 
-// A balancer that is back before it was found dead must still be taken for one whose records nobody else writes.
-func TestLifeEndsWithDeathOrWithTheNextLife(t *testing.T) {
-	known := lives{}
+// A balancer that restarts before it is declared dead no longer writes the records of its earlier incarnation, which
+// must still be taken over.
+func TestIncarnationEndsWithDeathOrRestart(t *testing.T) {
+	known := incarnations{}
 	m := membership.Member{ID: "balancer-1", Incarnation: 5, State: membership.StateActive}
-	require.False(t, known.ended(&m), "first seen")
+	require.False(t, known.hasEnded(&m), "first seen")
 	m.State = membership.StateDraining
-	require.False(t, known.ended(&m))
+	require.False(t, known.hasEnded(&m))
 	m.State, m.Incarnation = membership.StateActive, 6
-	require.True(t, known.ended(&m), "a later life")
-	require.False(t, known.ended(&m))
+	require.True(t, known.hasEnded(&m), "a later incarnation")
+	require.False(t, known.hasEnded(&m))
 	m.Unreachable = true
-	require.True(t, known.ended(&m), "its region may be lost")
+	require.True(t, known.hasEnded(&m), "its region may have failed")
 	m.Unreachable = false
-	require.False(t, known.ended(&m))
+	require.False(t, known.hasEnded(&m))
 	m.State = membership.StateDead
-	require.True(t, known.ended(&m))
-	require.True(t, known.ended(&m), "records that come after the death count too")
+	require.True(t, known.hasEnded(&m))
+	require.True(t, known.hasEnded(&m), "records received after the death are taken over too")
 }
--- a/pkg/balancerd/rollout_duty.go
+++ b/pkg/balancerd/rollout_duty.go
@@ -9,14 +9,14 @@
 	"github.com/auburnwood/auburnwood/pkg/rollout"
 )
 
-// rolloutDuty competes for the duty that takes the steps of rollouts.
+// rolloutDuty competes for the duty of executing rollouts.
 func (d *Daemon) rolloutDuty(ctx context.Context) error {
 	r := d.leaseRunner(rollout.LeaseName, func(membership.Member) bool { return true })
-	return r.Run(ctx, d.takeSteps)
+	return r.Run(ctx, d.runRollouts)
 }
 
-// takeSteps is a lease.Duty. Each term reads the counters anew, so that nothing of an earlier term is counted twice.
-func (d *Daemon) takeSteps(ctx context.Context, g lease.Grant) error {
+// runRollouts is a lease.Duty. Each term starts with new totals, so that nothing is counted twice across terms.
+func (d *Daemon) runRollouts(ctx context.Context, g lease.Grant) error {
 	if err := awaitHead(ctx, d.store, d.adopter.Number); err != nil {
 		return err
 	}
--- a/pkg/balancerd/status.go
+++ b/pkg/balancerd/status.go
@@ -6,9 +6,9 @@
 type Status struct {
 	// Revision is the adopted configuration revision; 0 when none is known.
 	Revision uint64 `json:"revision"`
-	// NotReady says why there is no configuration; empty when there is.
+	// NotReady is the reason why no configuration is in force; empty when one is.
 	NotReady string `json:"notReady,omitempty"`
-	// Balancers and Targets count the live members.
+	// Balancers and Targets are the numbers of live members.
 	Balancers int `json:"balancers"`
 	Targets   int `json:"targets"`
 	// RefusalsHeld is the number of refusal records in memory.
--- a/pkg/balancerd/store.go
+++ b/pkg/balancerd/store.go
@@ -6,15 +6,15 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Call budget of the compile duty, calls a second and at once. A revision takes four calls and each changed service a
-// status, so that the budget of an ordinary balancer would keep a change waiting for seconds. Only the holder of the
-// lease spends it, so it is a small part of the several hundred writes a second that the fleet may make.
+// Call budget of the compile duty: calls per second, and burst. A revision takes four calls, plus a status write for
+// each changed service, so the budget of an ordinary balancer would delay a change by seconds. Only the holder of the
+// lease uses it, so it is a small part of the several hundred writes per second available to the fleet.
 const (
 	compileCallRate  = 60
 	compileCallBurst = 60
 )
 
-// openStores makes the clients of the object API, each within its call budget.
+// openStores creates the object API clients, each with its own call budget.
 func (d *Daemon) openStores() {
 	s := d.o.Settings.ObjectAPI
 	api := d.o.Store
--- a/pkg/balancerd/store_test.go
+++ b/pkg/balancerd/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-// The calls of the compile duty must not wait for a balancer's other calls, nor within a budget that is made for reading.
+// Calls of the compile duty must neither wait for the balancer's other calls nor be limited by their budget.
 func TestCompileDutyHasACallBudgetOfItsOwn(t *testing.T) {
 	api := store.New(store.Config{})
 	s := httptest.NewServer(store.Handler(api))
