--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -40,7 +40,7 @@
 	one, two := httptest.NewServer(handler), httptest.NewServer(handler)
 	defer one.Close()
 	defer two.Close()
-	l := newHarness(t, streams(), one.Listener.Addr(), two.Listener.Addr())
+	l := newHarness(t, streamSpec(), one.Listener.Addr(), two.Listener.Addr())
 	for _, to := range []netip.AddrPort{serviceIP, serviceIP6} {
 		client := http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
 			DialContext: func(context.Context, string, string) (net.Conn, error) { return l.dial(to) },
@@ -69,7 +69,7 @@
 		got <- b
 		_, _ = c.Write(answer)
 	})
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	question := randomBytes(200<<10, 3)
 	_, err := conn.Write(question)
@@ -88,7 +88,7 @@
 		<-read
 		_, _ = io.Copy(c, c)
 	})
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	sent := randomBytes(16<<20, 4)
 	wrote := make(chan int, 1)
@@ -110,7 +110,7 @@
 
 func TestRefusedByTarget(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	_ = target.Close()
 	_, err := l.dial(serviceIP)
 	require.ErrorContains(t, err, "refused")
@@ -129,7 +129,7 @@
 				conns <- c
 			})
 			other := listenTCP(t, echo)
-			spec := streams()
+			spec := streamSpec()
 			spec.Preference = resource.PreferBalance
 			l := newHarness(t, spec, target.Addr(), other.Addr())
 			broken, living := l.mustDial(serviceIP), l.mustDial(serviceIP)
@@ -162,7 +162,7 @@
 
 func TestDrainWaitsThenResets(t *testing.T) {
 	target := listenTCP(t, echo)
-	spec := streams()
+	spec := streamSpec()
 	spec.DrainTime = resource.Duration(2 * time.Second)
 	l := newHarness(t, spec, target.Addr())
 	ends, stays := l.mustDial(serviceIP), l.mustDial(serviceIP)
@@ -186,7 +186,7 @@
 
 func TestKillSendsNothing(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	exchange(t, conn)
 	l.agents[0].Kill()
@@ -199,7 +199,7 @@
 
 func TestWrongServiceIsRefused(t *testing.T) {
 	target := listenTCP(t, echo)
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	l.setServiceName("reports-svc")
 	_, err := l.dial(serviceIP)
 	require.ErrorContains(t, err, "refused")
@@ -225,7 +225,7 @@
 		callers <- c.RemoteAddr().String()
 		_, _ = io.Copy(c, c)
 	}()
-	spec := streams()
+	spec := streamSpec()
 	spec.ProxyProtocol = true
 	l := newHarness(t, spec, plain.Addr())
 	conn := l.mustDial(serviceIP6)
@@ -245,7 +245,7 @@
 			_, _ = target.WriteToUDPAddrPort(b[:n], from)
 		}
 	}()
-	spec := streams()
+	spec := streamSpec()
 	spec.UDPIdle = resource.Duration(100 * time.Millisecond)
 	l := newHarness(t, spec, target.LocalAddr())
 	conn, err := l.caller.DialUDP(callerIP, serviceUDP)
@@ -261,7 +261,7 @@
 // TestDrainingAgentTakesNoNewFlow opens flows while one of two agents drains; the open flow of that agent continues.
 func TestDrainingAgentTakesNoNewFlow(t *testing.T) {
 	one, two := listenTCP(t, echo), listenTCP(t, echo)
-	spec := streams()
+	spec := streamSpec()
 	spec.Preference = resource.PreferBalance
 	l := newHarness(t, spec, one.Addr(), two.Addr())
 	first, second := l.mustDial(serviceIP), l.mustDial(serviceIP)
@@ -296,7 +296,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := listenUDP(t)
-			l := newHarness(t, streams(), target.LocalAddr())
+			l := newHarness(t, streamSpec(), target.LocalAddr())
 			conn, err := l.caller.DialUDP(callerIP, serviceUDP)
 			require.NoError(t, err)
 			defer conn.Close()
@@ -326,7 +326,7 @@
 		_, _ = io.Copy(io.Discard, c)
 		_ = c.Close()
 	})
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	exchange(t, conn)
 	_, err := conn.Read(make([]byte, 1))
--- a/pkg/agent/bench_test.go
+++ b/pkg/agent/bench_test.go
@@ -15,7 +15,7 @@
 		n, _ := io.Copy(io.Discard, c)
 		done <- n
 	})
-	l := newHarness(b, streams(), target.Addr())
+	l := newHarness(b, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	block := randomBytes(1<<20, 1)
 	b.SetBytes(int64(len(block)))
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	l := newHarness(b, streams(), target.Addr())
+	l := newHarness(b, streamSpec(), target.Addr())
 	conn := l.mustDial(serviceIP)
 	got := make([]byte, len(block))
 	b.SetBytes(int64(len(block)))
--- a/pkg/agent/datagrams.go
+++ b/pkg/agent/datagrams.go
@@ -83,7 +83,8 @@
 	u.a.sendAll(u.a.arbiter.Opened(u.a.deps.Now(), u.f.hash))
 }
 
-// copy carries datagrams until a socket is closed; it calls second when the second one has come.
+// copy relays datagrams in one direction until the flow is cut or maxReadFailures is exceeded. It calls onSecond when
+// the second datagram is read.
 func (u *datagrams) copy(to, from net.Conn, onSecond func()) {
 	b := make([]byte, u.a.cfg.MTU)
 	count := 0
--- a/pkg/agent/flow_counts_test.go
+++ b/pkg/agent/flow_counts_test.go
@@ -32,7 +32,7 @@
 			_, _ = c.Write(b)
 		}
 	})
-	l := newHarness(t, streams(), target.Addr())
+	l := newHarness(t, streamSpec(), target.Addr())
 	a := l.agents[0]
 
 	whole := l.mustDial(serviceIP)
--- a/pkg/agent/harness_test.go
+++ b/pkg/agent/harness_test.go
@@ -225,7 +225,7 @@
 	return conn
 }
 
-func streams() resource.ServiceSpec {
+func streamSpec() resource.ServiceSpec {
 	return resource.ServiceSpec{
 		Mode:       resource.ModeStream,
 		Preference: resource.PreferFlows,
--- a/pkg/agent/request_test.go
+++ b/pkg/agent/request_test.go
@@ -30,10 +30,10 @@
 }
 
 func TestRequestFlowsGoToTheHandler(t *testing.T) {
-	l := newHarness(t, streams())
+	l := newHarness(t, streamSpec())
 	h := &echoHandler{}
 	l.startWith(Config{TargetAddress: netip.MustParseAddrPort("127.0.0.1:1"), RequestHandler: h}, Deps{Log: zerolog.Nop()})
-	spec := streams()
+	spec := streamSpec()
 	spec.Mode = resource.ModeRequest
 	l.setService(spec)
 	conn := l.mustDial(serviceIP)
@@ -46,10 +46,10 @@
 
 func TestDrainIsAnnouncedOnce(t *testing.T) {
 	announced := 0
-	l := newHarness(t, streams())
+	l := newHarness(t, streamSpec())
 	a := l.startWith(Config{TargetAddress: netip.MustParseAddrPort("127.0.0.1:1")},
 		Deps{Log: zerolog.Nop(), OnDraining: func() { announced++ }})
-	l.setService(streams())
+	l.setService(streamSpec())
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	a.Drain(ctx)
--- a/pkg/agent/senders_test.go
+++ b/pkg/agent/senders_test.go
@@ -124,7 +124,7 @@
 	require.True(t, s.contains(x, now.Add(pastSenderTime-1)))
 	require.False(t, s.contains(x, now.Add(pastSenderTime)))
 	s = s.next(of(x, y), now.Add(time.Second))
-	require.True(t, s.contains(x, now.Add(time.Hour)), "it came back")
+	require.True(t, s.contains(x, now.Add(time.Hour)), "an agent that is listed again")
 	s = s.next(nil, now.Add(time.Hour)).next(of(), now.Add(2*time.Hour))
 	require.Empty(t, s.past)
 }
--- a/pkg/agent/worker_test.go
+++ b/pkg/agent/worker_test.go
@@ -90,7 +90,7 @@
 }
 
 func (b *idleAgent) view() *view.Service {
-	return &view.Service{Name: serviceName, Revision: 1, Spec: streams(), Targets: []view.Target{
+	return &view.Service{Name: serviceName, Revision: 1, Spec: streamSpec(), Targets: []view.Target{
 		{ID: "a", Incarnation: 1, Agent: b.addr, Weight: 1, State: view.StateActive, Connections: 1 << 20},
 	}}
 }
--- a/pkg/agentd/daemon.go
+++ b/pkg/agentd/daemon.go
@@ -53,7 +53,7 @@
 		Logger:      o.Env.Log,
 		Scope:       o.Env.Scope,
 	})
-	if err := d.secure(); err != nil {
+	if err := d.loadTLS(); err != nil {
 		_ = l.Close()
 		return nil, trace.Wrap(err)
 	}
@@ -73,7 +73,6 @@
 // Agent returns the packet path; nil before the target's announcement.
 func (d *Daemon) Agent() *agent.Agent { return d.agent.Load() }
 
-// Refusals returns the process's refusal records.
 func (d *Daemon) Refusals() *refusal.Log { return d.refusals }
 
 // announceDrain announces that the target is draining, and stops new requests on open connections.
--- a/pkg/agentd/open.go
+++ b/pkg/agentd/open.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// secure loads the TLS files of the settings, so that an invalid file fails startup.
-func (d *Daemon) secure() error {
+// loadTLS loads the TLS files of the settings, so that an invalid file fails startup.
+func (d *Daemon) loadTLS() error {
 	config, err := d.tlsFiles().Load()
 	if err != nil {
 		return trace.Wrap(err)
@@ -52,26 +52,26 @@
 	return d.control.Addr().String()
 }
 
-// parts holds the components that run from the target's announcement on.
-type parts struct {
+// components are the parts of the daemon that run from the target's announcement on.
+type components struct {
 	agent   *agent.Agent
 	session *peer.Session
 }
 
-func (d *Daemon) open(a Announcement) (parts, error) {
+func (d *Daemon) open(a Announcement) (components, error) {
 	p, err := d.openAgent(a)
 	if err != nil {
-		return parts{}, trace.Wrap(err)
+		return components{}, trace.Wrap(err)
 	}
 	s, err := d.openSession(a, p)
 	if err != nil {
 		p.Kill()
-		return parts{}, trace.Wrap(err)
+		return components{}, trace.Wrap(err)
 	}
 	d.agent.Store(p)
 	d.session.Store(s)
 	d.transport.session.Store(s)
-	return parts{agent: p, session: s}, nil
+	return components{agent: p, session: s}, nil
 }
 
 func (d *Daemon) openAgent(a Announcement) (*agent.Agent, error) {
--- a/pkg/agentd/run.go
+++ b/pkg/agentd/run.go
@@ -91,7 +91,7 @@
 
 // drain waits for flows and requests to end, sends the refusal records to balancers, leaves the membership and keeps
 // forwarding packets for leaveLinger. Requests that other agents hand over meanwhile are answered too.
-func (d *Daemon) drain(run context.Context, p parts, leave context.CancelFunc) {
+func (d *Daemon) drain(run context.Context, p components, leave context.CancelFunc) {
 	if run.Err() != nil {
 		return
 	}
--- a/pkg/balancerd/daemon.go
+++ b/pkg/balancerd/daemon.go
@@ -121,7 +121,6 @@
 // ControlAddr returns the address of the control listener.
 func (d *Daemon) ControlAddr() string { return d.listener.Addr().String() }
 
-// Name returns the process name.
 func (d *Daemon) Name() string { return d.o.Settings.Name }
 
 // Revision returns the number of the adopted revision; 0 when none is known.
@@ -130,7 +129,6 @@
 // Members returns this balancer's view of all processes.
 func (d *Daemon) Members() []membership.Member { return d.node.Table().Members() }
 
-// Refusals returns the process's refusal records.
 func (d *Daemon) Refusals() *refusal.Log { return d.refusals }
 
 // Run runs the balancer until ctx ends, then shuts down gracefully: it leaves the membership, drains the packet path
