--- a/pkg/agentd/open.go
+++ b/pkg/agentd/open.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// openControl listens for the requests of other agents when the settings ask for it.
+// openControl opens the listener for requests that other agents hand over, if the settings give an address for it.
 func (d *Daemon) openControl() error {
 	addr := d.o.Settings.ControlAddress
 	if addr == "" {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// secure loads the TLS files that the settings name, so that a mistake in them ends the start.
-func (d *Daemon) secure() error {
+// loadTLS loads the TLS files of the settings, so that an invalid file fails startup.
+func (d *Daemon) loadTLS() error {
 	config, err := d.tlsFiles().Load()
 	if err != nil {
 		return trace.Wrap(err)
@@ -39,7 +39,6 @@
 	return nil
 }
 
-// tlsFiles returns the TLS files of the settings as the peers' connections take them.
 func (d *Daemon) tlsFiles() peer.TLSConfig {
 	s := d.o.Settings.TLS
 	return peer.TLSConfig{CA: s.CA, Cert: s.Certificate, Key: s.Key}
@@ -53,26 +52,26 @@
 	return d.control.Addr().String()
 }
 
-// parts are what runs once the target has announced itself.
-type parts struct {
+// components are the parts of the daemon that run from the target's announcement on.
+type components struct {
 	agent   *agent.Agent
 	session *peer.Session
 }
 
-func (d *Daemon) open(a Announcement) (parts, error) {
+func (d *Daemon) open(a Announcement) (components, error) {
 	p, err := d.openAgent(a)
 	if err != nil {
-		return parts{}, trace.Wrap(err)
+		return components{}, trace.Wrap(err)
 	}
 	s, err := d.openSession(a, p)
 	if err != nil {
 		p.Kill()
-		return parts{}, trace.Wrap(err)
+		return components{}, trace.Wrap(err)
 	}
 	d.agent.Store(p)
 	d.session.Store(s)
 	d.transport.session.Store(s)
-	return parts{agent: p, session: s}, nil
+	return components{agent: p, session: s}, nil
 }
 
 func (d *Daemon) openAgent(a Announcement) (*agent.Agent, error) {
@@ -131,7 +130,7 @@
 		Seeds:    s.Balancers,
 		TLS:      d.tlsFiles(),
 		JoinTime: d.o.JoinTime,
-		Ready:    newReadiness(d.requests.service.Load, s.Name).ready,
+		Ready:    newReadiness(d.requests.service.Load, s.Name).isReady,
 		Load:     func() uint32 { return uint32(p.OpenFlows()) },
 		Counts:   func() (uint64, uint64) { return d.counts(p) },
 		OnView: d.o.WrapView(func(v *view.Service) {
