--- a/internal/lab/capacity/agent_flows.go
+++ b/internal/lab/capacity/agent_flows.go
@@ -62,7 +62,7 @@
 	}
 	defer b.Close()
 	accepted := make(chan net.Conn, count)
-	b.AcceptTCP(func(in netstack.Accepted) {
+	b.AcceptTCP(func(in netstack.ConnRequest) {
 		if c, err := in.Accept(); err == nil {
 			accepted <- c
 		}
--- a/internal/lab/flows/client_test.go
+++ b/internal/lab/flows/client_test.go
@@ -25,7 +25,7 @@
 	server, err := netstack.New(netstack.Config{Output: func(p []byte) { _, _ = balancer.WriteToUDPAddrPort(p, f.Addr()) }})
 	require.NoError(t, err)
 	defer server.Close()
-	server.AcceptTCP(func(a netstack.Accepted) {
+	server.AcceptTCP(func(a netstack.ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			return
--- a/internal/lab/flows/finish_test.go
+++ b/internal/lab/flows/finish_test.go
@@ -46,7 +46,7 @@
 	require.NoError(t, err)
 	defer server.Close()
 	ended := make(chan error, 1)
-	server.AcceptTCP(func(a netstack.Accepted) {
+	server.AcceptTCP(func(a netstack.ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			ended <- err
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -29,7 +29,7 @@
 		_, _ = out.WriteToUDPAddrPort(p, f.Addr())
 	}})
 	require.NoError(t, err)
-	m.stack.AcceptTCP(func(a netstack.Accepted) {
+	m.stack.AcceptTCP(func(a netstack.ConnRequest) {
 		if conn, err := a.Accept(); err == nil {
 			b := make([]byte, 64<<10)
 			for n, err := conn.Read(b); err == nil; n, err = conn.Read(b) {
--- a/pkg/agent/accept.go
+++ b/pkg/agent/accept.go
@@ -9,7 +9,7 @@
 )
 
 // acceptTCP serves one opening segment that the arbiter let pass, in its own goroutine.
-func (a *Agent) acceptTCP(in netstack.Accepted) {
+func (a *Agent) acceptTCP(in netstack.ConnRequest) {
 	f := a.registry.get(in.Key.Hash())
 	s := a.service.Load()
 	if f == nil || s == nil || !a.begin() {
--- a/pkg/agent/stream.go
+++ b/pkg/agent/stream.go
@@ -28,7 +28,7 @@
 }
 
 // serveBytes dials the target first, so that a caller of a dead target gets a reset in place of a handshake.
-func (st *stream) serveBytes(in netstack.Accepted) {
+func (st *stream) serveBytes(in netstack.ConnRequest) {
 	target, err := st.a.dialTarget("tcp")
 	if err != nil {
 		st.record(refusal.ReasonTargetRefused, err.Error())
@@ -66,7 +66,7 @@
 }
 
 // serveRequests hands the connection to the request handler.
-func (st *stream) serveRequests(in netstack.Accepted) {
+func (st *stream) serveRequests(in netstack.ConnRequest) {
 	if !st.open(in) {
 		return
 	}
@@ -74,7 +74,7 @@
 	st.a.cfg.RequestHandler.ServeFlow(st.a.ctx, st.caller, st.f.key)
 }
 
-func (st *stream) open(in netstack.Accepted) bool {
+func (st *stream) open(in netstack.ConnRequest) bool {
 	conn, err := in.Accept()
 	if err != nil {
 		st.a.deps.Log.Debug().Str("op", "accept").Uint64("flow", st.f.hash).Err(err).Send()
--- a/pkg/ctl/app_test.go
+++ b/pkg/ctl/app_test.go
@@ -19,30 +19,30 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// desk runs commands against a store.
-type desk struct {
-	t       *testing.T
-	store   *store.Store
-	answer  refusal.Answer
-	query   refusal.Query
-	stdin   string
-	out     bytes.Buffer
-	errs    bytes.Buffer
-	clockAt time.Time
+// harness runs commands against a store.
+type harness struct {
+	t      *testing.T
+	store  *store.Store
+	answer refusal.Answer
+	query  refusal.Query
+	stdin  string
+	out    bytes.Buffer
+	errs   bytes.Buffer
+	now    time.Time
 }
 
-func newDesk(t *testing.T) *desk {
-	return &desk{t: t, store: store.New(store.Config{WatchWait: time.Second}), clockAt: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, store: store.New(store.Config{WatchWait: time.Second}), now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)}
 }
 
 // Find implements RefusalReader.
-func (d *desk) Find(_ context.Context, q refusal.Query) (refusal.Answer, error) {
+func (d *harness) Find(_ context.Context, q refusal.Query) (refusal.Answer, error) {
 	d.query = q
 	return d.answer, nil
 }
 
 // run runs a command and checks its exit code.
-func (d *desk) run(code int, args ...string) string {
+func (d *harness) run(code int, args ...string) string {
 	d.t.Helper()
 	d.out.Reset()
 	d.errs.Reset()
@@ -52,7 +52,7 @@
 		Stderr:   &d.errs,
 		Open:     func(Protocol, string, time.Duration) objectapi.Store { return d.store },
 		Refusals: func(objectapi.Store) RefusalReader { return d },
-		Now:      func() time.Time { return d.clockAt },
+		Now:      func() time.Time { return d.now },
 	}
 	got := a.Main(d.t.Context(), append([]string{"--server", "http://api"}, args...))
 	require.Equal(d.t, code, got, "%s\n%s", d.out.String(), d.errs.String())
@@ -72,7 +72,7 @@
 }
 
 // accept stores a status that says that the stored version of a service is in force on adopted of 3 balancers.
-func (d *desk) accept(name string, adopted int) {
+func (d *harness) accept(name string, adopted int) {
 	d.t.Helper()
 	ctx := d.t.Context()
 	o, err := d.store.Get(ctx, resource.KindService, name)
@@ -83,7 +83,7 @@
 }
 
 // putStatus stores a status.
-func (d *desk) putStatus(s resource.ServiceStatus) {
+func (d *harness) putStatus(s resource.ServiceStatus) {
 	d.t.Helper()
 	ctx := d.t.Context()
 	if old, err := objectapi.GetTyped[resource.ServiceStatus](ctx, d.store, resource.KindServiceStatus, s.Name); err == nil {
@@ -97,7 +97,7 @@
 }
 
 func TestUsageMistakes(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	for _, args := range [][]string{
 		{}, {"nonsense"}, {"--nope"}, {"validate"}, {"validate", "/nonexistent"}, {"apply"}, {"delete"}, {"get", "nonsense"},
 		{"apply", "--retries", "-1", "x"}, {"delete", "--version-is", "1", "a", "b"}, {"watch", "service", "a", "b"},
@@ -114,7 +114,7 @@
 }
 
 func TestValidate(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	require.Contains(t, d.run(ExitOK, "validate", file(t, service("a", "10.0.0.1", 1))), "valid")
 	d.stdin = `{"name":"a","spec":{}} {"name":"a","spce":{}} {"name":`
 	out := d.run(ExitUsage, "validate", "-")
@@ -133,7 +133,7 @@
 }
 
 func TestApplyGetDelete(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	path := file(t, service("a", "10.0.0.1", 1), service("b", "10.0.0.2", 1))
 	require.Contains(t, d.run(ExitOK, "apply", "--dry-run", path), "created (dry run)")
 	require.Zero(t, storedLimit(t, d.store, "a"))
@@ -167,7 +167,7 @@
 }
 
 func TestApplyWaits(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	path := file(t, service("a", "10.0.0.1", 1))
 	d.run(ExitOK, "apply", path)
 	d.accept("a", 2)
@@ -185,7 +185,7 @@
 }
 
 func TestWaitIgnoresTheStatusOfAnEarlierVersion(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.1", 1)))
 	d.accept("a", 3)
 	changed := file(t, service("a", "10.0.0.1", 2))
@@ -203,7 +203,7 @@
 }
 
 func TestWatch(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.1", 1), service("b", "10.0.0.2", 1)))
 	require.Equal(t, 2, strings.Count(d.run(ExitOK, "watch", "--count", "2"), "pending"))
 	require.Contains(t, d.run(ExitOK, "watch", "--count", "1", "service", "b"), "put  b")
@@ -215,17 +215,17 @@
 }
 
 func TestExplain(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	require.Contains(t, d.run(ExitOK, "explain", "--caller", "::ffff:192.0.2.7"), "no refusals found")
 	require.Equal(t, netip.MustParsePrefix("192.0.2.7/32"), d.query.Caller)
-	require.Equal(t, d.clockAt, d.query.To)
-	require.Equal(t, d.clockAt.Add(-time.Hour), d.query.From)
+	require.Equal(t, d.now, d.query.To)
+	require.Equal(t, d.now.Add(-time.Hour), d.query.From)
 	d.answer = refusal.Answer{Refusals: 3, Records: []refusal.Record{
-		{Time: d.clockAt, Count: 1, Caller: netip.MustParseAddrPort("192.0.2.7:999"), Reason: refusal.ReasonNoTarget, Run: refusal.RunNo, Detail: "none is active"},
-		{Time: d.clockAt, Last: d.clockAt.Add(time.Second), Count: 2, Callers: netip.MustParsePrefix("192.0.2.0/24"), Service: "a", Reason: refusal.ReasonAllFull},
+		{Time: d.now, Count: 1, Caller: netip.MustParseAddrPort("192.0.2.7:999"), Reason: refusal.ReasonNoTarget, Run: refusal.RunNo, Detail: "none is active"},
+		{Time: d.now, Last: d.now.Add(time.Second), Count: 2, Callers: netip.MustParsePrefix("192.0.2.0/24"), Service: "a", Reason: refusal.ReasonAllFull},
 	}}
 	out := d.run(ExitOK, "explain", "--service", "a", "--reason", "no-target", "--id", "x", "--from", "2026-12-01T00:00:00Z", "--to", "2026-12-02T00:00:00Z")
-	require.Equal(t, refusal.Query{Service: "a", Reason: refusal.ReasonNoTarget, ID: "x", From: d.clockAt.Add(-36 * time.Hour), To: d.clockAt.Add(-12 * time.Hour)}, d.query)
+	require.Equal(t, refusal.Query{Service: "a", Reason: refusal.ReasonNoTarget, ID: "x", From: d.now.Add(-36 * time.Hour), To: d.now.Add(-12 * time.Hour)}, d.query)
 	require.Contains(t, out, "none is active")
 	require.Contains(t, out, "192.0.2.0/24")
 	require.Contains(t, out, "3 refusals in 2 records")
--- a/pkg/ctl/applier.go
+++ b/pkg/ctl/applier.go
@@ -52,9 +52,9 @@
 	base objectapi.Object
 	// conflicts counts the changes of other operators that were overwritten.
 	conflicts int
-	// lost says that a write over the base may have taken effect, doubt that one over an earlier base may have.
-	lost, doubt bool
-	result      ApplyResult
+	// answerLost says that a write over the base may have taken effect, uncertain that one over an earlier base may have.
+	answerLost, uncertain bool
+	result                ApplyResult
 }
 
 // read returns the stored object; one of version 0 when there is none.
@@ -69,7 +69,7 @@
 // run writes until the value is stored or the write is given up.
 func (w *write) run(ctx context.Context) error {
 	for range maxAttempts + w.applier.Retries {
-		if w.stored(w.base) {
+		if w.holdsValue(w.base) {
 			return w.done(ActionUnchanged, w.base.Version)
 		}
 		action := w.action()
@@ -80,8 +80,8 @@
 		if err == nil {
 			return w.done(action, o.Version)
 		}
-		over, err := w.resolve(ctx, action, err)
-		if over {
+		finished, err := w.resolve(ctx, action, err)
+		if finished {
 			return err
 		}
 	}
@@ -96,8 +96,8 @@
 	return ActionConfigured
 }
 
-// stored reports whether an object holds the value already.
-func (w *write) stored(o objectapi.Object) bool {
+// holdsValue reports whether an object holds the value already.
+func (w *write) holdsValue(o objectapi.Object) bool {
 	return o.Version != 0 && sameContent(o.Value, w.value)
 }
 
@@ -114,17 +114,17 @@
 // resolve reads back after a write that failed. It reports whether the write is over, and its error.
 func (w *write) resolve(ctx context.Context, action Action, cause error) (bool, error) {
 	if errors.Is(cause, objectapi.ErrOutcomeUnknown) {
-		w.lost = true
+		w.answerLost = true
 	} else if !errors.Is(cause, objectapi.ErrConflict) && !errors.Is(cause, objectapi.ErrNotFound) {
-		return true, w.giveUp(ActionFailed, cause, "the object API did not take the call")
+		return true, w.abandon(ActionFailed, cause, "the object API did not take the call")
 	}
 	before := w.base
 	now, err := w.read(ctx, before.Name)
 	if err != nil {
-		return true, w.giveUp(ActionFailed, err, "reading back failed")
+		return true, w.abandon(ActionFailed, err, "reading back failed")
 	}
 	w.base = now
-	if w.lost && w.stored(now) {
+	if w.answerLost && w.holdsValue(now) {
 		w.result.Detail = "the answer was lost; confirmed by reading back"
 		return true, w.done(action, now.Version)
 	}
@@ -132,16 +132,16 @@
 		// The condition still holds, so the same write is safe to repeat: at most one of the two takes effect.
 		return false, nil
 	}
-	return w.overtaken(ctx, before, now)
+	return w.resolveConflict(ctx, before, now)
 }
 
-// overtaken handles another operator's change between reading and writing.
-func (w *write) overtaken(ctx context.Context, before, now objectapi.Object) (bool, error) {
-	if w.lost && !w.lostBefore(ctx, before) {
-		w.doubt = true
+// resolveConflict handles another operator's change between reading and writing.
+func (w *write) resolveConflict(ctx context.Context, before, now objectapi.Object) (bool, error) {
+	if w.answerLost && !w.historyExcludesWrite(ctx, before) {
+		w.uncertain = true
 	}
-	w.lost = false
-	if w.stored(now) || (!w.doubt && sameContent(before.Value, now.Value)) {
+	w.answerLost = false
+	if w.holdsValue(now) || (!w.uncertain && sameContent(before.Value, now.Value)) {
 		return false, nil
 	}
 	w.conflicts++
@@ -149,20 +149,20 @@
 		w.result.Detail = fmt.Sprintf("overwrote version %d, which another operator wrote meanwhile", now.Version)
 		return false, nil
 	}
-	return true, w.giveUp(ActionConflict, objectapi.ErrConflict, "another operator "+describe(before, now)+"; that change stays")
+	return true, w.abandon(ActionConflict, objectapi.ErrConflict, "another operator "+describe(before, now)+"; that change stays")
 }
 
-// giveUp ends with a failure. When the answer to an earlier write was lost, the outcome is unknown whatever the cause.
-func (w *write) giveUp(a Action, cause error, detail string) error {
-	if w.lost || w.doubt {
+// abandon ends with a failure. When the answer to an earlier write was lost, the outcome is unknown whatever the cause.
+func (w *write) abandon(a Action, cause error, detail string) error {
+	if w.answerLost || w.uncertain {
 		return w.fail(ActionUnknown, objectapi.ErrOutcomeUnknown, "%s; the answer to an earlier write was lost, so it may have been stored", detail)
 	}
 	return w.fail(a, cause, "%s; nothing was written", detail)
 }
 
-// lostBefore reports whether the history shows that a write whose answer was lost did not take effect: only the first
+// historyExcludesWrite reports whether the history shows that a write whose answer was lost did not take effect: only the first
 // change after the version of its condition can be that write.
-func (w *write) lostBefore(ctx context.Context, before objectapi.Object) bool {
+func (w *write) historyExcludesWrite(ctx context.Context, before objectapi.Object) bool {
 	if before.Version == 0 {
 		return false
 	}
@@ -207,11 +207,11 @@
 // sameContent reports whether two stored values hold the same service. Values that are not services are compared by
 // their bytes.
 func sameContent(a, b []byte) bool {
-	return bytes.Equal(normal(a), normal(b))
+	return bytes.Equal(canonical(a), canonical(b))
 }
 
-// normal returns the value as this version of the program writes it.
-func normal(v []byte) []byte {
+// canonical returns the value as this version of the program writes it.
+func canonical(v []byte) []byte {
 	var s resource.Service
 	if err := resource.Decode(v, &s); err != nil {
 		return v
--- a/pkg/ctl/applier_test.go
+++ b/pkg/ctl/applier_test.go
@@ -24,18 +24,18 @@
 	}}
 }
 
-// hooked is a store that runs a function before or after one write.
-type hooked struct {
+// hookStore is a store that runs a function before or after one write.
+type hookStore struct {
 	objectapi.Store
 	before, after func()
-	// lost hides the answer of the write.
-	lost bool
-	// refused fails the write, unavailable reads fail after it.
-	refused, unreadable error
-	writes              int
+	// loseAnswer hides the answer of the write.
+	loseAnswer bool
+	// writeErr fails the write, unavailable reads fail after it.
+	writeErr, readErr error
+	writes            int
 }
 
-func (h *hooked) around(write func() (objectapi.Object, error)) (objectapi.Object, error) {
+func (h *hookStore) around(write func() (objectapi.Object, error)) (objectapi.Object, error) {
 	h.writes++
 	if h.writes > 1 {
 		return write()
@@ -43,30 +43,30 @@
 	if h.before != nil {
 		h.before()
 	}
-	if h.refused != nil {
-		return objectapi.Object{}, h.refused
+	if h.writeErr != nil {
+		return objectapi.Object{}, h.writeErr
 	}
 	o, err := write()
 	if h.after != nil {
 		h.after()
 	}
-	if h.lost {
+	if h.loseAnswer {
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 	}
 	return o, err
 }
 
-func (h *hooked) Create(ctx context.Context, kind objectapi.Kind, name string, v []byte) (objectapi.Object, error) {
+func (h *hookStore) Create(ctx context.Context, kind objectapi.Kind, name string, v []byte) (objectapi.Object, error) {
 	return h.around(func() (objectapi.Object, error) { return h.Store.Create(ctx, kind, name, v) })
 }
 
-func (h *hooked) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (h *hookStore) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	return h.around(func() (objectapi.Object, error) { return h.Store.Update(ctx, o) })
 }
 
-func (h *hooked) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
-	if h.writes > 0 && h.unreadable != nil {
-		return objectapi.Object{}, h.unreadable
+func (h *hookStore) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
+	if h.writes > 0 && h.readErr != nil {
+		return objectapi.Object{}, h.readErr
 	}
 	return h.Store.Get(ctx, kind, name)
 }
@@ -91,9 +91,9 @@
 		// exists stores the service before; theirs runs before or after the first write.
 		exists        bool
 		before, after func(apply, del func())
-		lost          bool
-		refused       error
-		unreadable    error
+		loseAnswer    bool
+		writeErr      error
+		readErr       error
 		retries       int
 		action        Action
 		err           error
@@ -102,17 +102,17 @@
 	}{
 		{name: "create", action: ActionCreated, stored: mine},
 		{name: "replace", exists: true, action: ActionConfigured, stored: mine},
-		{name: "create, answer lost", lost: true, action: ActionCreated, stored: mine, detail: "confirmed by reading back"},
-		{name: "replace, answer lost", exists: true, lost: true, action: ActionConfigured, stored: mine, detail: "confirmed by reading back"},
-		{name: "replace, write lost", exists: true, refused: objectapi.ErrOutcomeUnknown, action: ActionConfigured, stored: mine},
-		{name: "answer lost, no reading back", lost: true, unreadable: objectapi.ErrUnavailable, action: ActionUnknown, err: objectapi.ErrOutcomeUnknown, stored: mine},
-		{name: "outage", refused: objectapi.ErrUnavailable, action: ActionFailed, err: objectapi.ErrUnavailable, detail: "nothing was written"},
+		{name: "create, answer lost", loseAnswer: true, action: ActionCreated, stored: mine, detail: "confirmed by reading back"},
+		{name: "replace, answer lost", exists: true, loseAnswer: true, action: ActionConfigured, stored: mine, detail: "confirmed by reading back"},
+		{name: "replace, write lost", exists: true, writeErr: objectapi.ErrOutcomeUnknown, action: ActionConfigured, stored: mine},
+		{name: "answer lost, no reading back", loseAnswer: true, readErr: objectapi.ErrUnavailable, action: ActionUnknown, err: objectapi.ErrOutcomeUnknown, stored: mine},
+		{name: "outage", writeErr: objectapi.ErrUnavailable, action: ActionFailed, err: objectapi.ErrUnavailable, detail: "nothing was written"},
 		{name: "race to create", before: func(apply, _ func()) { apply() }, action: ActionConflict, err: objectapi.ErrConflict, stored: theirs, detail: "created the service as version"},
 		{name: "race to replace", exists: true, before: func(apply, _ func()) { apply() }, action: ActionConflict, err: objectapi.ErrConflict, stored: theirs, detail: "replaced version"},
 		{name: "deleted meanwhile", exists: true, before: func(_, del func()) { del() }, action: ActionConflict, err: objectapi.ErrConflict, detail: "deleted version"},
 		{name: "race, retry", exists: true, before: func(apply, _ func()) { apply() }, retries: 1, action: ActionConfigured, stored: mine, detail: "overwrote version"},
-		{name: "race, write lost", exists: true, before: func(apply, _ func()) { apply() }, refused: objectapi.ErrOutcomeUnknown, action: ActionConflict, err: objectapi.ErrConflict, stored: theirs, detail: "replaced version"},
-		{name: "answer lost, replaced since", exists: true, after: func(apply, _ func()) { apply() }, lost: true, action: ActionUnknown, err: objectapi.ErrOutcomeUnknown, stored: theirs, detail: "may have been stored"},
+		{name: "race, write lost", exists: true, before: func(apply, _ func()) { apply() }, writeErr: objectapi.ErrOutcomeUnknown, action: ActionConflict, err: objectapi.ErrConflict, stored: theirs, detail: "replaced version"},
+		{name: "answer lost, replaced since", exists: true, after: func(apply, _ func()) { apply() }, loseAnswer: true, action: ActionUnknown, err: objectapi.ErrOutcomeUnknown, stored: theirs, detail: "may have been stored"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := store.New(store.Config{})
@@ -135,7 +135,7 @@
 				}
 				return func() { f(apply, del) }
 			}
-			h := &hooked{Store: s, before: run(c.before), after: run(c.after), lost: c.lost, refused: c.refused, unreadable: c.unreadable}
+			h := &hookStore{Store: s, before: run(c.before), after: run(c.after), loseAnswer: c.loseAnswer, writeErr: c.writeErr, readErr: c.readErr}
 			r, err := Applier{Store: h, Retries: c.retries}.Apply(t.Context(), service("a", "10.0.0.1", mine))
 			if c.err == nil {
 				require.NoError(t, err)
@@ -159,13 +159,13 @@
 	require.Equal(t, ApplyResult{Name: "a", Action: ActionUnchanged, Version: o.Version}, r)
 }
 
-// outage is a store whose first write loses its answer before it takes effect and whose later writes are refused.
-type outage struct {
+// outageStore is a store whose first write loses its answer before it takes effect and whose later writes are refused.
+type outageStore struct {
 	objectapi.Store
 	writes int
 }
 
-func (o *outage) Create(context.Context, objectapi.Kind, string, []byte) (objectapi.Object, error) {
+func (o *outageStore) Create(context.Context, objectapi.Kind, string, []byte) (objectapi.Object, error) {
 	o.writes++
 	if o.writes == 1 {
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
@@ -173,19 +173,19 @@
 	return objectapi.Object{}, objectapi.ErrUnavailable
 }
 
-func TestApplierDoesNotDenyAWriteWhoseAnswerWasLost(t *testing.T) {
+func TestApplierReportsUnknownWhenAnAnswerIsLost(t *testing.T) {
 	// The first write may still arrive, so the refusal of the second says nothing about it.
-	r, err := Applier{Store: &outage{Store: store.New(store.Config{})}}.Apply(t.Context(), service("a", "10.0.0.1", 1))
+	r, err := Applier{Store: &outageStore{Store: store.New(store.Config{})}}.Apply(t.Context(), service("a", "10.0.0.1", 1))
 	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 	require.Equal(t, ActionUnknown, r.Action)
 }
 
-func TestApplierDoesNotDenyAWriteThatTheObjectAPIHasLost(t *testing.T) {
+func TestApplierReportsUnknownWhenARestoreLosesTheWrite(t *testing.T) {
 	s := store.New(store.Config{Era: 1})
 	_, err := Applier{Store: s}.Apply(t.Context(), service("a", "10.0.0.1", 1))
 	require.NoError(t, err)
 	older := s.Copy()
-	h := &hooked{Store: s, lost: true, after: func() { s.Restore(older) }}
+	h := &hookStore{Store: s, loseAnswer: true, after: func() { s.Restore(older) }}
 	r, err := Applier{Store: h}.Apply(t.Context(), service("a", "10.0.0.1", 2))
 	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 	require.Equal(t, ActionUnknown, r.Action)
@@ -194,9 +194,9 @@
 	require.Equal(t, ActionConfigured, r.Action)
 }
 
-// TestRacingOperators lets operators apply different content at once while answers are lost. Who is told that its write
+// TestConcurrentOperators lets operators apply different content at once while answers are lost. Who is told that its write
 // was stored must find it in the history, and who is told that it was not, must not.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	for seed := range uint64(20) {
 		s := store.New(store.Config{Seed: seed})
 		s.SetFaults(store.Faults{LoseShare: 0.2, DropShare: 0.2, Jitter: 200 * time.Microsecond})
--- a/pkg/ctl/evacuate.go
+++ b/pkg/ctl/evacuate.go
@@ -104,8 +104,8 @@
 		if err == nil {
 			return dataCentre + " is used again", nil
 		}
-		again := errors.Is(err, objectapi.ErrOutcomeUnknown) || errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound)
-		if !again {
+		retryable := errors.Is(err, objectapi.ErrOutcomeUnknown) || errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound)
+		if !retryable {
 			return "", trace.Wrap(err, "restoring %s", dataCentre)
 		}
 	}
--- a/pkg/ctl/evacuate_test.go
+++ b/pkg/ctl/evacuate_test.go
@@ -9,8 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-func TestADataCentreIsEvacuatedAndRestored(t *testing.T) {
-	d := newDesk(t)
+func TestEvacuateAndRestoreDataCentre(t *testing.T) {
+	d := newHarness(t)
 	require.Contains(t, d.run(ExitOK, "evacuate", "--reason", "power work", "marka-hall", "zarqa-hall"), "marka-hall is evacuated")
 	require.Contains(t, d.run(ExitOK, "evacuate", "marka-hall"), "before")
 	out := d.run(ExitOK, "-o", "json", "get", "evacuations")
@@ -26,8 +26,8 @@
 }
 
 // A lost answer does not leave an operator in doubt: declaring and withdrawing may be repeated.
-func TestAnEvacuationWhoseAnswerIsLostIsDeclaredOnce(t *testing.T) {
-	d := newDesk(t)
+func TestEvacuationIsIdempotentWhenAnAnswerIsLost(t *testing.T) {
+	d := newHarness(t)
 	d.store.SetFaults(store.Faults{LoseNext: 1})
 	d.run(ExitOK, "evacuate", "marka-hall")
 	list, _, err := d.store.List(t.Context(), resource.KindEvacuation)
--- a/pkg/ctl/storedconflicts.go
+++ b/pkg/ctl/storedconflicts.go
@@ -13,7 +13,7 @@
 // markStoredConflicts adds to each document the addresses that a stored service holds. It is a check in advance: the
 // holder of the compile lease decides again, on what is stored then.
 func markStoredConflicts(ctx context.Context, store objectapi.Store, list []Document) error {
-	services, inForce, err := stored(ctx, store)
+	services, inForce, err := readStored(ctx, store)
 	if err != nil {
 		return err
 	}
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// stored returns the stored services, and those configurations in force whose specification is still stored.
-func stored(ctx context.Context, store objectapi.Store) ([]resource.VersionedService, []resource.ServiceConfig, error) {
+// readStored returns the stored services, and the configurations in force whose specification is still the stored one.
+func readStored(ctx context.Context, store objectapi.Store) ([]resource.VersionedService, []resource.ServiceConfig, error) {
 	objects, _, err := store.List(ctx, resource.KindService)
 	if err != nil {
 		return nil, nil, trace.Wrap(err, "listing services")
--- a/pkg/ctl/wait.go
+++ b/pkg/ctl/wait.go
@@ -34,7 +34,7 @@
 	defer cancel()
 	_ = objectapi.WatchKind(ctx, store, resource.KindServiceStatus, objectapi.InformerConfig{}, func(events []objectapi.Event, _ uint64) {
 		for _, e := range events {
-			w.see(e)
+			w.observe(e)
 		}
 		if len(w.want) == 0 {
 			cancel()
@@ -43,8 +43,8 @@
 	return w.err()
 }
 
-// see takes one event.
-func (w *waiter) see(e objectapi.Event) {
+// observe takes one event.
+func (w *waiter) observe(e objectapi.Event) {
 	want, ok := w.want[e.Object.Name]
 	if !ok || e.Type != objectapi.EventPut {
 		return
--- a/pkg/ctl/watch.go
+++ b/pkg/ctl/watch.go
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f := follower{session: s, cancel: cancel, name: c.Args.Name, left: c.Count, limited: c.Count > 0, services: make(map[string]objectapi.Object), statuses: make(map[string]objectapi.Object)}
+	f := follower{session: s, cancel: cancel, name: c.Args.Name, remaining: c.Count, limited: c.Count > 0, services: make(map[string]objectapi.Object), statuses: make(map[string]objectapi.Object)}
 	return f.follow(ctx, store, kind)
 }
 
@@ -45,9 +45,9 @@
 	cancel  context.CancelFunc
 	// name limits the changes to one object; empty means all.
 	name string
-	// left is the number of lines to go when limited is true.
-	left    int
-	limited bool
+	// remaining is the number of lines to go when limited is true.
+	remaining int
+	limited   bool
 	// services and statuses are what was seen last, by name.
 	services, statuses map[string]objectapi.Object
 	// err is why the output could not be written.
@@ -99,7 +99,7 @@
 
 // event prints one change.
 func (f *follower) event(kind objectapi.Kind, e objectapi.Event) {
-	if f.limited && f.left == 0 || f.name != "" && f.name != e.Object.Name {
+	if f.limited && f.remaining == 0 || f.name != "" && f.name != e.Object.Name {
 		return
 	}
 	if kind == resource.KindService {
@@ -153,8 +153,8 @@
 		f.stop(trace.Wrap(err, "writing the output"))
 		return
 	}
-	f.left--
-	if f.limited && f.left == 0 {
+	f.remaining--
+	if f.limited && f.remaining == 0 {
 		f.stop(nil)
 	}
 }
--- a/pkg/errqueue/errqueue.go
+++ b/pkg/errqueue/errqueue.go
@@ -30,13 +30,13 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		for next(int(fd), refused) {
+		for drainOne(int(fd), refused) {
 		}
 	})
 }
 
-// next handles one entry; it returns false when the queue is empty.
-func next(fd int, refused func(to netip.AddrPort)) bool {
+// drainOne handles one entry; it returns false when the queue is empty.
+func drainOne(fd int, refused func(to netip.AddrPort)) bool {
 	var payload [1]byte
 	var oob [oobSize]byte
 	_, _, _, from, err := unix.Recvmsg(fd, payload[:], oob[:], unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
--- a/pkg/netstack/accept.go
+++ b/pkg/netstack/accept.go
@@ -13,9 +13,9 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Accepted is a caller's opening TCP segment that waits for an answer. Exactly one of Accept, Reject and Ignore must be
+// ConnRequest is a caller's opening TCP segment that waits for an answer. Exactly one of Accept, Reject and Ignore must be
 // called.
-type Accepted struct {
+type ConnRequest struct {
 	// Key is the five-tuple, seen from the caller.
 	Key     flow.Key
 	stack   *Stack
@@ -23,7 +23,7 @@
 }
 
 // Accept completes the handshake, which blocks until the caller answers. The connection is a *Conn.
-func (a Accepted) Accept() (net.Conn, error) {
+func (a ConnRequest) Accept() (net.Conn, error) {
 	var queue waiter.Queue
 	id := a.request.ID()
 	endpoint, terr := a.request.CreateEndpoint(&queue)
@@ -32,23 +32,23 @@
 		return nil, trace.ConnectionProblem(nil, "handshake with caller %v: %s", a.Key.Source, terr)
 	}
 	a.request.Complete(false)
-	a.stack.tune(endpoint)
+	a.stack.setSocketOptions(endpoint)
 	c := newConn(&queue, endpoint)
 	a.stack.accepted.add(c, id)
 	return c, nil
 }
 
 // Reject answers the caller with a reset.
-func (a Accepted) Reject() { a.request.Complete(true) }
+func (a ConnRequest) Reject() { a.request.Complete(true) }
 
 // Ignore leaves the caller without an answer; its TCP sends the segment again.
-func (a Accepted) Ignore() { a.request.Complete(false) }
+func (a ConnRequest) Ignore() { a.request.Complete(false) }
 
 // AcceptTCP sets the handler of opening TCP segments that belong to no connection. Each call of the handler has its own
 // goroutine; a segment that comes again while its handler runs is ignored.
-func (s *Stack) AcceptTCP(handler func(Accepted)) {
+func (s *Stack) AcceptTCP(handler func(ConnRequest)) {
 	f := tcp.NewForwarder(s.stack, s.config.Buffer, maxInFlight, func(r *tcp.ForwarderRequest) {
-		handler(Accepted{Key: keyOf(r.ID(), flow.ProtocolTCP), stack: s, request: r})
+		handler(ConnRequest{Key: keyOf(r.ID(), flow.ProtocolTCP), stack: s, request: r})
 	})
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, f.HandlePacket)
 }
--- a/pkg/netstack/accepted_conns.go
+++ b/pkg/netstack/accepted_conns.go
@@ -20,13 +20,13 @@
 	a.conns.Store(id, c)
 }
 
-func (a *acceptedConns) forget(c *Conn) { a.conns.CompareAndDelete(c.id, c) }
+func (a *acceptedConns) remove(c *Conn) { a.conns.CompareAndDelete(c.id, c) }
 
-// retire forgets a closed connection once nothing of it is left. One that stays in CLOSING would never end by itself; see
+// removeWhenClosed forgets a closed connection once nothing of it is left. One that stays in CLOSING would never end by itself; see
 // Conn.WaitClosed.
-func (a *acceptedConns) retire(c *Conn) {
-	if c.gone() {
-		a.forget(c)
+func (a *acceptedConns) removeWhenClosed(c *Conn) {
+	if c.isClosed() {
+		a.remove(c)
 		return
 	}
 	closing := c.inClosing()
@@ -35,12 +35,12 @@
 			c.Abort()
 			return
 		}
-		a.retire(c)
+		a.removeWhenClosed(c)
 	})
 }
 
-// reopen ends the connection in TIME-WAIT, if any, whose ports an opening segment uses.
-func (a *acceptedConns) reopen(packet []byte) {
+// abortTimeWait ends the connection in TIME-WAIT, if any, whose ports an opening segment uses.
+func (a *acceptedConns) abortTimeWait(packet []byte) {
 	source, destination, segment, ok := tcpOf(packet)
 	if !ok || segment.Flags()&(header.TCPFlagSyn|header.TCPFlagAck) != header.TCPFlagSyn {
 		return
--- a/pkg/netstack/closing_test.go
+++ b/pkg/netstack/closing_test.go
@@ -12,14 +12,14 @@
 	"gvisor.dev/gvisor/pkg/tcpip/header"
 )
 
-// overtaker passes packets on, but lets the ACK after a FIN overtake it.
-type overtaker struct {
+// reorderer passes packets on, but lets the ACK after a FIN overtake it.
+type reorderer struct {
 	mu   sync.Mutex
 	held []byte
 	pass func(p []byte)
 }
 
-func (o *overtaker) output(p []byte) {
+func (o *reorderer) output(p []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_, _, segment, ok := tcpOf(p)
@@ -39,7 +39,7 @@
 func closeBoth(t *testing.T, timeWait time.Duration) *Conn {
 	t.Helper()
 	var server *Stack
-	o := &overtaker{pass: func(p []byte) { server.Inject(p) }}
+	o := &reorderer{pass: func(p []byte) { server.Inject(p) }}
 	caller, err := New(Config{Output: o.output})
 	require.NoError(t, err)
 	t.Cleanup(caller.Close)
@@ -48,7 +48,7 @@
 	t.Cleanup(server.Close)
 	server.accepted.timeWait = timeWait
 	accepted := make(chan net.Conn, 1)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		if conn, err := a.Accept(); err == nil {
 			accepted <- conn
 		}
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	other := (<-accepted).(*Conn)
 	require.NoError(t, conn.Close())
-	require.Eventually(t, o.holds, 20*time.Second, time.Millisecond)
+	require.Eventually(t, o.isHolding, 20*time.Second, time.Millisecond)
 	require.NoError(t, other.CloseWrite())
 	require.Eventually(t, other.inClosing, 20*time.Second, time.Millisecond, "the state that this test is about")
 	_, err = other.Read(make([]byte, 1))
@@ -66,7 +66,7 @@
 	return other
 }
 
-func (o *overtaker) holds() bool {
+func (o *reorderer) isHolding() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.held) > 0
@@ -80,15 +80,15 @@
 	require.True(t, c.inClosing())
 }
 
-func TestConnectionInClosingIsGivenBack(t *testing.T) {
+func TestConnectionInClosingIsReleased(t *testing.T) {
 	c := closeBoth(t, 10*time.Millisecond)
-	require.Eventually(t, c.gone, 20*time.Second, time.Millisecond)
+	require.Eventually(t, c.isClosed, 20*time.Second, time.Millisecond)
 }
 
 func TestWaitClosedDoesNotWaitForAPeerThatStaysOpen(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
 	accepted := make(chan net.Conn, 1)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		if conn, err := a.Accept(); err == nil {
 			accepted <- conn
 		}
--- a/pkg/netstack/conn.go
+++ b/pkg/netstack/conn.go
@@ -30,7 +30,7 @@
 func (c *Conn) Close() error {
 	err := c.TCPConn.Close()
 	if c.accepted != nil {
-		c.accepted.retire(c)
+		c.accepted.removeWhenClosed(c)
 	}
 	return err
 }
@@ -53,7 +53,7 @@
 func (c *Conn) Abort() {
 	c.endpoint.Abort()
 	if c.accepted != nil {
-		c.accepted.forget(c)
+		c.accepted.remove(c)
 	}
 }
 
@@ -72,18 +72,18 @@
 // the last word and stays in CLOSING for ever, although all was acknowledged. Packets that are sprayed over several ways
 // do overtake each other.
 func (c *Conn) WaitClosed(ctx context.Context) {
-	const longest = 50 * time.Millisecond
+	const maxPause = 50 * time.Millisecond
 	pause := time.Millisecond
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	var last tcp.EndpointState
 	var since time.Time
-	for !c.silent() {
+	for !c.isFinished() {
 		state := tcp.EndpointState(c.endpoint.State())
 		if state != last {
 			last, since = state, time.Now()
 		}
-		if time.Since(since) >= longestWait(state) {
+		if time.Since(since) >= maxWait(state) {
 			return
 		}
 		select {
@@ -91,13 +91,13 @@
 			return
 		case <-timer.C:
 		}
-		pause = min(2*pause, longest)
+		pause = min(2*pause, maxPause)
 		timer.Reset(pause)
 	}
 }
 
-// longestWait bounds the wait in a state in which nothing is left to send.
-func longestWait(s tcp.EndpointState) time.Duration {
+// maxWait bounds the wait in a state in which nothing is left to send.
+func maxWait(s tcp.EndpointState) time.Duration {
 	switch s {
 	case tcp.StateClosing:
 		return closingTime
@@ -107,15 +107,15 @@
 	return math.MaxInt64
 }
 
-func (c *Conn) silent() bool {
-	return c.gone() || c.InTimeWait()
+func (c *Conn) isFinished() bool {
+	return c.isClosed() || c.InTimeWait()
 }
 
 func (c *Conn) inClosing() bool {
 	return tcp.EndpointState(c.endpoint.State()) == tcp.StateClosing
 }
 
-func (c *Conn) gone() bool {
+func (c *Conn) isClosed() bool {
 	state := tcp.EndpointState(c.endpoint.State())
 	return state == tcp.StateClose || state == tcp.StateError
 }
@@ -125,7 +125,7 @@
 	return tcp.EndpointState(c.endpoint.State()) == tcp.StateTimeWait
 }
 
-func (s *Stack) tune(endpoint tcpip.Endpoint) {
+func (s *Stack) setSocketOptions(endpoint tcpip.Endpoint) {
 	timeout := tcpip.TCPUserTimeoutOption(s.config.UserTimeout)
 	idle := tcpip.KeepaliveIdleOption(DefaultKeepalive)
 	interval := tcpip.KeepaliveIntervalOption(DefaultKeepalive)
--- a/pkg/netstack/dial.go
+++ b/pkg/netstack/dial.go
@@ -20,7 +20,7 @@
 	if terr != nil {
 		return nil, dialError("endpoint", local, remote, terr)
 	}
-	s.tune(endpoint)
+	s.setSocketOptions(endpoint)
 	if terr := endpoint.Bind(fullAddress(local)); terr != nil {
 		endpoint.Close()
 		return nil, dialError("bind", local, remote, terr)
--- a/pkg/netstack/stack.go
+++ b/pkg/netstack/stack.go
@@ -42,7 +42,7 @@
 	})
 	s.accepted.timeWait = c.TimeWait
 	s.link = channel.New(c.Queue, uint32(c.MTU), "")
-	if err := s.setUp(); err != nil {
+	if err := s.configure(); err != nil {
 		s.stack.Destroy()
 		return nil, trace.Wrap(err)
 	}
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-func (s *Stack) setUp() error {
+func (s *Stack) configure() error {
 	for _, step := range []func() tcpip.Error{
 		s.setOptions,
 		func() tcpip.Error { return s.stack.CreateNIC(defaultNIC, s.link) },
@@ -100,7 +100,7 @@
 	if !ok {
 		return false
 	}
-	s.accepted.reopen(packet)
+	s.accepted.abortTimeWait(packet)
 	p := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(packet)})
 	s.link.InjectInbound(number, p)
 	p.DecRef()
--- a/pkg/netstack/stack_test.go
+++ b/pkg/netstack/stack_test.go
@@ -38,7 +38,7 @@
 }
 
 func echo(t testing.TB, s *Stack) {
-	s.AcceptTCP(func(a Accepted) {
+	s.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			return
@@ -77,7 +77,7 @@
 func TestRejectAnswersWithReset(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
 	keys := make(chan flow.Key, 1)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		keys <- a.Key
 		a.Reject()
 	})
@@ -89,7 +89,7 @@
 
 func TestAbortResetsPeer(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			return
@@ -108,7 +108,7 @@
 // TestPortsAreReusedInTimeWait opens a connection from the port of one that the server has closed first.
 func TestPortsAreReusedInTimeWait(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err == nil {
 			_ = conn.Close()
@@ -173,8 +173,8 @@
 	require.ErrorContains(t, err, "MTU")
 }
 
-// TestResetIsTakenByTheStack sends opening and later segments to a port whose only answer is Reset.
-func TestResetIsTakenByTheStack(t *testing.T) {
+// TestResetIsAcceptedByTheStack sends opening and later segments to a port whose only answer is Reset.
+func TestResetIsAcceptedByTheStack(t *testing.T) {
 	for _, e := range ends {
 		t.Run(e.name, func(t *testing.T) {
 			var caller *Stack
@@ -198,7 +198,7 @@
 	s, err := New(Config{Output: func([]byte) {}})
 	require.NoError(f, err)
 	f.Cleanup(s.Close)
-	s.AcceptTCP(func(a Accepted) { a.Reject() })
+	s.AcceptTCP(func(a ConnRequest) { a.Reject() })
 	s.HandleUDP(func(_ flow.Key, conn net.Conn) { _ = conn.Close() })
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		s.Inject(packet)
@@ -214,7 +214,7 @@
 
 func BenchmarkTCPThroughput(b *testing.B) {
 	caller, server := pair(b, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err == nil {
 			_, _ = io.Copy(io.Discard, conn)
--- a/pkg/packet/parse.go
+++ b/pkg/packet/parse.go
@@ -82,7 +82,7 @@
 	if syn && flags.Intersects(header.TCPFlagFin|header.TCPFlagRst) {
 		return Info{}, ErrFlags
 	}
-	info, err := withPorts(src, dst, tcp.SourcePort(), tcp.DestinationPort(), length)
+	info, err := newInfo(src, dst, tcp.SourcePort(), tcp.DestinationPort(), length)
 	if err != nil {
 		return Info{}, err
 	}
@@ -101,7 +101,7 @@
 	if stated < header.UDPMinimumSize || stated > len(udp) {
 		return Info{}, ErrHeader
 	}
-	info, err := withPorts(src, dst, udp.SourcePort(), udp.DestinationPort(), length)
+	info, err := newInfo(src, dst, udp.SourcePort(), udp.DestinationPort(), length)
 	if err != nil {
 		return Info{}, err
 	}
@@ -110,7 +110,7 @@
 	return info, nil
 }
 
-func withPorts(src, dst netip.Addr, srcPort, dstPort uint16, length int) (Info, error) {
+func newInfo(src, dst netip.Addr, srcPort, dstPort uint16, length int) (Info, error) {
 	if srcPort == 0 || dstPort == 0 {
 		return Info{}, ErrPort
 	}
--- a/pkg/resource/shape.go
+++ b/pkg/resource/decodefields.go
@@ -12,31 +12,31 @@
 // unmarshaler is the type of values that read their own JSON.
 var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
 
-// shape decodes raw into v field by field and records every unknown field and every value of a wrong type. A wrong value
+// decode decodes raw into v field by field and records every unknown field and every value of a wrong type. A wrong value
 // leaves its field zero.
-func (e *fieldErrors) shape(path string, raw json.RawMessage, v reflect.Value) {
+func (e *fieldErrors) decode(path string, raw json.RawMessage, v reflect.Value) {
 	switch {
 	case string(raw) == "null" && v.Kind() != reflect.Pointer:
 		e.add(path, "is null")
 	case v.Addr().Type().Implements(unmarshaler):
-		e.leaf(path, raw, v)
+		e.decodeValue(path, raw, v)
 	case v.Kind() == reflect.Struct:
-		e.object(path, raw, v)
+		e.decodeObject(path, raw, v)
 	case v.Kind() == reflect.Slice:
-		e.list(path, raw, v)
+		e.decodeList(path, raw, v)
 	case v.Kind() == reflect.Pointer && string(raw) != "null":
 		v.Set(reflect.New(v.Type().Elem()))
-		e.shape(path, raw, v.Elem())
+		e.decode(path, raw, v.Elem())
 	default:
-		e.leaf(path, raw, v)
+		e.decodeValue(path, raw, v)
 	}
 }
 
-// object decodes a JSON object.
-func (e *fieldErrors) object(path string, raw json.RawMessage, v reflect.Value) {
+// decodeObject decodes a JSON object.
+func (e *fieldErrors) decodeObject(path string, raw json.RawMessage, v reflect.Value) {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(raw, &members) != nil {
-		e.add(path, "must be an object, not %s", kindOf(raw))
+		e.add(path, "must be an object, not %s", describe(raw))
 		return
 	}
 	known := fieldsOf(v.Type())
@@ -47,25 +47,25 @@
 			e.add(p, "is not a known field")
 			continue
 		}
-		e.shape(p, members[name], v.Field(i))
+		e.decode(p, members[name], v.Field(i))
 	}
 }
 
-// list decodes a JSON list.
-func (e *fieldErrors) list(path string, raw json.RawMessage, v reflect.Value) {
+// decodeList decodes a JSON list.
+func (e *fieldErrors) decodeList(path string, raw json.RawMessage, v reflect.Value) {
 	var items []json.RawMessage
 	if json.Unmarshal(raw, &items) != nil {
-		e.add(path, "must be a list, not %s", kindOf(raw))
+		e.add(path, "must be a list, not %s", describe(raw))
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(items), len(items)))
 	for i, item := range items {
-		e.shape(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
+		e.decode(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
 	}
 }
 
-// leaf decodes a single value.
-func (e *fieldErrors) leaf(path string, raw json.RawMessage, v reflect.Value) {
+// decodeValue decodes a single value.
+func (e *fieldErrors) decodeValue(path string, raw json.RawMessage, v reflect.Value) {
 	err := json.Unmarshal(raw, v.Addr().Interface())
 	if err == nil {
 		return
@@ -75,7 +75,7 @@
 		e.add(path, "%v", err)
 		return
 	}
-	e.add(path, "must be %s, not %s", wanted(v.Kind()), kindOf(raw))
+	e.add(path, "must be %s, not %s", expectedType(v.Kind()), describe(raw))
 }
 
 // fieldsOf returns the index of each field of a struct by its JSON name.
@@ -96,8 +96,8 @@
 	return path + "." + name
 }
 
-// wanted describes the values of a kind.
-func wanted(k reflect.Kind) string {
+// expectedType describes the values of a kind.
+func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "text"
@@ -114,8 +114,8 @@
 // maxShown is the highest number of bytes of a value in a message.
 const maxShown = 40
 
-// kindOf describes a JSON value in a message.
-func kindOf(raw json.RawMessage) string {
+// describe describes a JSON value in a message.
+func describe(raw json.RawMessage) string {
 	switch raw[0] {
 	case '{':
 		return "an object"
--- a/pkg/resource/decodeservice.go
+++ b/pkg/resource/decodeservice.go
@@ -14,7 +14,7 @@
 		return s, []FieldError{{Reason: syntaxReason(b)}}
 	}
 	var e fieldErrors
-	e.shape("", b, reflect.ValueOf(&s).Elem())
+	e.decode("", b, reflect.ValueOf(&s).Elem())
 	wrong := e
 	for _, f := range ValidateService(s) {
 		if !covered(wrong, f.Field) {
--- a/pkg/resource/validateall.go
+++ b/pkg/resource/validateall.go
@@ -33,28 +33,28 @@
 // rejected with a reason that names the other. What is in force for a rejected service stays so.
 func ValidateAll(list []VersionedService, inForce []ServiceConfig) Outcome {
 	r := resolver{held: make(map[AddressKey]holder), current: make(map[string]ServiceConfig)}
-	r.keep(list, inForce)
-	r.sift(list)
+	r.loadInForce(list, inForce)
+	r.classify(list)
 	r.accept()
 	r.rejectPending()
 	return r.outcome()
 }
 
-// keep starts from the configurations in force of the services that still exist.
-func (r *resolver) keep(list []VersionedService, inForce []ServiceConfig) {
+// loadInForce starts from the configurations in force of the services that still exist.
+func (r *resolver) loadInForce(list []VersionedService, inForce []ServiceConfig) {
 	exists := make(map[string]bool, len(list))
 	for _, s := range list {
 		exists[s.Name] = true
 	}
 	for _, c := range inForce {
 		if exists[c.Name] {
-			r.put(c)
+			r.putInForce(c)
 		}
 	}
 }
 
-// put makes c the configuration in force of its service. It reports whether the service gave up an address.
-func (r *resolver) put(c ServiceConfig) bool {
+// putInForce makes c the configuration in force of its service. It reports whether the service gave up an address.
+func (r *resolver) putInForce(c ServiceConfig) bool {
 	old := r.current[c.Name]
 	r.current[c.Name] = c
 	for _, a := range old.Spec.Addresses {
@@ -68,11 +68,11 @@
 			r.held[k] = holder{name: c.Name, version: c.Version}
 		}
 	}
-	return r.gaveUp(old)
+	return r.releasedAddress(old)
 }
 
-// gaveUp reports whether an address of old is free now.
-func (r *resolver) gaveUp(old ServiceConfig) bool {
+// releasedAddress reports whether an address of old is free now.
+func (r *resolver) releasedAddress(old ServiceConfig) bool {
 	for _, a := range old.Spec.Addresses {
 		k, ok := a.Key()
 		if _, taken := r.held[k]; ok && !taken {
@@ -82,8 +82,8 @@
 	return false
 }
 
-// sift divides the services into valid and rejected ones.
-func (r *resolver) sift(list []VersionedService) {
+// classify divides the services into valid and rejected ones.
+func (r *resolver) classify(list []VersionedService) {
 	for _, s := range list {
 		if s.Unreadable != "" {
 			r.reject(s, ReasonUnreadable, []FieldError{{Reason: s.Unreadable}})
@@ -115,7 +115,7 @@
 			continue
 		}
 		accepted[i] = true
-		if r.put(ServiceConfig{Name: s.Name, Version: s.Version, Spec: s.Spec}) {
+		if r.putInForce(ServiceConfig{Name: s.Name, Version: s.Version, Spec: s.Spec}) {
 			i = -1
 		}
 	}
--- a/pkg/settings/decode.go
+++ b/pkg/settings/decode.go
@@ -64,18 +64,18 @@
 
 // decodeReason says why a value does not fit its key, without the names of Go types.
 func decodeReason(err error, value any) string {
-	return fmt.Sprintf("%s is not of the key's type%s", describe(value), wanted(err))
+	return fmt.Sprintf("%s is not of the key's type%s", describe(value), expectedType(err))
 }
 
-// wanted names the type of the key when the decoder's message ends with it.
-func wanted(err error) string {
-	if strings.HasSuffix(err.Error(), wantedDuration) {
-		return ", " + wantedDuration
+// expectedType names the type of the key when the decoder's message ends with it.
+func expectedType(err error) string {
+	if strings.HasSuffix(err.Error(), durationFormat) {
+		return ", " + durationFormat
 	}
 	words := strings.Fields(err.Error())
 	switch strings.TrimPrefix(words[len(words)-1], "[]") {
 	case "settings.Duration":
-		return ", " + wantedDuration
+		return ", " + durationFormat
 	case "int":
 		return ", a whole number"
 	case "float64":
--- a/pkg/settings/duration.go
+++ b/pkg/settings/duration.go
@@ -12,8 +12,8 @@
 	d time.Duration
 }
 
-// wantedDuration describes the format of a Duration.
-const wantedDuration = `a duration such as "30s"`
+// durationFormat describes the format of a Duration.
+const durationFormat = `a duration such as "30s"`
 
 // NewDuration returns d as a Duration.
 func NewDuration(d time.Duration) Duration {
@@ -24,7 +24,7 @@
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return trace.BadParameter("%q is not %s", b, wantedDuration)
+		return trace.BadParameter("%q is not %s", b, durationFormat)
 	}
 	d.d = v
 	return nil
--- a/pkg/telemetry/daemon.go
+++ b/pkg/telemetry/daemon.go
@@ -56,8 +56,8 @@
 // shutdown; a second signal ends the process at once. SIGHUP reads the settings again. The log goes to stdout and is
 // bounded; mistakes in the command line and the settings go to stderr.
 func (d Daemon[S]) Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	f, code, goOn := parseFlags(d.Name, args, stdout, stderr)
-	if !goOn {
+	f, code, proceed := parseFlags(d.Name, args, stdout, stderr)
+	if !proceed {
 		return code
 	}
 	s, err := d.Load(f.Settings)
@@ -96,9 +96,9 @@
 func (d Daemon[S]) run(ctx context.Context, s S, log zerolog.Logger, path string) int {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	told := make(chan struct{})
-	forget := context.AfterFunc(ctx, func() {
-		defer close(told)
+	stopLogged := make(chan struct{})
+	detach := context.AfterFunc(ctx, func() {
+		defer close(stopLogged)
 		// Without the handler, a second signal ends the process.
 		stop()
 		log.Warn().Str("op", "stop").Msg("stopping")
@@ -110,8 +110,8 @@
 	log.Warn().Str("op", "start").Str("program", d.Name).Str("version", Version()).Msg("starting")
 	err := d.serve(ctx, s, log)
 	// The line that says that the daemon was told to end comes before the one that says that it has.
-	if !forget() {
-		<-told
+	if !detach() {
+		<-stopLogged
 	}
 	if err != nil {
 		log.Error().Str("op", "stop").Err(err).Msg("failed")
--- a/pkg/telemetry/daemon_test.go
+++ b/pkg/telemetry/daemon_test.go
@@ -131,7 +131,7 @@
 }
 
 // SIGHUP must not end the daemon; the new level is in force, a file with mistakes changes nothing.
-func TestHangUpReadsTheSettingsAgain(t *testing.T) {
+func TestSIGHUPReloadsSettings(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	path := agentFile(t, "")
 	var out, errs lockedBuffer
--- a/pkg/telemetry/flags.go
+++ b/pkg/telemetry/flags.go
@@ -17,7 +17,7 @@
 }
 
 // parseFlags reads the command line. It reports whether the program is to go on; if not, code is its exit code.
-func parseFlags(name string, args []string, stdout, stderr io.Writer) (f daemonFlags, code int, goOn bool) {
+func parseFlags(name string, args []string, stdout, stderr io.Writer) (f daemonFlags, code int, proceed bool) {
 	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	p.Usage = "--settings FILE [options]"
 	if _, err := p.AddGroup("Options", "", &f); err != nil {
--- a/pkg/telemetry/log_writer.go
+++ b/pkg/telemetry/log_writer.go
@@ -116,7 +116,7 @@
 	r := dropReport{log: zerolog.New(w).Hook(timestamp{})}
 	for line := range l.lines {
 		_, _ = w.Write(line)
-		if l.now().Sub(r.at) >= droppedInterval {
+		if l.now().Sub(r.reportedAt) >= droppedInterval {
 			r.report(l)
 		}
 	}
@@ -125,18 +125,18 @@
 
 // dropReport logs how many lines were left out.
 type dropReport struct {
-	log  zerolog.Logger
-	told uint64
-	at   time.Time
+	log        zerolog.Logger
+	reported   uint64
+	reportedAt time.Time
 }
 
 // report writes the counts when they have changed.
 func (r *dropReport) report(l *LogWriter) {
 	routine, important := l.Dropped()
-	if routine+important == r.told {
+	if routine+important == r.reported {
 		return
 	}
-	r.told, r.at = routine+important, l.now()
+	r.reported, r.reportedAt = routine+important, l.now()
 	r.log.Warn().Str("op", "log").Uint64("dropped_routine", routine).Uint64("dropped_important", important).
 		Msg("lines were left out since the start")
 }
--- a/pkg/telemetry/log_writer_test.go
+++ b/pkg/telemetry/log_writer_test.go
@@ -14,7 +14,7 @@
 )
 
 // A pipe that nobody reads must not block the daemon, and what is left out is counted.
-func TestAStuckReaderBlocksNobody(t *testing.T) {
+func TestStuckReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer r.Close()
@@ -32,7 +32,7 @@
 	require.LessOrEqual(t, uint64(lines)-important, uint64(logQueue+1000), "what is kept is bounded")
 }
 
-func TestRoutineLinesAreBoundedAndTheRestIsNot(t *testing.T) {
+func TestRoutineLinesAreLimitedSeparately(t *testing.T) {
 	var out lockedBuffer
 	l := NewLogWriter(&out)
 	start := time.Unix(1000, 0)
@@ -52,7 +52,7 @@
 	require.Equal(t, []uint64{100, 0}, []uint64{routine, important})
 }
 
-func TestEitherKindOfLineComesBackWithTime(t *testing.T) {
+func TestRateLimitsRefillOverTime(t *testing.T) {
 	for routine, rate := range map[bool]int{true: RoutineLinesPerSecond, false: ImportantLinesPerSecond} {
 		l := NewLogWriter(io.Discard)
 		now := time.Unix(1000, 0)
@@ -70,7 +70,7 @@
 }
 
 // Whatever comes in, a second's lines are bounded, and each line that is left out is counted.
-func TestAFloodOfRefusalsIsBoundedAndCounted(t *testing.T) {
+func TestImportantLinesAreLimitedAndDropsCounted(t *testing.T) {
 	var out lockedBuffer
 	l := NewLogWriter(&out)
 	start := time.Now()
