--- a/pkg/resource/addresskey.go
+++ b/pkg/resource/addresskey.go
@@ -5,9 +5,9 @@
 	"net/netip"
 )
 
-// AddressKey is the comparable form of an Address; two texts of one IP address give equal keys.
+// AddressKey is the canonical, comparable form of an Address; different spellings of one IP address give equal keys.
 type AddressKey struct {
-	// Addr is the address and port; an IPv4-mapped IPv6 address is turned into its IPv4 form.
+	// Addr is the address and port; an IPv4-mapped IPv6 address is unmapped to IPv4.
 	Addr netip.AddrPort
 	// Protocol is ProtocolTCP or ProtocolUDP.
 	Protocol Protocol
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s/%s", k.Addr, k.Protocol)
 }
 
-// Key returns the comparable form of an address; false when the IP address or protocol is not valid.
+// Key returns the canonical form of an address, or false when the IP address or protocol is invalid.
 func (a Address) Key() (AddressKey, bool) {
 	ip, err := netip.ParseAddr(a.IP)
 	if err != nil {
--- a/pkg/resource/condition.go
+++ b/pkg/resource/condition.go
@@ -11,7 +11,7 @@
 	ConditionAccepted ConditionType = "Accepted"
 	// ConditionInForce is true when every known balancer has adopted the accepted revision.
 	ConditionInForce ConditionType = "InForce"
-	// ConditionRolloutProgressing is true while a rollout takes its steps; false when it is done, paused or rolled back.
+	// ConditionRolloutProgressing is true while a rollout advances; false when it is completed, paused or rolled back.
 	ConditionRolloutProgressing ConditionType = "RolloutProgressing"
 )
 
@@ -32,33 +32,31 @@
 const (
 	// ReasonAccepted goes with Accepted=true.
 	ReasonAccepted ConditionReason = "Accepted"
-	// ReasonInvalid goes with Accepted=false: the service has mistakes, listed in the message.
+	// ReasonInvalid goes with Accepted=false: the service failed validation; the message lists the mistakes.
 	ReasonInvalid ConditionReason = "Invalid"
 	// ReasonAddressConflict goes with Accepted=false: an older service holds one of the addresses.
 	ReasonAddressConflict ConditionReason = "AddressConflict"
-	// ReasonUnreadable goes with Accepted=false: the stored value is not a service.
+	// ReasonUnreadable goes with Accepted=false: the stored value cannot be decoded as a service.
 	ReasonUnreadable ConditionReason = "Unreadable"
 	// ReasonAdopted goes with InForce=true.
 	ReasonAdopted ConditionReason = "Adopted"
 	// ReasonSpreading goes with InForce=false: some balancers have not adopted the revision yet.
 	ReasonSpreading ConditionReason = "Spreading"
-	// ReasonObserving goes with RolloutProgressing=true: a step's window has not passed or its gate is undecided.
+	// ReasonObserving goes with RolloutProgressing=true: a step's window has not ended or its gate is undecided.
 	ReasonObserving ConditionReason = "Observing"
-	// ReasonCompleted goes with RolloutProgressing=false: the new version takes every new flow.
+	// ReasonCompleted goes with RolloutProgressing=false: the new version receives every new flow.
 	ReasonCompleted ConditionReason = "Completed"
-	// ReasonRolledBack goes with RolloutProgressing=false: the gate failed and the old version takes every new flow.
+	// ReasonRolledBack goes with RolloutProgressing=false: the gate failed and the old version receives every new flow.
 	ReasonRolledBack ConditionReason = "RolledBack"
 )
 
 // Condition is one aspect of a service's status.
 type Condition struct {
-	// Type names the aspect.
-	Type ConditionType `json:"type"`
-	// Status is the state.
+	Type   ConditionType   `json:"type"`
 	Status ConditionStatus `json:"status"`
 	// Reason is the machine-readable cause.
 	Reason ConditionReason `json:"reason"`
-	// Message is the cause in one sentence.
+	// Message describes the cause in one sentence.
 	Message string `json:"message,omitempty"`
 	// Time is when Status last changed.
 	Time time.Time `json:"time"`
--- a/pkg/resource/decode.go
+++ b/pkg/resource/decode.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Decode reads one JSON document into v. Unknown fields and text after the document are errors.
+// Decode decodes one JSON document into v. Unknown fields and text after the document are errors.
 func Decode(b []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// Encode writes v as one JSON document.
+// Encode encodes v as one JSON document.
 func Encode(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return b, nil
 }
 
-// decodeError turns an error of the JSON decoder into one that names the field or the line.
+// decodeError converts an error of the JSON decoder into one that names the field or the line.
 func decodeError(err error, b []byte) error {
 	var te *json.UnmarshalTypeError
 	if errors.As(err, &te) {
@@ -47,7 +47,7 @@
 	return trace.BadParameter("%v", err)
 }
 
-// line returns the line number of an offset, counted from 1.
+// line returns the 1-based line number of a byte offset.
 func line(b []byte, offset int64) int {
 	end := min(max(int(offset), 0), len(b))
 	return bytes.Count(b[:end], []byte{'\n'}) + 1
--- a/pkg/resource/decodefields.go
+++ b/pkg/resource/decodefields.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// unmarshaler is the type of values that read their own JSON.
+// unmarshaler is the interface type of values with a JSON decoder of their own.
 var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
 
-// decode decodes raw into v field by field and records every unknown field and every value of a wrong type. A wrong value
-// leaves its field zero.
+// decode decodes raw into v field by field and records every unknown field and every value of a wrong type. A value of a
+// wrong type leaves its field zero.
 func (e *fieldErrors) decode(path string, raw json.RawMessage, v reflect.Value) {
 	switch {
 	case string(raw) == "null" && v.Kind() != reflect.Pointer:
@@ -32,7 +32,6 @@
 	}
 }
 
-// decodeObject decodes a JSON object.
 func (e *fieldErrors) decodeObject(path string, raw json.RawMessage, v reflect.Value) {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(raw, &members) != nil {
@@ -51,7 +50,6 @@
 	}
 }
 
-// decodeList decodes a JSON list.
 func (e *fieldErrors) decodeList(path string, raw json.RawMessage, v reflect.Value) {
 	var items []json.RawMessage
 	if json.Unmarshal(raw, &items) != nil {
@@ -64,7 +62,7 @@
 	}
 }
 
-// decodeValue decodes a single value.
+// decodeValue decodes a scalar, or a value with a JSON decoder of its own.
 func (e *fieldErrors) decodeValue(path string, raw json.RawMessage, v reflect.Value) {
 	err := json.Unmarshal(raw, v.Addr().Interface())
 	if err == nil {
@@ -78,7 +76,7 @@
 	e.add(path, "must be %s, not %s", expectedType(v.Kind()), describe(raw))
 }
 
-// fieldsOf returns the index of each field of a struct by its JSON name.
+// fieldsOf maps the JSON name of each field of a struct to its index.
 func fieldsOf(t reflect.Type) map[string]int {
 	m := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -88,7 +86,7 @@
 	return m
 }
 
-// join appends a member's name to a path.
+// join appends a field's name to a path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -96,7 +94,7 @@
 	return path + "." + name
 }
 
-// expectedType describes the values of a kind.
+// expectedType describes the JSON values that fit a kind.
 func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
@@ -111,10 +109,10 @@
 	return "a number"
 }
 
-// maxShown is the highest number of bytes of a value in a message.
+// maxShown is the maximum number of bytes of a value quoted in a message.
 const maxShown = 40
 
-// describe describes a JSON value in a message.
+// describe describes a JSON value for a message.
 func describe(raw json.RawMessage) string {
 	switch raw[0] {
 	case '{':
--- a/pkg/resource/decodeservice.go
+++ b/pkg/resource/decodeservice.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// DecodeService reads a service from one JSON document and validates it. It returns every mistake at once: unknown
-// fields, values of a wrong type, and what ValidateService finds in the rest. Names of fields are case-sensitive.
+// DecodeService decodes a service from one JSON document and validates it. It returns every mistake at once: unknown
+// fields, values of a wrong type, and what ValidateService finds in the rest. Field names are case-sensitive.
 func DecodeService(b []byte) (Service, []FieldError) {
 	var s Service
 	if !json.Valid(b) {
@@ -24,13 +24,13 @@
 	return s, e
 }
 
-// syntaxReason says why text is not one JSON document.
+// syntaxReason returns why text is not one JSON document.
 func syntaxReason(b []byte) string {
 	var v any
 	return decodeError(json.Unmarshal(b, &v), b).Error()
 }
 
-// covered reports whether a field, or the object or list in which it stands, is among the mistakes already.
+// covered reports whether the list already has a mistake of a field, or of an object or list that contains it.
 func covered(list []FieldError, field string) bool {
 	for _, f := range list {
 		rest, ok := strings.CutPrefix(field, f.Field)
--- a/pkg/resource/doc.go
+++ b/pkg/resource/doc.go
@@ -1,2 +1,3 @@
-// Package resource defines the typed objects that operators and the system keep in the object API, and their validation.
+// Package resource defines the typed objects that operators and the system store in the object API, and their
+// validation.
 package resource
--- a/pkg/resource/duration.go
+++ b/pkg/resource/duration.go
@@ -7,15 +7,14 @@
 	"github.com/gravitational/trace"
 )
 
-// Duration is a time.Duration that is written as text, for example "1m30s".
+// Duration is a time.Duration that is encoded as JSON text, for example "1m30s".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as text.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads the duration from text. It returns an error for any other form.
+// UnmarshalJSON decodes the duration from text and rejects any other JSON type.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/pkg/resource/era.go
+++ b/pkg/resource/era.go
@@ -5,13 +5,14 @@
 // EraName is the name of the only object of KindEra.
 const EraName = "current"
 
-// Era says since when the object API is in its era, written by the holder of the compile lease.
+// Era records when the object API's current era began. It is written by the holder of the compile lease.
 type Era struct {
-	// Era is the era of the object API that is described.
+	// Era is the number of the era.
 	Era uint64 `json:"era"`
-	// Since is when the holder learned that the object API came back from an older copy; zero when nothing was kept in it before.
+	// Since is when the holder detected that the object API was restored from an older copy; zero when no
+	// revision had been accepted.
 	Since time.Time `json:"since"`
-	// Holder and Term are the grant under which it was written.
+	// Holder and Term identify the lease grant under which the object was written.
 	Holder string `json:"holder"`
 	Term   uint64 `json:"term"`
 }
--- a/pkg/resource/evacuation.go
+++ b/pkg/resource/evacuation.go
@@ -1,8 +1,8 @@
 package resource
 
-// Evacuation is an operator's declaration that the targets of a data centre take no new work until it is deleted. The object is named
-// like the data centre, and being there is what counts.
+// Evacuation declares that the targets of a data centre take no new work until it is deleted. The object has the name of
+// the data centre; it takes effect by existing.
 type Evacuation struct {
-	// Reason is for those who read it later.
+	// Reason is a free-form note for other operators.
 	Reason string `json:"reason,omitempty"`
 }
--- a/pkg/resource/fielderror.go
+++ b/pkg/resource/fielderror.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// FieldError is one mistake of a resource.
+// FieldError is one mistake in a field of a resource.
 type FieldError struct {
 	// Field is the path of the field in its JSON form, for example "spec.addresses[0].port".
 	Field string `json:"field"`
-	// Reason says what is wrong with the field.
+	// Reason states what is wrong with the field.
 	Reason string `json:"reason"`
 }
 
@@ -23,9 +23,9 @@
 
 // ValidationError holds every mistake of one resource.
 type ValidationError struct {
-	// Name is the resource's name; it may be empty.
+	// Name is the resource's name; may be empty.
 	Name string
-	// Fields are in the order of the resource's fields.
+	// Fields has the mistakes in the order of the resource's fields.
 	Fields []FieldError
 }
 
@@ -46,7 +46,6 @@
 // fieldErrors collects the mistakes of one resource.
 type fieldErrors []FieldError
 
-// add records a mistake of a field.
 func (e *fieldErrors) add(field, format string, args ...any) {
 	*e = append(*e, FieldError{Field: field, Reason: fmt.Sprintf(format, args...)})
 }
--- a/pkg/resource/kinds.go
+++ b/pkg/resource/kinds.go
@@ -2,17 +2,17 @@
 
 import "github.com/auburnwood/auburnwood/pkg/objectapi"
 
-// Kinds of the objects that operators and the system keep in the object API.
+// Kinds of the objects that operators and the system store in the object API.
 const (
 	// KindService is a Service, written by operators.
 	KindService objectapi.Kind = "service"
 	// KindServiceStatus is a ServiceStatus, written by the holder of the compile lease.
 	KindServiceStatus objectapi.Kind = "service-status"
-	// KindRevision is a Revision; its name is RevisionName of its number.
+	// KindRevision is a part of a Revision; its name begins with RevisionName of the number, see Head.Object.
 	KindRevision objectapi.Kind = "revision"
 	// KindHead is the Head; its name is HeadName.
 	KindHead objectapi.Kind = "head"
-	// KindLease is a lease of one duty.
+	// KindLease is the lease of one duty.
 	KindLease objectapi.Kind = "lease"
 	// KindMembers is the membership of a data centre.
 	KindMembers objectapi.Kind = "members"
--- a/pkg/resource/revision.go
+++ b/pkg/resource/revision.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// ServiceConfig is one service within a revision.
+// ServiceConfig is the configuration of one service within a revision.
 type ServiceConfig struct {
-	// Name is the service's name.
 	Name string `json:"name"`
 	// Version is the object version of the Service that was compiled.
 	Version uint64 `json:"version"`
@@ -12,20 +11,20 @@
 	Spec ServiceSpec `json:"spec"`
 }
 
-// Revision is the whole accepted configuration, immutable once the head names it.
+// Revision is the complete accepted configuration. It is immutable once the head refers to it.
 type Revision struct {
-	// Number rises by one with each revision.
+	// Number increases by one with each revision.
 	Number uint64 `json:"number"`
 	// Services are sorted by name.
 	Services []ServiceConfig `json:"services"`
 }
 
-// Head names the revision that is accepted.
+// Head refers to the accepted revision.
 type Head struct {
 	// Revision is the number of the accepted revision.
 	Revision uint64 `json:"revision"`
-	// Object is the name of the object that holds the revision: RevisionName and the checksum of the content, so that
-	// different contents never meet under one name.
+	// Object is the name of the revision's first object: RevisionName and a checksum of the content, so that
+	// different contents never share a name.
 	Object string `json:"object,omitempty"`
 	// Holder is the lease holder that advanced the head.
 	Holder string `json:"holder"`
--- a/pkg/resource/service.go
+++ b/pkg/resource/service.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Mode says how an agent treats the flows of a service.
+// Mode selects how an agent serves the flows of a service.
 type Mode string
 
 // Modes of a service.
 const (
-	// ModeStream carries opaque bytes.
+	// ModeStream relays opaque bytes.
 	ModeStream Mode = "stream"
-	// ModeRequest ends HTTP at the agent and applies request limits, deadlines and tickets.
+	// ModeRequest terminates HTTP at the agent, which applies request limits, deadlines and tickets.
 	ModeRequest Mode = "request"
 )
 
-// Preference says which measure a service gives up first.
+// Preference selects between flow affinity and an even load.
 type Preference string
 
 // Preferences of a service.
 const (
 	// PreferFlows keeps a flow on the first agent of its row unless that agent is clearly above the mean load.
 	PreferFlows Preference = "flows"
-	// PreferBalance hands every new flow to the least loaded agent of its row.
+	// PreferBalance sends every new flow to the least loaded agent of its row.
 	PreferBalance Preference = "balance"
 )
 
@@ -43,21 +43,21 @@
 	Protocol Protocol `json:"protocol,omitempty"`
 }
 
-// Share gives one version of a service's targets a part of the new flows.
+// Share assigns a share of the new flows to one version of a service's targets.
 type Share struct {
 	// Version is the version that targets announce.
 	Version string `json:"version"`
-	// Weight is the part in relation to the sum of all weights; 0 takes no new flow.
+	// Weight is relative to the sum of all weights; 0 receives no new flow.
 	Weight uint32 `json:"weight"`
 }
 
-// Limits bounds what one target is given.
+// Limits bounds the load of one target.
 type Limits struct {
-	// Slots is the number of requests that a target runs at once; 0 takes what the target announces.
+	// Slots is the number of concurrent requests of a target; 0 uses the announced value.
 	Slots uint32 `json:"slots,omitempty"`
-	// Connections is the number of open flows of a target; 0 takes what the target announces.
+	// Connections is the number of open flows of a target; 0 uses the announced value.
 	Connections uint32 `json:"connections,omitempty"`
-	// Queue is the highest number of requests that wait for a slot of one target; 0 takes limit.DefaultQueue.
+	// Queue is the maximum number of requests queued for a slot of one target; 0 means limit.DefaultQueue.
 	Queue uint32 `json:"queue,omitempty"`
 	// Deadline is the default deadline of a request; 0 means DefaultDeadline.
 	Deadline Duration `json:"deadline,omitempty"`
@@ -67,25 +67,25 @@
 type RolloutStep struct {
 	// Weight is the share of the new version in percent, 1 to 100.
 	Weight uint32 `json:"weight"`
-	// Window is the shortest time for which the step is observed.
+	// Window is the minimum time for which the step is observed.
 	Window Duration `json:"window"`
 }
 
-// Rollout moves new flows from one version to another in steps.
+// Rollout shifts new flows from one version to another in steps.
 type Rollout struct {
-	// From is the version that serves now.
+	// From is the old version, which serves now.
 	From string `json:"from"`
-	// To is the version that shall serve.
+	// To is the new version.
 	To string `json:"to"`
 	// Steps are taken in order; the last has weight 100.
 	Steps []RolloutStep `json:"steps"`
-	// Objective is the part of requests that must succeed, for example 0.999.
+	// Objective is the fraction of requests that must succeed, for example 0.999.
 	Objective float64 `json:"objective"`
-	// MaxBurnRatio is the highest burn rate of the new version in relation to the old one.
+	// MaxBurnRatio is the maximum burn rate of the new version relative to the old one.
 	MaxBurnRatio float64 `json:"maxBurnRatio"`
 }
 
-// ServiceSpec is what an operator asks for.
+// ServiceSpec is the desired configuration of a service, set by an operator.
 type ServiceSpec struct {
 	// Addresses are the addresses at which callers reach the service; each belongs to one service only.
 	Addresses []Address `json:"addresses"`
@@ -98,20 +98,20 @@
 	// Preference is "flows" or "balance".
 	Preference Preference `json:"preference"`
 	// ProxyProtocol sends the caller's address to the target by PROXY protocol version 2, on each connection of a TCP
-	// address. Datagrams of a UDP address come without it, since a full one would not fit with it.
+	// address. UDP datagrams carry no such header, since it would not fit with a full datagram.
 	ProxyProtocol bool `json:"proxyProtocol,omitempty"`
-	// Limits bounds what one target is given.
+	// Limits bounds the load of one target.
 	Limits Limits `json:"limits"`
-	// DrainTime is the time that a leaving target's flows get to end by themselves; 0 means DefaultDrainTime.
+	// DrainTime is how long the flows of a draining target may continue; 0 means DefaultDrainTime.
 	DrainTime Duration `json:"drainTime,omitempty"`
-	// SlowStart is the time over which a new target's weight rises to its full value; 0 switches it off.
+	// SlowStart is the time over which a new target's weight rises to its full value; 0 disables it.
 	SlowStart Duration `json:"slowStart,omitempty"`
-	// UDPIdle ends a UDP flow without packets; 0 means DefaultUDPIdle.
+	// UDPIdle is the idle timeout of a UDP flow; 0 means DefaultUDPIdle.
 	UDPIdle Duration `json:"udpIdle,omitempty"`
-	// Evacuated are the data centres whose targets take no new work, sorted. The system sets it in what it accepts; operators write objects
-	// of KindEvacuation.
+	// Evacuated lists the data centres whose targets take no new work, sorted. The system sets it in the accepted
+	// configuration; operators write objects of KindEvacuation instead.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Rollout moves flows to a new version; nil when none is in progress.
+	// Rollout shifts new flows to another version; nil when no rollout is declared.
 	Rollout *Rollout `json:"rollout,omitempty"`
 }
 
@@ -124,8 +124,7 @@
 
 // Service is the resource by which an operator declares a service.
 type Service struct {
-	// Name identifies the service; it is a DNS label.
-	Name string `json:"name"`
-	// Spec is what the operator asks for.
+	// Name identifies the service. It must be a DNS label.
+	Name string      `json:"name"`
 	Spec ServiceSpec `json:"spec"`
 }
--- a/pkg/resource/status.go
+++ b/pkg/resource/status.go
@@ -15,28 +15,27 @@
 	RolloutRolledBack  RolloutState = "rolled-back"
 )
 
-// RolloutStatus says how far a rollout has come.
+// RolloutStatus is the progress of a rollout.
 type RolloutStatus struct {
 	// From and To are the versions of the rollout.
 	From string `json:"from"`
 	To   string `json:"to"`
-	// Step is the index of the current step, from 0.
+	// Step is the 0-based index of the current step.
 	Step int `json:"step"`
-	// Weight is the share of the new version in percent that is in effect.
-	Weight uint32 `json:"weight"`
-	// State is the state of the rollout.
-	State RolloutState `json:"state"`
+	// Weight is the share of the new version in effect, in percent.
+	Weight uint32       `json:"weight"`
+	State  RolloutState `json:"state"`
 	// Since is when the current step began.
 	Since time.Time `json:"since"`
-	// Message is the last decision of the gate in one sentence.
+	// Message describes the last decision of the gate in one sentence.
 	Message string `json:"message,omitempty"`
 }
 
 // InForce counts the balancers that have adopted the accepted revision.
 type InForce struct {
-	// Adopted is the number of balancers that have adopted it.
+	// Adopted is the number of balancers that have adopted the revision.
 	Adopted int `json:"adopted"`
-	// Known is the number of balancers that are known.
+	// Known is the number of known balancers.
 	Known int `json:"known"`
 }
 
@@ -50,23 +49,22 @@
 	return f.Known > 0 && f.Adopted >= f.Known
 }
 
-// ServiceStatus is what the system says about a Service. Its object has the service's name.
+// ServiceStatus is the status of a Service, reported by the system. Its object has the service's name.
 type ServiceStatus struct {
-	// Name is the service's name.
 	Name string `json:"name"`
 	// Term is the lease term under which the status was written.
 	Term uint64 `json:"term,omitempty"`
-	// ObservedVersion is the object version of the Service that was judged last.
+	// ObservedVersion is the object version of the Service that was validated last.
 	ObservedVersion uint64 `json:"observedVersion"`
 	// AcceptedVersion is the object version of the Service that is part of the accepted revision; 0 when none is.
 	AcceptedVersion uint64 `json:"acceptedVersion,omitempty"`
-	// AcceptedRevision is the first revision that holds AcceptedVersion; 0 when none does.
+	// AcceptedRevision is the first revision that contains AcceptedVersion; 0 when none does.
 	AcceptedRevision uint64 `json:"acceptedRevision,omitempty"`
 	// InForce counts the balancers whose adopted revision is AcceptedRevision or higher.
 	InForce InForce `json:"inForce"`
 	// Rollout is the state of the rollout; nil when there is none.
 	Rollout *RolloutStatus `json:"rollout,omitempty"`
-	// Conditions hold at most one of each type.
+	// Conditions has at most one entry of each type.
 	Conditions []Condition `json:"conditions,omitempty"`
 }
 
@@ -80,7 +78,7 @@
 	return Condition{}, false
 }
 
-// SetCondition sets the condition of c's type. The time of the earlier condition is kept when its status is the same.
+// SetCondition sets the condition of c's type. When the status is unchanged, the time of the previous condition is kept.
 func (s *ServiceStatus) SetCondition(c Condition) {
 	for i, old := range s.Conditions {
 		if old.Type != c.Type {
--- a/pkg/resource/validate.go
+++ b/pkg/resource/validate.go
@@ -10,17 +10,17 @@
 
 // Bounds of a service's fields.
 const (
-	// MaxAddresses is the highest number of addresses of one service.
+	// MaxAddresses is the maximum number of addresses of one service.
 	MaxAddresses = 256
-	// MaxShares is the highest number of versions that share the flows of one service.
+	// MaxShares is the maximum number of shares of one service.
 	MaxShares = 64
-	// MaxWeight is the highest weight of a share.
+	// MaxWeight is the maximum weight of a share.
 	MaxWeight = 1_000_000
-	// MaxRolloutSteps is the highest number of steps of a rollout.
+	// MaxRolloutSteps is the maximum number of steps of a rollout.
 	MaxRolloutSteps = 100
-	// MaxVersionLength is the highest number of bytes of a version.
+	// MaxVersionLength is the maximum length of a version in bytes.
 	MaxVersionLength = 128
-	// MaxDuration is the longest duration of a field.
+	// MaxDuration is the maximum of every duration field.
 	MaxDuration = 24 * time.Hour
 	// MaxSlots, MaxConnections and MaxQueue bound the limits of one target.
 	MaxSlots       = 1_000_000
@@ -38,8 +38,8 @@
 	versionText = regexp.MustCompile(`^[A-Za-z0-9._+-]+$`)
 )
 
-// ValidateService returns every mistake of a service, in the order of its fields, or nil when there is none. It looks at
-// this service alone; ValidateAll finds conflicts with others.
+// ValidateService returns every mistake of a service in the order of its fields, or nil when it is valid. It checks the
+// service alone; ValidateAll detects conflicts with other services.
 func ValidateService(s Service) []FieldError {
 	var e fieldErrors
 	e.name("name", s.Name)
@@ -82,7 +82,7 @@
 	}
 }
 
-// addresses checks the list of addresses.
+// addresses checks the addresses and rejects duplicates.
 func (e *fieldErrors) addresses(field string, s ServiceSpec) {
 	if len(s.Addresses) == 0 {
 		e.add(field, "at least one address is required")
@@ -107,7 +107,6 @@
 	}
 }
 
-// address checks one address.
 func (e *fieldErrors) address(field string, a Address, m Mode) {
 	e.ip(field+".ip", a.IP)
 	if a.Port == 0 {
@@ -124,7 +123,7 @@
 	}
 }
 
-// ip checks that text is an IP address at which callers can reach a service.
+// ip checks that v is a unicast IP address without a zone.
 func (e *fieldErrors) ip(field, v string) {
 	if v == "" {
 		e.add(field, "is required")
@@ -143,7 +142,6 @@
 	}
 }
 
-// mode checks the mode.
 func (e *fieldErrors) mode(field string, s ServiceSpec) {
 	switch s.Mode {
 	case ModeStream, ModeRequest:
@@ -154,7 +152,6 @@
 	}
 }
 
-// preference checks the preference.
 func (e *fieldErrors) preference(field string, p Preference) {
 	switch p {
 	case PreferFlows, PreferBalance:
@@ -165,7 +162,6 @@
 	}
 }
 
-// version checks the text of a version.
 func (e *fieldErrors) version(field, v string) {
 	if v == "" {
 		e.add(field, "is required")
@@ -180,7 +176,7 @@
 	}
 }
 
-// shares checks the shares of the versions.
+// shares checks the shares and rejects duplicate versions.
 func (e *fieldErrors) shares(field string, list []Share) {
 	if len(list) > MaxShares {
 		e.add(field, "%d shares are more than %d", len(list), MaxShares)
@@ -205,14 +201,13 @@
 	}
 }
 
-// proxyProtocol checks that the PROXY protocol is asked for where it can be sent.
+// proxyProtocol checks that the PROXY protocol is enabled only in stream mode.
 func (e *fieldErrors) proxyProtocol(field string, s ServiceSpec) {
 	if s.ProxyProtocol && s.Mode == ModeRequest {
 		e.add(field, "needs mode %q", ModeStream)
 	}
 }
 
-// limits checks the limits of a target.
 func (e *fieldErrors) limits(field string, s ServiceSpec) {
 	l := s.Limits
 	e.atMost(field+".slots", l.Slots, MaxSlots)
@@ -221,14 +216,13 @@
 	e.duration(field+".deadline", l.Deadline)
 }
 
-// atMost checks a number's upper bound.
 func (e *fieldErrors) atMost(field string, v, high uint32) {
 	if v > high {
 		e.add(field, "%d is more than %d", v, high)
 	}
 }
 
-// duration checks a duration's bounds; 0 takes the default.
+// duration checks that a duration is from 0, which means the default, to MaxDuration.
 func (e *fieldErrors) duration(field string, d Duration) {
 	if d < 0 {
 		e.add(field, "%s is negative", time.Duration(d))
@@ -238,7 +232,6 @@
 	}
 }
 
-// rollout checks the rollout.
 func (e *fieldErrors) rollout(field string, s ServiceSpec) {
 	r := s.Rollout
 	if r == nil {
@@ -261,7 +254,7 @@
 	}
 }
 
-// steps checks the steps of a rollout.
+// steps checks that the weights of a rollout increase and end at finalWeight.
 func (e *fieldErrors) steps(field string, list []RolloutStep) {
 	if len(list) == 0 {
 		e.add(field, "at least one step is required")
@@ -282,7 +275,7 @@
 	}
 }
 
-// step checks one step against the weight of the step before it.
+// step checks one step; before is the weight of the previous step.
 func (e *fieldErrors) step(field string, s RolloutStep, before uint32) {
 	if s.Weight == 0 || s.Weight > finalWeight {
 		e.add(field+".weight", "%d is outside 1 to %d", s.Weight, finalWeight)
--- a/pkg/resource/validate_test.go
+++ b/pkg/resource/validate_test.go
@@ -21,7 +21,6 @@
 	return b
 }
 
-// texts returns mistakes as text.
 func texts(list []FieldError) []string {
 	var out []string
 	for _, f := range list {
@@ -184,7 +183,7 @@
 		if len(mistakes) > 0 {
 			return
 		}
-		// What is accepted must be stored and read back unchanged by the strict decoder.
+		// Every accepted service must be readable by the strict decoder and remain valid after a round trip.
 		out, err := json.Marshal(s)
 		require.NoError(t, err)
 		read := ReadService(objectapi.Object{Name: s.Name, Value: out})
--- a/pkg/resource/validateall.go
+++ b/pkg/resource/validateall.go
@@ -12,25 +12,25 @@
 	version uint64
 }
 
-// resolver decides which services are accepted together.
+// resolver decides which services can be accepted together.
 type resolver struct {
-	// held maps each address to its holder.
+	// held maps each address to the service that holds it.
 	held map[AddressKey]holder
 	// current maps a service's name to its configuration in force.
 	current map[string]ServiceConfig
-	// pending are the valid services that are not accepted yet, in order of precedence.
+	// pending has the valid services that are not accepted yet, in order of precedence.
 	pending []VersionedService
-	// rejected are the services that are not valid.
+	// rejected has the services that are invalid or conflict with another.
 	rejected []Rejected
 }
 
 // ValidateAll decides which services are accepted together, given the configurations in force. The result depends on
 // the contents only, not on the order of list and inForce.
 //
-// A service that is not valid is rejected. An address belongs to the service in force at it until that service is
-// deleted or an accepted change gives the address up; an address that nobody holds goes to the service with the lowest
-// object version, and of equal ones to the name that sorts first. A service that claims an address of another is
-// rejected with a reason that names the other. What is in force for a rejected service stays so.
+// An invalid service is rejected. An address belongs to the service that has it in force until that service is deleted
+// or an accepted change releases the address; a free address goes to the service with the lowest object version, and
+// among equal versions to the name that sorts first. A service that claims an address of another service is rejected
+// with a reason that names the holder. The configuration in force of a rejected service remains in force.
 func ValidateAll(list []VersionedService, inForce []ServiceConfig) Outcome {
 	r := resolver{held: make(map[AddressKey]holder), current: make(map[string]ServiceConfig)}
 	r.loadInForce(list, inForce)
@@ -40,7 +40,7 @@
 	return r.outcome()
 }
 
-// loadInForce starts from the configurations in force of the services that still exist.
+// loadInForce loads the configurations in force of the services that still exist.
 func (r *resolver) loadInForce(list []VersionedService, inForce []ServiceConfig) {
 	exists := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -53,7 +53,7 @@
 	}
 }
 
-// putInForce makes c the configuration in force of its service. It reports whether the service gave up an address.
+// putInForce makes c the configuration in force of its service. It reports whether the service released an address.
 func (r *resolver) putInForce(c ServiceConfig) bool {
 	old := r.current[c.Name]
 	r.current[c.Name] = c
@@ -82,7 +82,7 @@
 	return false
 }
 
-// classify divides the services into valid and rejected ones.
+// classify rejects unreadable and invalid services and sorts the others into pending.
 func (r *resolver) classify(list []VersionedService) {
 	for _, s := range list {
 		if s.Unreadable != "" {
@@ -100,13 +100,12 @@
 	})
 }
 
-// reject records a rejected service.
 func (r *resolver) reject(s VersionedService, reason ConditionReason, f []FieldError) {
 	r.rejected = append(r.rejected, Rejected{Service: s, Reason: reason, Fields: f})
 }
 
-// accept accepts pending services in order of precedence. When one gives an address up, it starts over, so that the
-// service of the highest precedence gets it.
+// accept accepts pending services in order of precedence. When a service releases an address, it starts over, so that
+// the address goes to the service of the highest precedence.
 func (r *resolver) accept() {
 	accepted := make([]bool, len(r.pending))
 	for i := 0; i < len(r.pending); i++ {
@@ -128,7 +127,7 @@
 	r.pending = left
 }
 
-// conflicts returns one mistake for each address of s that another service holds.
+// conflicts returns one mistake for each address of s that belongs to another service.
 func (r *resolver) conflicts(s VersionedService) []FieldError {
 	var e fieldErrors
 	for i, a := range s.Spec.Addresses {
@@ -143,7 +142,7 @@
 	return e
 }
 
-// rejectPending rejects what could not be accepted.
+// rejectPending rejects the remaining services for their address conflicts.
 func (r *resolver) rejectPending() {
 	for _, s := range r.pending {
 		r.reject(s, ReasonAddressConflict, r.conflicts(s))
--- a/pkg/resource/validateall_bench_test.go
+++ b/pkg/resource/validateall_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkValidateAll measures the decision over one service for each of 680 addresses, of which one changed.
+// BenchmarkValidateAll measures 680 services with one address each, one of them changed.
 func BenchmarkValidateAll(b *testing.B) {
 	const services = 680
 	var list []VersionedService
--- a/pkg/resource/validateall_test.go
+++ b/pkg/resource/validateall_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// service returns a valid service at port 80 of some IP addresses.
+// service returns a valid service at port 80 of the IP addresses.
 func service(name string, version uint64, ips ...string) VersionedService {
 	s := Service{Name: name, Spec: ServiceSpec{Mode: ModeStream, Preference: PreferFlows}}
 	for _, ip := range ips {
@@ -18,12 +18,12 @@
 	return VersionedService{Service: s, Version: version}
 }
 
-// inForce returns the configuration of a service in force.
+// inForce returns the configuration of a service as it is when in force.
 func inForce(s VersionedService) ServiceConfig {
 	return ServiceConfig{Name: s.Name, Version: s.Version, Spec: s.Spec}
 }
 
-// summary describes an outcome: configurations as name@version, rejected ones as name@version: mistakes.
+// summary describes an outcome: configurations as "name@version", rejected services as "name@version mistakes".
 func summary(o Outcome) (services, rejected []string) {
 	for _, c := range o.Services {
 		services = append(services, fmt.Sprintf("%s@%d", c.Name, c.Version))
@@ -52,20 +52,20 @@
 			rejected: []string{"a@5 spec.addresses[0]: " + fmt.Sprintf(belongs, 1, "b", 4)},
 		},
 		{
-			name:     "one spelling of an address is as good as another",
+			name:     "two spellings of one address conflict",
 			list:     []VersionedService{service("a", 1, "10.0.0.1"), service("b", 2, "::ffff:10.0.0.1")},
 			services: []string{"a@1"},
 			rejected: []string{"b@2 spec.addresses[0]: " + fmt.Sprintf(belongs, 1, "a", 1)},
 		},
 		{
-			name:     "a change of the holder does not lose its address to a later claim",
+			name:     "the holder keeps its address when it changes",
 			list:     []VersionedService{service("a", 20, "10.0.0.1"), service("b", 10, "10.0.0.1")},
 			inForce:  []ServiceConfig{inForce(service("a", 5, "10.0.0.1"))},
 			services: []string{"a@20"},
 			rejected: []string{"b@10 spec.addresses[0]: " + fmt.Sprintf(belongs, 1, "a", 20)},
 		},
 		{
-			name:     "a rejected change keeps what is in force and its address",
+			name:     "a rejected change leaves the configuration in force and its address",
 			list:     []VersionedService{broken, service("b", 10, "10.0.0.1")},
 			inForce:  []ServiceConfig{inForce(service("a", 5, "10.0.0.1"))},
 			services: []string{"a@5"},
@@ -75,7 +75,7 @@
 			},
 		},
 		{
-			name:     "an address given up goes to the lowest version, also when it waited",
+			name:     "a released address goes to the pending service with the lowest version",
 			list:     []VersionedService{service("a", 9, "10.0.0.2"), service("b", 3, "10.0.0.1"), service("c", 10, "10.0.0.1")},
 			inForce:  []ServiceConfig{inForce(service("a", 1, "10.0.0.1"))},
 			services: []string{"a@9", "b@3"},
@@ -88,14 +88,14 @@
 			services: []string{"b@3"},
 		},
 		{
-			name:     "an unreadable service keeps what is in force",
+			name:     "an unreadable service leaves the configuration in force",
 			list:     []VersionedService{{Service: Service{Name: "a"}, Version: 7, Unreadable: "not JSON"}},
 			inForce:  []ServiceConfig{inForce(service("a", 1, "10.0.0.1"))},
 			services: []string{"a@1"},
 			rejected: []string{"a@7 not JSON"},
 		},
 		{
-			name:     "a swap of two addresses at once keeps both as they are",
+			name:     "two services cannot swap addresses in one step",
 			list:     []VersionedService{service("a", 7, "10.0.0.2"), service("b", 8, "10.0.0.1")},
 			inForce:  []ServiceConfig{inForce(service("a", 1, "10.0.0.1")), inForce(service("b", 2, "10.0.0.2"))},
 			services: []string{"a@1", "b@2"},
@@ -114,16 +114,16 @@
 }
 
 func TestValidateAllDoesNotFreeAnAddressOfAnotherHolder(t *testing.T) {
-	// A revision in which two services have one address can only come from a fault; the second does not free it.
+	// Two services in force with the same address are a fault; the one that does not hold the address must not free it.
 	list := []VersionedService{service("a", 1, "10.0.0.1"), service("b", 9, "10.0.0.2"), service("c", 10, "10.0.0.1")}
 	current := []ServiceConfig{inForce(service("a", 1, "10.0.0.1")), inForce(service("b", 2, "10.0.0.1"))}
 	services, _ := summary(ValidateAll(list, current))
 	require.Equal(t, []string{"a@1", "b@9"}, services)
 }
 
-// TestValidateAllProperties runs random changes: no address has two holders, no service in force disappears while it
-// exists, a rejected service keeps what was in force, the order of the input does not matter, and a second call changes
-// nothing.
+// TestValidateAllProperties applies random changes and checks that no address has two holders, that no service in force
+// disappears while it exists, that no rejected version is put in force, that the order of the input does not matter and
+// that a second call changes nothing.
 func TestValidateAllProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var current []ServiceConfig
--- a/pkg/resource/versioned.go
+++ b/pkg/resource/versioned.go
@@ -11,12 +11,12 @@
 	Service
 	// Version is the object version.
 	Version uint64
-	// Unreadable is why the stored value is not a service; empty when it is one. Then only the name is known.
+	// Unreadable is why the stored value is not a service, in which case only Name and Version are known; empty otherwise.
 	Unreadable string
 }
 
-// ReadService reads the service of a stored object. A value that is not a service, or is one of another name, gives a
-// VersionedService with the reason in Unreadable.
+// ReadService decodes the service of a stored object. For a value that is not a service, or whose name differs from the
+// object's, Unreadable has the reason.
 func ReadService(o objectapi.Object) VersionedService {
 	var s Service
 	if err := Decode(o.Value, &s); err != nil {
@@ -31,7 +31,7 @@
 	return VersionedService{Service: s, Version: o.Version}
 }
 
-// ReadServices reads the services of stored objects, in their order.
+// ReadServices decodes the services of stored objects, in their order.
 func ReadServices(list []objectapi.Object) []VersionedService {
 	out := make([]VersionedService, 0, len(list))
 	for _, o := range list {
