--- a/pkg/settings/agent.go
+++ b/pkg/settings/agent.go
@@ -7,30 +7,30 @@
 	Process
 	// PacketAddress is the UDP address for packets from balancers and other agents. Required.
 	PacketAddress string `toml:"packet_address"`
-	// ControlAddress is the TCP address at which other agents hand over requests; empty switches it off.
+	// ControlAddress is the TCP address at which the agent receives requests forwarded by other agents; empty disables it.
 	ControlAddress string `toml:"control_address"`
-	// FabricAddress is the UDP address to which reply packets for callers are sent. Required.
+	// FabricAddress is the UDP address to which packets for callers are sent. Required.
 	FabricAddress string `toml:"fabric_address"`
-	// TargetAddress is the address at which the target serves. Required.
+	// TargetAddress is the address at which the target listens. Required.
 	TargetAddress string `toml:"target_address"`
-	// AnnounceAddress is the address of the HTTP listener at which the target announces itself and drains. Required.
+	// AnnounceAddress is the address of the HTTP listener at which the target announces itself and starts a drain. Required.
 	AnnounceAddress string `toml:"announce_address"`
-	// Balancers are control addresses of balancers to start from; the rest is learned. At least one.
+	// Balancers are the control addresses of the balancers to contact first; others are discovered. At least one.
 	Balancers []string `toml:"balancers"`
-	// DrainTime replaces the service's drain time on this VM; 0 keeps the service's. Default 0s.
+	// DrainTime overrides the service's drain time on this VM; 0 uses the service's. Default 0s.
 	DrainTime Duration `toml:"drain_time"`
-	// MTU is the highest number of bytes of an IP packet to a caller. Default 1400, which leaves room for the
-	// datagram around a packet on an Ethernet of 1500.
+	// MTU is the maximum size in bytes of an IP packet to a caller. Default 1400, which leaves room for encapsulation
+	// in a UDP datagram on a 1500-byte Ethernet MTU.
 	MTU int `toml:"mtu"`
-	// Workers is the number of goroutines that handle packets; 0 takes one for each processor. Default 0.
+	// Workers is the number of goroutines that handle packets; 0 means one per CPU. Default 0.
 	Workers int `toml:"workers"`
-	// TargetDialTimeout bounds the opening of a connection to the target. Default 2s.
+	// TargetDialTimeout is the timeout for connecting to the target. Default 2s.
 	TargetDialTimeout Duration `toml:"target_dial_timeout"`
-	// Log, TLS and Control are sections that all daemons share.
+	// Log, TLS and Control are the common sections.
 	Log     Log     `toml:"log"`
 	TLS     TLS     `toml:"tls"`
 	Control Control `toml:"control"`
-	// ObjectAPI serves the claims of idempotency keys only; without a url, requests that need a claim are refused.
+	// ObjectAPI is used only to claim idempotency keys; without a url, requests that need a claim are refused.
 	ObjectAPI ObjectAPI `toml:"object_api"`
 }
 
@@ -42,7 +42,7 @@
 	maxDrainTime = 24 * time.Hour
 )
 
-// DefaultAgent returns the defaults of the agent's keys.
+// DefaultAgent returns the agent's default settings.
 func DefaultAgent() Agent {
 	return Agent{
 		MTU:               1400,
@@ -63,7 +63,6 @@
 	return parse(text, DefaultAgent())
 }
 
-// check finds the mistakes of all keys.
 func (a Agent) check(m *mistakes) {
 	a.Process.check(m)
 	m.bind("packet_address", a.PacketAddress)
--- a/pkg/settings/balancer.go
+++ b/pkg/settings/balancer.go
@@ -12,15 +12,15 @@
 	PacketAddress string `toml:"packet_address"`
 	// ControlAddress is the TCP address of the gRPC listener for peers and agents. Required.
 	ControlAddress string `toml:"control_address"`
-	// FabricAddress is the UDP address to which packets for callers are sent, such as resets. Required.
+	// FabricAddress is the UDP address to which packets for callers, such as resets, are sent. Required.
 	FabricAddress string `toml:"fabric_address"`
-	// Peers are control addresses of other balancers to start from; the rest is learned. May be empty.
+	// Peers are the control addresses of the balancers to contact first; others are discovered. May be empty.
 	Peers []string `toml:"peers"`
-	// Workers is the number of goroutines that handle packets; 0 takes one for each processor. Default 0.
+	// Workers is the number of goroutines that handle packets; 0 means one per CPU. Default 0.
 	Workers int `toml:"workers"`
-	// CachedFlows is the highest number of flows whose learned owner is kept. Default 1000000.
+	// CachedFlows is the maximum number of flows whose owner is cached. Default 1000000.
 	CachedFlows int `toml:"cached_flows"`
-	// LeaseTime is the time for which a lease of a duty is held without renewal. Default 3s.
+	// LeaseTime is the time after which the lease of a duty expires unless it is renewed. Default 3s.
 	LeaseTime Duration `toml:"lease_time"`
 	// Log, TLS, ObjectAPI and Control are the sections of the file.
 	Log       Log             `toml:"log"`
@@ -38,7 +38,7 @@
 	maxLeaseTime   = time.Minute
 )
 
-// DefaultBalancer returns the defaults of the balancer's keys.
+// DefaultBalancer returns the balancer's default settings.
 func DefaultBalancer() Balancer {
 	return Balancer{
 		CachedFlows: 1_000_000,
@@ -59,7 +59,6 @@
 	return parse(text, DefaultBalancer())
 }
 
-// check finds the mistakes of all keys.
 func (b Balancer) check(m *mistakes) {
 	b.Process.check(m)
 	m.bind("packet_address", b.PacketAddress)
@@ -75,7 +74,7 @@
 	b.Control.check(m)
 }
 
-// peers checks a list of addresses to send to.
+// peers checks a list of peer addresses and rejects duplicates.
 func (m *mistakes) peers(key string, list []string) {
 	seen := make(map[string]bool, len(list))
 	for i, p := range list {
--- a/pkg/settings/balancercontrol.go
+++ b/pkg/settings/balancercontrol.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BalancerControl bounds the traffic between balancers and paces their exchanges.
+// BalancerControl limits a balancer's control traffic and sets the pace of its exchanges with peers.
 type BalancerControl struct {
 	Control
 	// ExchangeInterval is the time between two exchanges with a peer. Default 500ms.
@@ -15,12 +15,10 @@
 	maxExchangeInterval = time.Minute
 )
 
-// DefaultBalancerControl returns the defaults of the section.
 func DefaultBalancerControl() BalancerControl {
 	return BalancerControl{Control: DefaultControl(), ExchangeInterval: NewDuration(500 * time.Millisecond)}
 }
 
-// check finds the mistakes of the section.
 func (c BalancerControl) check(m *mistakes) {
 	c.Control.check(m)
 	m.duration("control.exchange_interval", c.ExchangeInterval, minExchangeInterval, maxExchangeInterval)
--- a/pkg/settings/checks.go
+++ b/pkg/settings/checks.go
@@ -12,7 +12,7 @@
 // dnsLabel matches a DNS label in lower case (RFC 1123).
 var dnsLabel = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// required checks that a text key is given.
+// required checks that a key is not empty and reports whether it is given.
 func (m *mistakes) required(key, v string) bool {
 	if v == "" {
 		m.add(key, "is required")
@@ -21,28 +21,27 @@
 	return true
 }
 
-// label checks that a key is a DNS label.
 func (m *mistakes) label(key, v string) {
 	if m.required(key, v) && !dnsLabel.MatchString(v) {
 		m.add(key, "%q is not a DNS label (lower-case letters, digits and hyphens, at most 63)", v)
 	}
 }
 
-// bind checks an address to listen on; port 0 asks the system for a free port.
+// bind checks an address to listen on; port 0 lets the kernel choose a free port.
 func (m *mistakes) bind(key, v string) {
 	if m.required(key, v) {
 		m.addrPort(key, v)
 	}
 }
 
-// optionalBind checks an address to listen on that may be left out.
+// optionalBind checks an address to listen on that may be empty.
 func (m *mistakes) optionalBind(key, v string) {
 	if v != "" {
 		m.addrPort(key, v)
 	}
 }
 
-// addrPort checks an IP address and port.
+// addrPort parses an IP address and port; it returns the zero AddrPort when they are invalid.
 func (m *mistakes) addrPort(key, v string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
@@ -52,7 +51,7 @@
 	return a
 }
 
-// peer checks an address to send to.
+// peer checks a destination address: a specified IP address and a port other than 0.
 func (m *mistakes) peer(key, v string) {
 	if !m.required(key, v) {
 		return
@@ -69,7 +68,7 @@
 	}
 }
 
-// url checks an absolute http or https URL.
+// url checks an absolute http or https URL without query and fragment.
 func (m *mistakes) url(key, v string) {
 	if !m.required(key, v) {
 		return
@@ -84,28 +83,27 @@
 	}
 }
 
-// oneOf checks that a key is one of a few words.
 func (m *mistakes) oneOf(key, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
 		m.add(key, "%q is none of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
-// within checks a whole number's bounds, both included.
+// within checks that v is from low to high, both included.
 func (m *mistakes) within(key string, v, low, high int) {
 	if v < low || v > high {
 		m.add(key, "%d is outside %d to %d", v, low, high)
 	}
 }
 
-// rate checks a number of calls a second.
+// rate checks that v is above 0 and at most high. NaN fails.
 func (m *mistakes) rate(key string, v, high float64) {
 	if !(v > 0 && v <= high) {
 		m.add(key, "%g is outside 0 (excluded) to %g calls a second", v, high)
 	}
 }
 
-// duration checks a duration's bounds, both included.
+// duration checks that v is from low to high, both included.
 func (m *mistakes) duration(key string, v Duration, low, high time.Duration) {
 	if d := v.Duration(); d < low || d > high {
 		m.add(key, "%s is outside %s to %s", d, low, high)
--- a/pkg/settings/control.go
+++ b/pkg/settings/control.go
@@ -1,9 +1,9 @@
 package settings
 
-// Control bounds the traffic between the processes.
+// Control limits the control traffic of a process.
 type Control struct {
-	// BytesPerSecond is the highest number of bytes that this process sends to its peers in a second, averaged over
-	// ten seconds. Default 12000.
+	// BytesPerSecond is the maximum rate at which this process sends bytes to its peers, averaged over 10 s. Default
+	// 12000.
 	BytesPerSecond int `toml:"bytes_per_second"`
 }
 
@@ -13,12 +13,10 @@
 	maxBytesPerSecond = 100_000_000
 )
 
-// DefaultControl returns the defaults of the section.
 func DefaultControl() Control {
 	return Control{BytesPerSecond: 12000}
 }
 
-// check finds the mistakes of the section.
 func (c Control) check(m *mistakes) {
 	m.within("control.bytes_per_second", c.BytesPerSecond, minBytesPerSecond, maxBytesPerSecond)
 }
--- a/pkg/settings/decode.go
+++ b/pkg/settings/decode.go
@@ -11,12 +11,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxDepth is the number of parts of the longest key, section and key. Deeper tables are refused unread: the time to
-// encode them again grows faster than their depth.
+// maxDepth is the maximum number of parts of a dotted key: section and key. Deeper tables are rejected without decoding,
+// since the cost of re-encoding them grows faster than their depth.
 const maxDepth = 2
 
-// decodeTree decodes each key of a table by itself, since the decoder stops at the first value of a wrong type. Path
-// names the table.
+// decodeTree decodes each key of a table separately, since the decoder stops at the first value of a wrong type. path is
+// the path of the table.
 func decodeTree(m *mistakes, path []string, table map[string]any, out any) {
 	for _, k := range slices.Sorted(maps.Keys(table)) {
 		p := append(slices.Clone(path), k)
@@ -33,7 +33,7 @@
 	}
 }
 
-// decodeKey decodes one key and records its mistake.
+// decodeKey decodes one key into out and records a mistake if that fails.
 func decodeKey(m *mistakes, path []string, value any, out any) {
 	key := strings.Join(path, ".")
 	text, err := toml.Marshal(nest(path, value))
@@ -53,7 +53,7 @@
 	m.undecoded(key, decodeReason(err, value))
 }
 
-// nest returns the tables in which value stands at path.
+// nest wraps value in the tables of path.
 func nest(path []string, value any) map[string]any {
 	inner := map[string]any{path[len(path)-1]: value}
 	for _, k := range slices.Backward(path[:len(path)-1]) {
@@ -62,12 +62,12 @@
 	return inner
 }
 
-// decodeReason says why a value does not fit its key, without the names of Go types.
+// decodeReason describes why a value does not fit its key, without the names of Go types.
 func decodeReason(err error, value any) string {
 	return fmt.Sprintf("%s is not of the key's type%s", describe(value), expectedType(err))
 }
 
-// expectedType names the type of the key when the decoder's message ends with it.
+// expectedType returns the type of the key, taken from the end of the decoder's message; empty when unknown.
 func expectedType(err error) string {
 	if strings.HasSuffix(err.Error(), durationFormat) {
 		return ", " + durationFormat
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// describe names a value and its TOML type.
+// describe returns the TOML type of a value and, for a scalar, the value.
 func describe(value any) string {
 	switch v := value.(type) {
 	case string:
--- a/pkg/settings/docs_test.go
+++ b/pkg/settings/docs_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keysOf returns the dotted keys of a settings struct.
+// keysOf returns the dotted TOML keys of a settings struct.
 func keysOf(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// TestPagesNameEveryKey checks that the examples show every key, and that the operations page explains it.
+// TestPagesNameEveryKey checks that the example files contain every key and that the operations page mentions it.
 func TestPagesNameEveryKey(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
--- a/pkg/settings/dsr_agent.go
+++ b/pkg/settings/dsr_agent.go
@@ -7,7 +7,7 @@
 	DSRProcess
 	// Service is the service of the target on the same VM. Required.
 	Service string `toml:"service"`
-	// TargetAddress is the UDP address at which the target takes packets. Required.
+	// TargetAddress is the UDP address at which the target receives packets. Required.
 	TargetAddress string `toml:"target_address"`
 	// OutboundAddress is the UDP address to which the target sends its packets. Required.
 	OutboundAddress string `toml:"outbound_address"`
@@ -15,7 +15,7 @@
 	AnnounceAddress string `toml:"announce_address"`
 	// HeartbeatInterval is the time between two announcements of the target. Default 1s.
 	HeartbeatInterval Duration `toml:"heartbeat_interval"`
-	// FirstStart is set when the whole system starts for the first time, so that no flow is older than the agent.
+	// FirstStart is set at the first start of the whole system, when no flow can be older than the agent.
 	FirstStart bool `toml:"first_start"`
 }
 
@@ -31,7 +31,7 @@
 	return parse(text, DefaultDSRAgent())
 }
 
-// DefaultDSRAgent returns the settings with every default; the required keys are empty.
+// DefaultDSRAgent returns the default settings; required keys are empty.
 func DefaultDSRAgent() DSRAgent {
 	return DSRAgent{DSRProcess: defaultDSRProcess(), HeartbeatInterval: NewDuration(defaultHeartbeatInterval)}
 }
--- a/pkg/settings/dsr_balancer.go
+++ b/pkg/settings/dsr_balancer.go
@@ -5,16 +5,16 @@
 // DSRBalancer holds the settings of auburnwood-dsr-balancer.
 type DSRBalancer struct {
 	DSRProcess
-	// ControlAddress is a TCP address at which targets without an agent may call; a balancer takes no announcements and
-	// says so. Empty switches it off.
+	// ControlAddress is a TCP address for targets without an agent; the balancer rejects their announcements with an
+	// explanation. Empty disables it.
 	ControlAddress string `toml:"control_address"`
-	// CPUShare is the part of a core that the VM gives the daemon, LinkMbps the rate of its link in Mbit/s. Of all balancers the
-	// one with the most of both compares the configuration with the object API. Defaults 1 and 1000.
+	// CPUShare is the number of cores that the VM gives the daemon, LinkMbps the rate of its link in Mbit/s. The balancer
+	// with the most of both compares the configuration with the object API. Defaults 1 and 1000.
 	CPUShare float64 `toml:"cpu_share"`
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
-// Defaults and bounds of the VM's size.
+// Defaults and bounds of the VM's capacity.
 const (
 	defaultCPUShare = 1
 	defaultLinkMbps = 1000
@@ -40,7 +40,7 @@
 	return parse(text, DefaultDSRBalancer())
 }
 
-// DefaultDSRBalancer returns the settings with every default; the required keys are empty.
+// DefaultDSRBalancer returns the default settings; required keys are empty.
 func DefaultDSRBalancer() DSRBalancer {
 	return DSRBalancer{DSRProcess: defaultDSRProcess(), CPUShare: defaultCPUShare, LinkMbps: defaultLinkMbps}
 }
--- a/pkg/settings/dsr_process.go
+++ b/pkg/settings/dsr_process.go
@@ -6,21 +6,20 @@
 	// PacketAddress is the UDP address for packets. Packets for a caller go to the caller's address and this port.
 	// Required.
 	PacketAddress string `toml:"packet_address"`
-	// MessagePort is the UDP port at which balancers hear of agents and of each other, and the TCP port at which they
-	// hand their configuration to each other; it is the same on every VM. Required.
+	// MessagePort is the UDP port at which balancers receive messages from agents and from each other, and the TCP port
+	// at which they send each other their configuration. It is the same on every VM. Required.
 	MessagePort int `toml:"message_port"`
-	// Seeds are addresses on the VMs of some balancers; only their IP addresses count. May be empty.
+	// Seeds are addresses of the VMs of some balancers; only the IP addresses are used. May be empty.
 	Seeds []string `toml:"seeds"`
 	// ReadyAddress is the TCP address of the readiness check. Required.
 	ReadyAddress string `toml:"ready_address"`
-	// GraceTime is how long a daemon that was told to stop may take. Default 6s.
+	// GraceTime is the maximum duration of a graceful shutdown. Default 6s.
 	GraceTime Duration `toml:"grace_time"`
-	// Log and ObjectAPI are sections that all daemons share.
+	// Log and ObjectAPI are the common sections.
 	Log       Log       `toml:"log"`
 	ObjectAPI ObjectAPI `toml:"object_api"`
 }
 
-// LogSettings returns the log section.
 func (p DSRProcess) LogSettings() Log {
 	return p.Log
 }
@@ -29,7 +28,6 @@
 	return DSRProcess{GraceTime: NewDuration(defaultGraceTime), Log: DefaultLog(), ObjectAPI: DefaultObjectAPI()}
 }
 
-// check finds the mistakes of the shared keys.
 func (p DSRProcess) check(m *mistakes) {
 	p.Process.check(m)
 	m.bind("packet_address", p.PacketAddress)
--- a/pkg/settings/duration.go
+++ b/pkg/settings/duration.go
@@ -7,7 +7,7 @@
 )
 
 // Duration is a duration that is written as text in TOML, for example "1m30s". It is a struct so that the decoder
-// refuses a bare number, whose unit nobody could tell.
+// rejects a bare number, which has no unit.
 type Duration struct {
 	d time.Duration
 }
@@ -15,12 +15,10 @@
 // durationFormat describes the format of a Duration.
 const durationFormat = `a duration such as "30s"`
 
-// NewDuration returns d as a Duration.
 func NewDuration(d time.Duration) Duration {
 	return Duration{d: d}
 }
 
-// UnmarshalText reads the duration from text.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -30,12 +28,10 @@
 	return nil
 }
 
-// MarshalText writes the duration as text.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(d.d.String()), nil
 }
 
-// Duration returns the value as a time.Duration.
 func (d Duration) Duration() time.Duration {
 	return d.d
 }
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -9,15 +9,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxFileSize is the highest number of bytes of a settings file.
+// MaxFileSize is the maximum size of a settings file in bytes.
 const MaxFileSize = 1 << 20
 
-// checker finds the mistakes of a settings struct.
+// checker is a settings struct that can record its mistakes.
 type checker interface {
 	check(m *mistakes)
 }
 
-// load reads a file and parses it.
+// load reads and parses a file; an *Error gets the file's path.
 func load[T checker](path string, parse func([]byte) (T, error)) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return s, err
 }
 
-// parse decodes TOML text over the defaults and checks the result.
+// parse decodes TOML text over the defaults in s and checks the result.
 func parse[T checker](text []byte, s T) (T, error) {
 	var m mistakes
 	if len(text) > MaxFileSize {
@@ -49,7 +49,7 @@
 	return s, m.err()
 }
 
-// syntax records that the text is not TOML.
+// syntax records a TOML syntax error with its position.
 func (m *mistakes) syntax(err error) {
 	reason := strings.TrimPrefix(err.Error(), "toml: ")
 	var e *toml.DecodeError
--- a/pkg/settings/log.go
+++ b/pkg/settings/log.go
@@ -2,7 +2,7 @@
 
 import "github.com/rs/zerolog"
 
-// Log says what is logged and how.
+// Log configures the logger.
 type Log struct {
 	// Level is "trace", "debug", "info", "warn" or "error". Default "info".
 	Level string `toml:"level"`
@@ -16,12 +16,10 @@
 	FormatConsole = "console"
 )
 
-// DefaultLog returns the defaults of the section.
 func DefaultLog() Log {
 	return Log{Level: zerolog.LevelInfoValue, Format: FormatJSON}
 }
 
-// check finds the mistakes of the section.
 func (l Log) check(m *mistakes) {
 	m.oneOf("log.level", l.Level, zerolog.LevelTraceValue, zerolog.LevelDebugValue, zerolog.LevelInfoValue, zerolog.LevelWarnValue, zerolog.LevelErrorValue)
 	m.oneOf("log.format", l.Format, FormatJSON, FormatConsole)
--- a/pkg/settings/mistakes.go
+++ b/pkg/settings/mistakes.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Mistake is one wrong key of a settings file.
+// Mistake is one mistake in a settings file.
 type Mistake struct {
-	// Key is the dotted TOML key, for example "limits.workers"; empty when the file as a whole is at fault.
+	// Key is the dotted TOML key, for example "limits.workers"; empty when the mistake concerns the whole file.
 	Key string
-	// Reason says what is wrong with the key.
+	// Reason states what is wrong with the key.
 	Reason string
 }
 
@@ -23,13 +23,13 @@
 
 // Error holds every mistake found in one settings file.
 type Error struct {
-	// Path is the file's path, or empty when the settings did not come from a file.
+	// Path is the file's path; empty when the settings were not read from a file.
 	Path string
-	// Mistakes are in the order in which they were found.
+	// Mistakes has the mistakes in the order of detection.
 	Mistakes []Mistake
 }
 
-// Error returns one line for each mistake.
+// Error returns a header line and one line for each mistake.
 func (e *Error) Error() string {
 	name := e.Path
 	if name == "" {
@@ -43,14 +43,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// mistakes collects what the checks of one file find.
+// mistakes collects the mistakes of one file.
 type mistakes struct {
 	found []Mistake
-	// skip holds the keys that could not be decoded; their values are not checked.
+	// skip has the keys that could not be decoded, so that later checks of their values are ignored.
 	skip map[string]bool
 }
 
-// undecoded records a key whose value could not be decoded.
+// undecoded records that the value of a key could not be decoded.
 func (m *mistakes) undecoded(key, reason string) {
 	m.add(key, "%s", reason)
 	if m.skip == nil {
@@ -59,7 +59,7 @@
 	m.skip[key] = true
 }
 
-// add records a mistake of a key.
+// add records a mistake unless the key could not be decoded.
 func (m *mistakes) add(key, format string, args ...any) {
 	if m.skip[key] {
 		return
--- a/pkg/settings/objectapi.go
+++ b/pkg/settings/objectapi.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// ObjectAPI says where the platform's object API is and how much of it this process may use.
+// ObjectAPI has the URL of the platform's object API and the limits on this process's calls.
 type ObjectAPI struct {
 	// URL is the base URL, http or https. Required.
 	URL string `toml:"url"`
-	// Timeout bounds one call other than a watch. Default 2s.
+	// Timeout is the timeout of a call other than a watch. Default 2s.
 	Timeout Duration `toml:"timeout"`
-	// CallsPerSecond bounds all calls of the process together, a waiting watch as one. Default 6.
+	// CallsPerSecond is the rate limit of all calls of the process; a long-polling watch counts as one. Default 6.
 	CallsPerSecond float64 `toml:"calls_per_second"`
-	// Burst is the number of calls that may be made at once after a quiet time. Default 20.
+	// Burst is the burst size of the rate limit in calls. Default 20.
 	Burst int `toml:"burst"`
 }
 
@@ -22,12 +22,10 @@
 	maxBurst          = 10000
 )
 
-// DefaultObjectAPI returns the defaults of the section.
 func DefaultObjectAPI() ObjectAPI {
 	return ObjectAPI{Timeout: NewDuration(2 * time.Second), CallsPerSecond: 6, Burst: 20}
 }
 
-// check finds the mistakes of the section.
 func (o ObjectAPI) check(m *mistakes) {
 	m.url("object_api.url", o.URL)
 	m.duration("object_api.timeout", o.Timeout, minTimeout, maxTimeout)
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -142,7 +142,7 @@
 }
 
 func TestHostileTextIsRefused(t *testing.T) {
-	// Found by FuzzParse: keys of some thousand parts took minutes.
+	// Decoding a key of thousands of parts took minutes.
 	_, err := ParseAgent([]byte(strings.Repeat("a.", 5000) + "a = 1"))
 	require.Contains(t, reasons(t, err), "a.a: is not a known table")
 	_, err = ParseAgent(make([]byte, MaxFileSize+1))
--- a/pkg/settings/tls.go
+++ b/pkg/settings/tls.go
@@ -1,9 +1,9 @@
 package settings
 
-// TLS names the PEM files for mutual TLS between the processes. All three are given, or none: then control connections
-// are plain TCP.
+// TLS has the paths of the PEM files for mutual TLS between processes. Either all three are given, or none; without them,
+// control connections are plain TCP.
 type TLS struct {
-	// CA is the path of the certificate authorities that peers' certificates must chain to.
+	// CA is the path of the CA certificates to which peers' certificates must chain.
 	CA string `toml:"ca"`
 	// Certificate is the path of the process's own certificate chain.
 	Certificate string `toml:"cert"`
@@ -11,12 +11,12 @@
 	Key string `toml:"key"`
 }
 
-// Enabled reports whether the files are named.
+// Enabled reports whether all three paths are set.
 func (t TLS) Enabled() bool {
 	return t.CA != "" && t.Certificate != "" && t.Key != ""
 }
 
-// check finds the mistakes of the section. The files themselves are read when the process starts.
+// check checks the paths only; the files are read when the process starts.
 func (t TLS) check(m *mistakes) {
 	if t == (TLS{}) {
 		return
