--- a/pkg/ctl/app.go
+++ b/pkg/ctl/app.go
@@ -16,10 +16,9 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-// programName is the program's name in messages.
 const programName = "auburnwoodctl"
 
-// RefusalReader finds refusal records; refusal.Reader is one.
+// RefusalReader queries refusal records. It is implemented by refusal.Reader.
 type RefusalReader interface {
 	Find(ctx context.Context, q refusal.Query) (refusal.Answer, error)
 }
@@ -29,7 +28,7 @@
 	// Stdin, Stdout and Stderr are the streams of the process.
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// Open returns the object API at a URL that speaks the protocol, whose calls end after timeout.
+	// Open returns a client of the object API at the URL server for protocol p. Each call has the timeout.
 	Open func(p Protocol, server string, timeout time.Duration) objectapi.Store
 	// Refusals returns a reader of the refusal records in a store.
 	Refusals func(objectapi.Store) RefusalReader
@@ -48,17 +47,16 @@
 
 // command is one command with its options.
 type command interface {
-	// run runs the command.
 	run(ctx context.Context, s *session) error
 }
 
-// commandInfo is what help says about a command.
+// commandInfo is a command and its help texts.
 type commandInfo struct {
 	name, short, long string
 	data              command
 }
 
-// commands returns every command with empty options.
+// commands returns every command with unset options.
 func commands() []commandInfo {
 	return []commandInfo{
 		{"validate", "Check services without a server", "Reads services from files, or from standard input for \"-\", and reports every mistake with its field.", &validateCommand{}},
@@ -122,7 +120,7 @@
 	return nil
 }
 
-// fail prints an error, if there is one, and returns its exit code.
+// fail prints err, unless it is nil, and returns its exit code.
 func (a App) fail(err error) int {
 	if err != nil {
 		fmt.Fprintf(a.Stderr, "%s: %s\n", programName, trace.UserMessage(err))
--- a/pkg/ctl/app_test.go
+++ b/pkg/ctl/app_test.go
@@ -19,7 +19,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// harness runs commands against a store.
+// harness runs commands against an in-memory store.
 type harness struct {
 	t      *testing.T
 	store  *store.Store
@@ -41,7 +41,7 @@
 	return d.answer, nil
 }
 
-// run runs a command and checks its exit code.
+// run runs a command, checks its exit code and returns its standard output.
 func (d *harness) run(code int, args ...string) string {
 	d.t.Helper()
 	d.out.Reset()
@@ -71,7 +71,7 @@
 	return path
 }
 
-// accept stores a status that says that the stored version of a service is in force on adopted of 3 balancers.
+// accept stores a status in which the stored version of a service is accepted and in force on adopted of 3 balancers.
 func (d *harness) accept(name string, adopted int) {
 	d.t.Helper()
 	ctx := d.t.Context()
@@ -82,7 +82,7 @@
 	d.putStatus(s)
 }
 
-// putStatus stores a status.
+// putStatus creates or replaces a status.
 func (d *harness) putStatus(s resource.ServiceStatus) {
 	d.t.Helper()
 	ctx := d.t.Context()
@@ -150,12 +150,12 @@
 	require.Len(t, rows, 2)
 	require.Equal(t, resource.InForce{Adopted: 3, Known: 3}, rows[1].Status.InForce)
 	require.Contains(t, d.run(ExitOK, "get", "service-status"), "service-status  a")
-	// An address in force at another service is refused before anything is written, and an invalid document as well.
+	// An address of another service and an invalid document are each rejected before anything is written.
 	out = d.run(ExitUsage, "apply", file(t, service("c", "10.0.0.9", 1), service("d", "10.0.0.1", 1)))
 	require.Contains(t, out, `spec.addresses[0]: 10.0.0.1:80/tcp belongs to service "a"`)
 	d.run(ExitUsage, "apply", file(t, service("c", "10.0.0.9", 1), service("D", "10.0.0.8", 1)))
 	d.run(ExitFailure, "get", "service", "c")
-	// An address moves from one service to another within one input.
+	// An address can move from one service to another within one input.
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.7", 1), service("d", "10.0.0.1", 1)))
 	d.run(ExitConflict, "delete", "--version-is", "1", "b")
 	require.Contains(t, d.run(ExitOK, "delete", "b"), "deleted")
@@ -191,13 +191,13 @@
 	changed := file(t, service("a", "10.0.0.1", 2))
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 	require.Contains(t, d.errs.String(), "no status yet")
-	// Rejected at an earlier version, the new one is judged all the same.
+	// A rejection of an earlier version does not apply to the new one.
 	s := resource.ServiceStatus{Name: "a", ObservedVersion: 1}
 	s.SetCondition(resource.Condition{Type: resource.ConditionAccepted, Status: resource.StatusFalse, Reason: resource.ReasonInvalid})
 	d.putStatus(s)
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 	require.Contains(t, d.errs.String(), "no status yet")
-	// Observed, but another version is in force.
+	// The version was observed, but an older one is in force.
 	d.putStatus(resource.ServiceStatus{Name: "a", ObservedVersion: 1000, AcceptedVersion: 1, InForce: resource.InForce{Adopted: 3, Known: 3}})
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 }
--- a/pkg/ctl/applier.go
+++ b/pkg/ctl/applier.go
@@ -16,19 +16,19 @@
 type Applier struct {
 	// Store is the object API.
 	Store objectapi.Store
-	// Retries is how often a write is repeated over a change that another operator made in the meantime. With 0 the
-	// other operator's change stays.
+	// Retries is the maximum number of concurrent changes of other operators that are overwritten. With 0, another
+	// operator's change is kept.
 	Retries int
-	// DryRun stops before any write.
+	// DryRun skips all writes.
 	DryRun bool
 }
 
-// maxAttempts bounds the writes of one service whose answers are lost.
+// maxAttempts is the maximum number of attempts of one write whose outcome is unknown.
 const maxAttempts = 5
 
-// Apply makes s the stored service and says what happened. It returns an error that matches objectapi.ErrConflict when
-// another operator's change stays, objectapi.ErrOutcomeUnknown when a write may have taken effect and could not be read
-// back, or the store's error; the result is filled in either case.
+// Apply makes s the stored service and returns what was done. It returns an error that matches objectapi.ErrConflict when
+// another operator's change is kept, objectapi.ErrOutcomeUnknown when a write may have taken effect and could not be
+// confirmed by reading back, or the store's error. The result is set in every case.
 func (a Applier) Apply(ctx context.Context, s resource.Service) (ApplyResult, error) {
 	w := write{applier: a, result: ApplyResult{Name: s.Name, DryRun: a.DryRun}}
 	var err error
@@ -43,21 +43,21 @@
 	return w.result, err
 }
 
-// write is the write of one service.
+// write is the state of writing one service.
 type write struct {
 	applier Applier
-	// value is what shall be stored.
+	// value is the encoded service to store.
 	value []byte
-	// base is what was stored when it was read last; version 0 when nothing was.
+	// base is the stored object as last read; its version is 0 when there was none.
 	base objectapi.Object
-	// conflicts counts the changes of other operators that were overwritten.
+	// conflicts counts concurrent changes of other operators.
 	conflicts int
-	// answerLost says that a write over the base may have taken effect, uncertain that one over an earlier base may have.
+	// answerLost is true when a write over base may have taken effect, uncertain when one over an earlier base may have.
 	answerLost, uncertain bool
 	result                ApplyResult
 }
 
-// read returns the stored object; one of version 0 when there is none.
+// read returns the stored object, or one of version 0 when there is none.
 func (w *write) read(ctx context.Context, name string) (objectapi.Object, error) {
 	o, err := w.applier.Store.Get(ctx, resource.KindService, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -66,7 +66,7 @@
 	return o, trace.Wrap(err, "reading service %s", name)
 }
 
-// run writes until the value is stored or the write is given up.
+// run repeats the write until the value is stored or the write has failed.
 func (w *write) run(ctx context.Context) error {
 	for range maxAttempts + w.applier.Retries {
 		if w.holdsValue(w.base) {
@@ -88,7 +88,7 @@
 	return w.fail(ActionUnknown, objectapi.ErrOutcomeUnknown, "gave up after %d answers were lost", maxAttempts)
 }
 
-// action returns what a write over the base does.
+// action returns the action of a write over base.
 func (w *write) action() Action {
 	if w.base.Version == 0 {
 		return ActionCreated
@@ -96,12 +96,12 @@
 	return ActionConfigured
 }
 
-// holdsValue reports whether an object holds the value already.
+// holdsValue reports whether o exists and has the same content as the value to store.
 func (w *write) holdsValue(o objectapi.Object) bool {
 	return o.Version != 0 && sameContent(o.Value, w.value)
 }
 
-// put makes one conditional write.
+// put attempts one conditional write over base.
 func (w *write) put(ctx context.Context) (objectapi.Object, error) {
 	if w.base.Version == 0 {
 		return w.applier.Store.Create(ctx, resource.KindService, w.base.Name, w.value)
@@ -111,7 +111,7 @@
 	return w.applier.Store.Update(ctx, o)
 }
 
-// resolve reads back after a write that failed. It reports whether the write is over, and its error.
+// resolve reads the object back after a failed write. It reports whether the write is finished, and its error.
 func (w *write) resolve(ctx context.Context, action Action, cause error) (bool, error) {
 	if errors.Is(cause, objectapi.ErrOutcomeUnknown) {
 		w.answerLost = true
@@ -129,13 +129,14 @@
 		return true, w.done(action, now.Version)
 	}
 	if now.Version == before.Version {
-		// The condition still holds, so the same write is safe to repeat: at most one of the two takes effect.
+		// The condition still holds, so the write is safe to repeat: at most one of the two takes effect.
 		return false, nil
 	}
 	return w.resolveConflict(ctx, before, now)
 }
 
-// resolveConflict handles another operator's change between reading and writing.
+// resolveConflict decides whether to overwrite another operator's change between reading and writing. It reports whether
+// the write is finished, and its error.
 func (w *write) resolveConflict(ctx context.Context, before, now objectapi.Object) (bool, error) {
 	if w.answerLost && !w.historyExcludesWrite(ctx, before) {
 		w.uncertain = true
@@ -152,7 +153,7 @@
 	return true, w.abandon(ActionConflict, objectapi.ErrConflict, "another operator "+describe(before, now)+"; that change stays")
 }
 
-// abandon ends with a failure. When the answer to an earlier write was lost, the outcome is unknown whatever the cause.
+// abandon fails the write. When the answer to an earlier attempt was lost, the outcome is unknown whatever the cause.
 func (w *write) abandon(a Action, cause error, detail string) error {
 	if w.answerLost || w.uncertain {
 		return w.fail(ActionUnknown, objectapi.ErrOutcomeUnknown, "%s; the answer to an earlier write was lost, so it may have been stored", detail)
@@ -160,8 +161,8 @@
 	return w.fail(a, cause, "%s; nothing was written", detail)
 }
 
-// historyExcludesWrite reports whether the history shows that a write whose answer was lost did not take effect: only the first
-// change after the version of its condition can be that write.
+// historyExcludesWrite reports whether the history proves that a write whose answer was lost did not take effect. Only the
+// first change after the version in the write's condition can be that write.
 func (w *write) historyExcludesWrite(ctx context.Context, before objectapi.Object) bool {
 	if before.Version == 0 {
 		return false
@@ -178,7 +179,7 @@
 	return false
 }
 
-// describe says what another operator did.
+// describe describes another operator's change from before to now.
 func describe(before, now objectapi.Object) string {
 	if now.Version == 0 {
 		return fmt.Sprintf("deleted version %d", before.Version)
@@ -189,7 +190,6 @@
 	return fmt.Sprintf("replaced version %d by version %d", before.Version, now.Version)
 }
 
-// done records a success.
 func (w *write) done(a Action, version uint64) error {
 	w.result.Action = a
 	w.result.Version = version
@@ -204,13 +204,13 @@
 	return trace.Wrap(cause, "writing service %s: %s", w.result.Name, w.result.Detail)
 }
 
-// sameContent reports whether two stored values hold the same service. Values that are not services are compared by
-// their bytes.
+// sameContent reports whether two stored values encode the same service. Values that are not services are compared
+// bytewise.
 func sameContent(a, b []byte) bool {
 	return bytes.Equal(canonical(a), canonical(b))
 }
 
-// canonical returns the value as this version of the program writes it.
+// canonical returns the value in the encoding of this version of the program, or unchanged when it is not a service.
 func canonical(v []byte) []byte {
 	var s resource.Service
 	if err := resource.Decode(v, &s); err != nil {
--- a/pkg/ctl/applier_test.go
+++ b/pkg/ctl/applier_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// service returns a valid service at one address with a limit that tells its writer.
+// service returns a valid service at one address; its connection limit identifies the writer.
 func service(name, ip string, writer uint32) resource.Service {
 	return resource.Service{Name: name, Spec: resource.ServiceSpec{
 		Addresses:  []resource.Address{{IP: ip, Port: 80}},
@@ -24,13 +24,13 @@
 	}}
 }
 
-// hookStore is a store that runs a function before or after one write.
+// hookStore is a store that runs hooks around the first write and injects faults into it and into later reads.
 type hookStore struct {
 	objectapi.Store
 	before, after func()
-	// loseAnswer hides the answer of the write.
+	// loseAnswer replaces the answer of the write by ErrOutcomeUnknown.
 	loseAnswer bool
-	// writeErr fails the write, unavailable reads fail after it.
+	// writeErr fails the write before it takes effect; readErr fails reads after the write.
 	writeErr, readErr error
 	writes            int
 }
@@ -71,7 +71,7 @@
 	return h.Store.Get(ctx, kind, name)
 }
 
-// storedLimit returns the writer of the stored service; 0 when there is none.
+// storedLimit returns the writer of the stored service, or 0 when there is none.
 func storedLimit(t *testing.T, s objectapi.Store, name string) uint32 {
 	t.Helper()
 	o, err := s.Get(t.Context(), resource.KindService, name)
@@ -88,7 +88,7 @@
 	const mine, theirs = 1, 2
 	for _, c := range []struct {
 		name string
-		// exists stores the service before; theirs runs before or after the first write.
+		// exists stores the service beforehand; before and after run around the first write.
 		exists        bool
 		before, after func(apply, del func())
 		loseAnswer    bool
@@ -159,7 +159,7 @@
 	require.Equal(t, ApplyResult{Name: "a", Action: ActionUnchanged, Version: o.Version}, r)
 }
 
-// outageStore is a store whose first write loses its answer before it takes effect and whose later writes are refused.
+// outageStore is a store whose first create has an unknown outcome and whose later creates fail as unavailable.
 type outageStore struct {
 	objectapi.Store
 	writes int
@@ -174,7 +174,7 @@
 }
 
 func TestApplierReportsUnknownWhenAnAnswerIsLost(t *testing.T) {
-	// The first write may still arrive, so the refusal of the second says nothing about it.
+	// The first write may still take effect after the second has failed.
 	r, err := Applier{Store: &outageStore{Store: store.New(store.Config{})}}.Apply(t.Context(), service("a", "10.0.0.1", 1))
 	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 	require.Equal(t, ActionUnknown, r.Action)
@@ -194,8 +194,8 @@
 	require.Equal(t, ActionConfigured, r.Action)
 }
 
-// TestConcurrentOperators lets operators apply different content at once while answers are lost. Who is told that its write
-// was stored must find it in the history, and who is told that it was not, must not.
+// TestConcurrentOperators applies different content concurrently while answers are lost. A write reported as stored must
+// be in the history, and one reported as not stored must not.
 func TestConcurrentOperators(t *testing.T) {
 	for seed := range uint64(20) {
 		s := store.New(store.Config{Seed: seed})
@@ -222,7 +222,7 @@
 			writes := history[uint32(n+1)]
 			switch r.Action {
 			case ActionCreated, ActionConfigured:
-				// Only a retry over another operator's change may store the same content again.
+				// Only a retry over another operator's change may store the same content twice.
 				require.GreaterOrEqual(t, writes, 1, "seed %d writer %d: %+v", seed, n+1, r)
 				require.LessOrEqual(t, writes, 1+(n/rounds)%2, "seed %d writer %d: %+v", seed, n+1, r)
 			case ActionConflict, ActionFailed:
--- a/pkg/ctl/apply.go
+++ b/pkg/ctl/apply.go
@@ -53,7 +53,7 @@
 	return c.wait(ctx, s, store, results)
 }
 
-// apply writes each service. A failure of one does not keep the others from being written.
+// apply writes each service and continues after failures.
 func (c *applyCommand) apply(ctx context.Context, store objectapi.Store, list []Document) ([]ApplyResult, error) {
 	a := Applier{Store: store, Retries: c.Retries, DryRun: c.DryRun}
 	results := make([]ApplyResult, 0, len(list))
@@ -68,7 +68,7 @@
 	return results, errors.Join(errs...)
 }
 
-// wait waits until the written services are in force.
+// wait waits until the written services are in force, for c.Wait at most.
 func (c *applyCommand) wait(ctx context.Context, s *session, store objectapi.Store, results []ApplyResult) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
@@ -94,7 +94,7 @@
 	return false
 }
 
-// writeResults writes one line for each object.
+// writeResults writes the results as JSON or as a table.
 func (s *session) writeResults(list []ApplyResult) error {
 	if s.json() {
 		return s.writeJSON(list)
--- a/pkg/ctl/applyresult.go
+++ b/pkg/ctl/applyresult.go
@@ -1,6 +1,6 @@
 package ctl
 
-// Action says what was done to an object.
+// Action is what was done to an object.
 type Action string
 
 // Actions.
@@ -8,30 +8,29 @@
 	// ActionCreated and ActionConfigured mean that the object was created or replaced.
 	ActionCreated    Action = "created"
 	ActionConfigured Action = "configured"
-	// ActionUnchanged means that the object already had the content.
+	// ActionUnchanged means that the object already had the same content.
 	ActionUnchanged Action = "unchanged"
-	// ActionDeleted means that the object is gone.
+	// ActionDeleted means that the object no longer exists.
 	ActionDeleted Action = "deleted"
 	// ActionInvalid means that the input has mistakes; nothing was written.
 	ActionInvalid Action = "invalid"
-	// ActionConflict means that another operator's change stays; nothing was written.
+	// ActionConflict means that another operator's change was kept; nothing was written.
 	ActionConflict Action = "conflict"
-	// ActionFailed means that the object API did not take the call; nothing was written.
+	// ActionFailed means that a call to the object API failed; nothing was written.
 	ActionFailed Action = "failed"
 	// ActionUnknown means that the write may have taken effect.
 	ActionUnknown Action = "unknown"
 )
 
-// ApplyResult says what happened to one object.
+// ApplyResult is the result for one object.
 type ApplyResult struct {
-	// Name is the object's name.
 	Name string `json:"name"`
-	// Action says what was done, or with DryRun what would be done.
+	// Action is what was done, or with DryRun what would be done.
 	Action Action `json:"action"`
-	// Version is the object version after the call; the one before it with DryRun; 0 when the object does not exist.
+	// Version is the object version after the call, or with DryRun the one before it; 0 when the object does not exist.
 	Version uint64 `json:"version"`
 	// DryRun is true when nothing was written.
 	DryRun bool `json:"dryRun,omitempty"`
-	// Detail is one sentence with the reason, when there is one.
+	// Detail explains the result in one sentence; may be empty.
 	Detail string `json:"detail,omitempty"`
 }
--- a/pkg/ctl/delete.go
+++ b/pkg/ctl/delete.go
@@ -46,18 +46,18 @@
 	return errors.Join(append(errs, s.writeResults(results))...)
 }
 
-// Deleter deletes services by conditional writes.
+// Deleter deletes services by conditional deletes.
 type Deleter struct {
 	// Store is the object API.
 	Store objectapi.Store
-	// Version is the only version that may be deleted; 0 takes the stored one.
+	// Version is the only version that may be deleted; 0 means the stored one.
 	Version uint64
-	// DryRun stops before any write.
+	// DryRun skips all writes.
 	DryRun bool
 }
 
-// Delete deletes a service and says what happened. It returns an error that matches objectapi.ErrNotFound,
-// objectapi.ErrConflict when the service changed meanwhile, or objectapi.ErrOutcomeUnknown.
+// Delete deletes a service and returns what was done. The error matches objectapi.ErrNotFound, objectapi.ErrConflict when
+// another version is stored, objectapi.ErrOutcomeUnknown when the delete may have taken effect, or is the store's error.
 func (d Deleter) Delete(ctx context.Context, name string) (ApplyResult, error) {
 	r := ApplyResult{Name: name, DryRun: d.DryRun, Action: ActionFailed}
 	o, err := d.Store.Get(ctx, resource.KindService, name)
@@ -75,7 +75,7 @@
 	return d.write(ctx, r)
 }
 
-// write deletes the version of r, again when an answer was lost.
+// write deletes the version of r; it repeats the delete when an answer is lost.
 func (d Deleter) write(ctx context.Context, r ApplyResult) (ApplyResult, error) {
 	lost := false
 	for range maxAttempts {
@@ -100,13 +100,13 @@
 		case !errors.Is(err, objectapi.ErrOutcomeUnknown):
 			return r.failed(ActionFailed, err, "nothing was deleted")
 		}
-		// The condition on the version makes the same delete safe to repeat.
+		// The condition on the version makes the delete safe to repeat.
 		lost = true
 	}
 	return r.failed(ActionUnknown, objectapi.ErrOutcomeUnknown, "gave up after %d answers were lost", maxAttempts)
 }
 
-// failed returns the result of a failure and its error.
+// failed returns r as a failure, with its error.
 func (r ApplyResult) failed(a Action, cause error, format string, args ...any) (ApplyResult, error) {
 	r.Action = a
 	r.Detail = fmt.Sprintf(format, args...)
--- a/pkg/ctl/doc.go
+++ b/pkg/ctl/doc.go
@@ -1,3 +1,3 @@
-// Package ctl is the library behind auburnwoodctl: it validates, applies, reads, watches and deletes services through
-// the object API, and explains refusals.
+// Package ctl implements auburnwoodctl: it validates, applies, shows, watches and deletes services through the object
+// API, evacuates data centres, and explains refusals.
 package ctl
--- a/pkg/ctl/document.go
+++ b/pkg/ctl/document.go
@@ -11,23 +11,24 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// MaxInputSize is the highest number of bytes of one input.
+// MaxInputSize is the maximum size of one input in bytes.
 const MaxInputSize = 64 * objectapi.MaxValueSize
 
 // Document is one service of an input.
 type Document struct {
-	// Source is where the document stands, for example "services.json, document 2".
+	// Source is the origin of the document, for example "services.json, document 2".
 	Source string `json:"source"`
-	// Service is the decoded service; fields that could not be read are zero.
+	// Service is the decoded service; fields that could not be decoded are zero.
 	Service resource.Service `json:"-"`
-	// Name is the service's name, as far as it could be read.
+	// Name is the service's name; empty when it could not be decoded.
 	Name string `json:"name,omitempty"`
-	// Errors are the mistakes of the document.
+	// Errors has the mistakes of the document.
 	Errors []resource.FieldError `json:"errors,omitempty"`
 }
 
-// ReadDocuments reads a stream of JSON documents, each of them one service, and validates each. Mistakes of documents
-// stand in the documents; text that is not JSON ends the stream with a document that says so. The error is that of r.
+// ReadDocuments reads a stream of JSON documents, each of them one service, and validates each. Mistakes are recorded in
+// the documents; invalid JSON ends the stream with a document that has the syntax error. It returns an error when r fails
+// or has more than MaxInputSize bytes.
 func ReadDocuments(r io.Reader, source string) ([]Document, error) {
 	text, err := readAll(r, source)
 	if err != nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// readDocument reads and validates one document.
+// readDocument decodes and validates one document.
 func readDocument(name string, raw json.RawMessage) Document {
 	d := Document{Source: name}
 	d.Service, d.Errors = resource.DecodeService(raw)
@@ -57,12 +58,12 @@
 	return d
 }
 
-// unreadable returns a document that could not be read.
+// unreadable returns a document that could not be decoded, with the reason as its mistake.
 func unreadable(name, reason string) Document {
 	return Document{Source: name, Errors: []resource.FieldError{{Reason: reason}}}
 }
 
-// markDuplicates adds a mistake to each document that has the name of an earlier one.
+// markDuplicates adds a mistake to each document with the name of an earlier one.
 func markDuplicates(list []Document) {
 	first := make(map[string]string, len(list))
 	for i, d := range list {
--- a/pkg/ctl/evacuate.go
+++ b/pkg/ctl/evacuate.go
@@ -20,7 +20,6 @@
 	} `positional-args:"yes"`
 }
 
-// errNoDataCentre is the error of a command that names none.
 var errNoDataCentre = &usageError{reason: "name at least one data centre"}
 
 // run implements command.
@@ -48,7 +47,7 @@
 	})
 }
 
-// eachDataCentre calls f for each data centre that a command names, and prints what became of it.
+// eachDataCentre calls f for each named data centre and prints its result. It continues after failures.
 func (s *session) eachDataCentre(names []string, f func(store objectapi.Store, dataCentre string) (string, error)) error {
 	if len(names) == 0 {
 		return errNoDataCentre
@@ -64,7 +63,7 @@
 	return errors.Join(errs...)
 }
 
-// report prints what became of one data centre.
+// report prints the result for one data centre, or returns err.
 func (s *session) report(outcome string, err error) error {
 	if err != nil {
 		return err
@@ -73,7 +72,7 @@
 	return err
 }
 
-// declare stores an evacuation. Two operators may declare the same one: it is there once.
+// declare creates an evacuation. It succeeds when the data centre is already evacuated.
 func declare(ctx context.Context, store objectapi.Store, dataCentre string, value []byte) (string, error) {
 	for range maxAttempts {
 		o, err := store.Create(ctx, resource.KindEvacuation, dataCentre, value)
@@ -85,12 +84,12 @@
 		case !errors.Is(err, objectapi.ErrOutcomeUnknown):
 			return "", trace.Wrap(err, "evacuating %s", dataCentre)
 		}
-		// Declaring it again is safe whether or not the lost call took effect.
+		// The create is idempotent, so it is safe to repeat after an unknown outcome.
 	}
 	return "", trace.Wrap(objectapi.ErrOutcomeUnknown, "evacuating %s: gave up after %d answers were lost", dataCentre, maxAttempts)
 }
 
-// withdraw removes an evacuation.
+// withdraw deletes an evacuation. It succeeds when the data centre is not evacuated.
 func withdraw(ctx context.Context, store objectapi.Store, dataCentre string) (string, error) {
 	for range maxAttempts {
 		o, err := store.Get(ctx, resource.KindEvacuation, dataCentre)
--- a/pkg/ctl/evacuate_test.go
+++ b/pkg/ctl/evacuate_test.go
@@ -25,7 +25,7 @@
 	d.run(ExitUsage, "restore")
 }
 
-// A lost answer does not leave an operator in doubt: declaring and withdrawing may be repeated.
+// Declaring and withdrawing an evacuation succeed after a lost answer.
 func TestEvacuationIsIdempotentWhenAnAnswerIsLost(t *testing.T) {
 	d := newHarness(t)
 	d.store.SetFaults(store.Faults{LoseNext: 1})
--- a/pkg/ctl/exitcode.go
+++ b/pkg/ctl/exitcode.go
@@ -10,13 +10,13 @@
 const (
 	// ExitOK means that everything asked for was done.
 	ExitOK = 0
-	// ExitFailure means that a call failed, an object does not exist or a wait ran out; nothing is in doubt.
+	// ExitFailure means that a call failed, an object does not exist or a wait timed out; no write has an unknown outcome.
 	ExitFailure = 1
 	// ExitUsage means a mistake on the command line or in the input; nothing was written.
 	ExitUsage = 2
-	// ExitConflict means that another operator's change stays in place of this one.
+	// ExitConflict means that another operator's change was kept.
 	ExitConflict = 3
-	// ExitUnknown means that a write may have taken effect; read the object to learn.
+	// ExitUnknown means that a write may have taken effect; read the object to find out.
 	ExitUnknown = 4
 )
 
@@ -25,12 +25,11 @@
 	reason string
 }
 
-// Error returns the reason.
 func (e *usageError) Error() string {
 	return e.reason
 }
 
-// exitCode returns the exit code of an error; of several joined ones, that of the gravest.
+// exitCode returns the exit code of an error; of joined errors, that of the most severe.
 func exitCode(err error) int {
 	var u *usageError
 	switch {
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// explainCommand says why callers were refused.
+// explainCommand shows why callers were refused.
 type explainCommand struct {
 	Caller  string        `long:"caller" value-name:"IP|NETWORK" description:"Address or network of the caller, for example 192.0.2.7 or 2001:db8::/32"`
 	Service string        `long:"service" value-name:"NAME" description:"Name of the service"`
@@ -41,7 +41,7 @@
 	return s.writeAnswer(a)
 }
 
-// query turns the options into a query.
+// query builds the query from the options. The time range ends at now by default.
 func (c *explainCommand) query(now time.Time) (refusal.Query, error) {
 	q := refusal.Query{To: now, Service: c.Service, Reason: refusal.Reason(c.Reason), ID: c.ID, Flow: c.Flow}
 	var err error
@@ -66,7 +66,7 @@
 	return q, err
 }
 
-// parseTime reads the value of a time option.
+// parseTime parses the value of a time option.
 func parseTime(option, v string) (time.Time, error) {
 	t, err := time.Parse(time.RFC3339, v)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return t, nil
 }
 
-// parseCaller reads an address or network; no text gives the zero prefix.
+// parseCaller parses an IP address or network; an empty string gives the zero Prefix.
 func parseCaller(v string) (netip.Prefix, error) {
 	if v == "" {
 		return netip.Prefix{}, nil
@@ -91,14 +91,14 @@
 	return netip.PrefixFrom(ip, ip.BitLen()), nil
 }
 
-// answerJSON is the JSON form of an answer.
+// answerJSON is the JSON output of a refusal.Answer.
 type answerJSON struct {
 	Refusals   uint64           `json:"refusals"`
 	Records    []refusal.Record `json:"records"`
 	Unreadable []string         `json:"unreadable,omitempty"`
 }
 
-// writeAnswer writes the records. Objects that could not be read make an error, since records may be missing.
+// writeAnswer writes the records. It returns an error when objects could not be read, since records may be missing.
 func (s *session) writeAnswer(a refusal.Answer) error {
 	out := answerJSON{Refusals: a.Refusals, Records: a.Records}
 	for _, err := range a.Unreadable {
@@ -134,7 +134,7 @@
 	return trace.Wrap(err, "writing the output")
 }
 
-// recordColumns returns the texts of a record.
+// recordColumns returns the table row of a record.
 func recordColumns(r refusal.Record) []string {
 	caller := r.Caller.String()
 	if r.Count > 1 && r.Callers.IsValid() {
@@ -153,7 +153,7 @@
 // recordTime is the format of times in the table.
 const recordTime = "2006-01-02T15:04:05.000Z"
 
-// timeText returns a record's time; of a merged record, the first and the last.
+// timeText returns a record's time, or the first and the last time of a merged record.
 func timeText(r refusal.Record) string {
 	first := r.Time.UTC().Format(recordTime)
 	if r.Count <= 1 || r.Last.IsZero() {
--- a/pkg/ctl/get.go
+++ b/pkg/ctl/get.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// fetch returns the named objects of a kind and the names that do not exist; no names mean all objects.
+// fetch returns the named objects of a kind and the names that do not exist; without names, all objects sorted by name.
 func fetch(ctx context.Context, store objectapi.Store, kind objectapi.Kind, names []string) ([]objectapi.Object, []string, error) {
 	if len(names) == 0 {
 		list, _, err := store.List(ctx, kind)
@@ -68,7 +68,7 @@
 	return list, missing, nil
 }
 
-// writeObjects writes objects: services with their status, others as they are.
+// writeObjects writes objects; services are joined with their status.
 func (s *session) writeObjects(ctx context.Context, store objectapi.Store, kind objectapi.Kind, list []objectapi.Object) error {
 	if kind != resource.KindService {
 		return s.writeRaw(list)
@@ -101,7 +101,7 @@
 	return rows
 }
 
-// serviceRow joins a service with its status; a status of version 0 is left out.
+// serviceRow joins a service with its status, unless the status has version 0.
 func serviceRow(service, status objectapi.Object) ServiceRow {
 	v := resource.ReadService(service)
 	row := ServiceRow{Name: v.Name, Version: v.Version, Unreadable: v.Unreadable}
@@ -111,14 +111,14 @@
 	if status.Version == 0 {
 		return row
 	}
-	// The status may come from a newer version of the system, so unknown fields are left out here.
+	// A newer version of the system may have written the status, so unknown fields are ignored.
 	if t, err := objectapi.Decode[resource.ServiceStatus](status); err == nil {
 		row.Status = &t.Value
 	}
 	return row
 }
 
-// rawObject is an object of any kind in the output.
+// rawObject is the JSON output of an object of any kind.
 type rawObject struct {
 	Kind    objectapi.Kind  `json:"kind"`
 	Name    string          `json:"name"`
@@ -127,7 +127,7 @@
 	Binary  []byte          `json:"binary,omitempty"`
 }
 
-// rawOf returns an object for the output; a value that is not JSON is written in base64.
+// rawOf returns an object for the output; a value that is not JSON is encoded in base64.
 func rawOf(o objectapi.Object) rawObject {
 	r := rawObject{Kind: o.Kind, Name: o.Name, Version: o.Version}
 	if json.Valid(o.Value) {
--- a/pkg/ctl/http_test.go
+++ b/pkg/ctl/http_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// TestOverHTTP runs the commands through the HTTP client, with the records of a refusal.Log.
+// TestOverHTTP runs the commands against an HTTP server, with refusal records written by a refusal.Log.
 func TestOverHTTP(t *testing.T) {
 	s := store.New(store.Config{WatchWait: time.Second})
 	server := httptest.NewServer(objectapi.Handler(s))
--- a/pkg/ctl/kinds.go
+++ b/pkg/ctl/kinds.go
@@ -8,13 +8,13 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// kinds are the kinds that get and watch show.
+// kinds has the kinds that get and watch accept.
 var kinds = []objectapi.Kind{
 	resource.KindService, resource.KindServiceStatus, resource.KindHead, resource.KindRevision,
 	resource.KindLease, resource.KindMembers, resource.KindRollout, resource.KindClaim, resource.KindEvacuation, resource.KindEra,
 }
 
-// parseKind reads the name of a kind; no name means services.
+// parseKind parses the name of a kind; an empty name means services.
 func parseKind(name string) (objectapi.Kind, error) {
 	k := objectapi.Kind(name)
 	if k == "" || k == "services" {
--- a/pkg/ctl/protocol.go
+++ b/pkg/ctl/protocol.go
@@ -1,12 +1,12 @@
 package ctl
 
-// Protocol names what an object API speaks.
+// Protocol is the protocol of an object API server.
 type Protocol string
 
 // Protocols.
 const (
-	// ProtocolObjectAPI is auburnwood's own, as objectapi.Client speaks it.
+	// ProtocolObjectAPI is auburnwood's own protocol, implemented by objectapi.Client.
 	ProtocolObjectAPI Protocol = "object-api"
-	// ProtocolPlatform is that of the platform's object store, as package platform speaks it.
+	// ProtocolPlatform is the protocol of the platform's object store, implemented by package platform.
 	ProtocolPlatform Protocol = "platform"
 )
--- a/pkg/ctl/readall.go
+++ b/pkg/ctl/readall.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// readAll reads an input up to MaxInputSize.
+// readAll reads an input; it returns an error when the input exceeds MaxInputSize.
 func readAll(r io.Reader, source string) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, MaxInputSize+1))
 	if err != nil {
--- a/pkg/ctl/row.go
+++ b/pkg/ctl/row.go
@@ -13,21 +13,21 @@
 	// Name and Version identify the stored service.
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
-	// Spec is what is stored; nil when it could not be read.
+	// Spec is the stored specification; nil when it could not be decoded.
 	Spec *resource.ServiceSpec `json:"spec,omitempty"`
 	// Unreadable is why the stored value is not a service.
 	Unreadable string `json:"unreadable,omitempty"`
-	// Status is nil before the system has judged the service.
+	// Status is nil until the system has written one.
 	Status *resource.ServiceStatus `json:"status,omitempty"`
 }
 
-// none stands in a table for a value that is not known.
+// none is the placeholder for an unknown value in a table.
 const none = "-"
 
-// rowHead has the titles of a ServiceRow's columns.
+// rowHead has the column titles of a ServiceRow.
 var rowHead = []string{"SERVICE", "VERSION", "MODE", "ADDRESSES", "ACCEPTED", "IN FORCE", "ROLLOUT", "MESSAGE"}
 
-// columns returns the texts of a table row.
+// columns returns the table row of r.
 func (r ServiceRow) columns() []string {
 	mode, addresses := none, none
 	if r.Spec != nil {
@@ -52,12 +52,12 @@
 	return fmt.Sprintf("%s and %d more", first, len(list)-1)
 }
 
-// current reports whether the status is about the stored version.
+// current reports whether the status covers the stored version.
 func (r ServiceRow) current() bool {
 	return r.Status != nil && r.Status.ObservedVersion >= r.Version
 }
 
-// accepted says whether the stored version is accepted.
+// accepted describes whether the stored version is accepted.
 func (r ServiceRow) accepted() string {
 	if !r.current() {
 		return "pending"
@@ -72,7 +72,7 @@
 	return "no, " + string(c.Reason)
 }
 
-// inForce says on how many balancers what is accepted is in force.
+// inForce describes on how many balancers the accepted version is in force.
 func (r ServiceRow) inForce() string {
 	if r.Status == nil || r.Status.AcceptedVersion == 0 {
 		return none
@@ -83,7 +83,7 @@
 	return r.Status.InForce.String()
 }
 
-// rollout says how far the rollout has come.
+// rollout describes the progress of the rollout.
 func (r ServiceRow) rollout() string {
 	if r.Status == nil || r.Status.Rollout == nil {
 		return none
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("%s at %d%% %s", o.To, o.Weight, o.State)
 }
 
-// message gives the reason when the service is not accepted or not in force.
+// message returns the reasons why the service is not accepted or not in force.
 func (r ServiceRow) message() string {
 	if r.Unreadable != "" {
 		return r.Unreadable
--- a/pkg/ctl/session.go
+++ b/pkg/ctl/session.go
@@ -25,7 +25,7 @@
 // stdinName is the argument that stands for standard input.
 const stdinName = "-"
 
-// store opens the object API.
+// store returns a client of the object API at --server.
 func (s *session) store() (objectapi.Store, error) {
 	if s.flags.Server == "" {
 		return nil, &usageError{reason: "--server URL or AUBURNWOOD_SERVER is required"}
@@ -58,7 +58,7 @@
 	return trace.Wrap(w.Flush(), "writing the output")
 }
 
-// documents reads the services of all named files; of standard input for "-".
+// documents reads the services of the named files, and of standard input for "-". Duplicate names become mistakes.
 func (s *session) documents(names []string) ([]Document, error) {
 	if len(names) == 0 {
 		return nil, &usageError{reason: "name at least one file, or - for standard input"}
@@ -78,7 +78,7 @@
 	return all, nil
 }
 
-// read reads the services of one file.
+// read reads the services of one file or of standard input.
 func (s *session) read(name string) ([]Document, error) {
 	if name == stdinName {
 		return ReadDocuments(s.app.Stdin, "standard input")
--- a/pkg/ctl/storedconflicts.go
+++ b/pkg/ctl/storedconflicts.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// markStoredConflicts adds to each document the addresses that a stored service holds. It is a check in advance: the
-// holder of the compile lease decides again, on what is stored then.
+// markStoredConflicts adds a mistake for each address that belongs to a stored service. This is only a preliminary check:
+// the holder of the compile lease validates the services again after they are stored.
 func markStoredConflicts(ctx context.Context, store objectapi.Store, list []Document) error {
 	services, inForce, err := readStored(ctx, store)
 	if err != nil {
@@ -21,7 +21,7 @@
 	merged := make([]resource.VersionedService, 0, len(services)+len(list))
 	for i, d := range list {
 		index[d.Name] = i
-		// The store gives a higher version to what is written than to what is there.
+		// The store assigns each write a higher version than all stored ones.
 		version := math.MaxUint64 - uint64(len(list)-i)
 		merged = append(merged, resource.VersionedService{Service: d.Service, Version: version})
 	}
--- a/pkg/ctl/validate.go
+++ b/pkg/ctl/validate.go
@@ -24,7 +24,7 @@
 	return s.reportDocuments(list)
 }
 
-// markConflicts adds the conflicts among the documents themselves. The document that comes first wins.
+// markConflicts adds the address conflicts among the documents. The earlier document keeps the address.
 func markConflicts(list []Document) {
 	var services []resource.VersionedService
 	index := make(map[string]int, len(list))
@@ -43,7 +43,7 @@
 	}
 }
 
-// reportDocuments writes the mistakes of all documents and returns an error when there are any.
+// reportDocuments writes the result of each document and returns an error when any has mistakes.
 func (s *session) reportDocuments(list []Document) error {
 	wrong := 0
 	for _, d := range list {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// writeDocuments writes one line for each mistake, and one for each document without.
+// writeDocuments writes one line for each mistake, and one for each document without mistakes.
 func (s *session) writeDocuments(list []Document) error {
 	if s.json() {
 		return s.writeJSON(list)
--- a/pkg/ctl/wait.go
+++ b/pkg/ctl/wait.go
@@ -15,16 +15,16 @@
 
 // waiter follows the status of services until each is in force or rejected.
 type waiter struct {
-	// want has the object version of each service that is waited for.
+	// want has the object version of each service that is still awaited.
 	want map[string]uint64
-	// last describes the last status seen of each.
+	// last describes the last seen status of each service.
 	last map[string]string
-	// failed has the reason of each service that is not accepted, or may be lost.
+	// failed has the reason for each service that was rejected or may have been lost.
 	failed []string
 }
 
-// waitInForce waits until the services are in force at their versions on every known balancer. It returns an error when
-// one of them is rejected, or when the context ends before.
+// waitInForce waits until the services are in force at their versions or newer on every known balancer. It returns an
+// error when one of them is rejected, may have been lost, or is not in force when the context ends.
 func waitInForce(ctx context.Context, store objectapi.Store, want map[string]uint64) error {
 	w := waiter{want: maps.Clone(want), last: make(map[string]string, len(want))}
 	for name := range want {
@@ -43,7 +43,7 @@
 	return w.err()
 }
 
-// observe takes one event.
+// observe updates the waiter with a status event.
 func (w *waiter) observe(e objectapi.Event) {
 	want, ok := w.want[e.Object.Name]
 	if !ok || e.Type != objectapi.EventPut {
@@ -54,7 +54,7 @@
 		return
 	}
 	if objectapi.EraOf(s.Value.ObservedVersion) > objectapi.EraOf(want) {
-		// What is judged is the restored service, or what was written over it.
+		// The status refers to a service restored from an older copy, or to a later write over it.
 		w.failed = append(w.failed, fmt.Sprintf("%s was stored, but the object API came back from an older copy since; get it, and apply it again if it is lost", e.Object.Name))
 		delete(w.want, e.Object.Name)
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// err returns what is rejected or was not in force in time.
+// err returns an error that lists the services that failed or were not in force in time, or nil.
 func (w *waiter) err() error {
 	lines := slices.Sorted(slices.Values(w.failed))
 	for _, name := range slices.Sorted(maps.Keys(w.want)) {
--- a/pkg/ctl/wait_test.go
+++ b/pkg/ctl/wait_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// waiterAfter returns a waiter for version 45 of the first era after it saw a status of an observed version.
+// waiterAfter returns a waiter for version 45 of era 1 that has observed a status of the given era and version.
 func waiterAfter(t *testing.T, era, observed uint64) *waiter {
 	v := store.Version(era, observed)
 	status := resource.ServiceStatus{ObservedVersion: v, AcceptedVersion: v, InForce: resource.InForce{Adopted: 3, Known: 3}}
--- a/pkg/ctl/watch.go
+++ b/pkg/ctl/watch.go
@@ -39,22 +39,22 @@
 	return f.follow(ctx, store, kind)
 }
 
-// follower prints changes.
+// follower prints changes to the output.
 type follower struct {
 	session *session
 	cancel  context.CancelFunc
-	// name limits the changes to one object; empty means all.
+	// name restricts the changes to one object; empty means all.
 	name string
-	// remaining is the number of lines to go when limited is true.
+	// remaining is the number of lines left to print when limited is true.
 	remaining int
 	limited   bool
-	// services and statuses are what was seen last, by name.
+	// services and statuses have the last seen objects by name.
 	services, statuses map[string]objectapi.Object
-	// err is why the output could not be written.
+	// err is the error of writing the output.
 	err error
 }
 
-// follow prints the changes of a kind until the context ends. Changes of a service's status count as changes of the
+// follow prints the changes of a kind until the context ends. A change of a service's status counts as a change of the
 // service.
 func (f *follower) follow(ctx context.Context, store objectapi.Store, kind objectapi.Kind) error {
 	batches := make(chan []objectapi.Event)
@@ -73,7 +73,7 @@
 	return f.err
 }
 
-// send hands the changes of a kind over.
+// send sends the changes of a kind to out.
 func send(ctx context.Context, store objectapi.Store, kind objectapi.Kind, out chan<- []objectapi.Event) error {
 	return objectapi.WatchKind(ctx, store, kind, objectapi.InformerConfig{}, func(events []objectapi.Event, _ uint64) {
 		select {
@@ -83,7 +83,7 @@
 	})
 }
 
-// print prints changes until the context ends.
+// print prints the changes received from in until the context ends.
 func (f *follower) print(ctx context.Context, kind objectapi.Kind, in <-chan []objectapi.Event) error {
 	for {
 		select {
@@ -97,7 +97,7 @@
 	}
 }
 
-// event prints one change.
+// event prints one change, unless it is filtered out.
 func (f *follower) event(kind objectapi.Kind, e objectapi.Event) {
 	if f.limited && f.remaining == 0 || f.name != "" && f.name != e.Object.Name {
 		return
@@ -138,7 +138,7 @@
 	Object any                 `json:"object"`
 }
 
-// line writes one change as a line.
+// line writes one change as JSON or as columns, and stops the watch after the last line.
 func (f *follower) line(t objectapi.EventType, object any, columns []string) {
 	out := strings.Join(columns, "  ")
 	if f.session.json() {
@@ -159,7 +159,7 @@
 	}
 }
 
-// stop ends the watch.
+// stop ends the watch with an error, or nil.
 func (f *follower) stop(err error) {
 	f.err = err
 	f.cancel()
