--- a/pkg/telemetry/capabilities.go
+++ b/pkg/telemetry/capabilities.go
@@ -1,10 +1,8 @@
 package telemetry
 
-// capabilities says that the Reporter reports with tags.
+// capabilities declares that the Reporter reports and supports tags.
 type capabilities struct{}
 
-// Reporting implements tally.Capabilities.
 func (capabilities) Reporting() bool { return true }
 
-// Tagging implements tally.Capabilities.
 func (capabilities) Tagging() bool { return true }
--- a/pkg/telemetry/daemon.go
+++ b/pkg/telemetry/daemon.go
@@ -19,42 +19,40 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// Settings is what every daemon's settings hold.
+// Settings is implemented by the settings of every daemon.
 type Settings interface {
-	// ProcessSettings returns the keys that name the process.
+	// ProcessSettings returns the keys that identify the process.
 	ProcessSettings() settings.Process
-	// LogSettings returns the log section.
 	LogSettings() settings.Log
 }
 
-// Env is what a daemon gets besides its settings.
+// Env has the dependencies that a daemon gets besides its settings.
 type Env struct {
-	// Log is the daemon's logger.
 	Log zerolog.Logger
 	// Scope is the root scope of the daemon's metrics.
 	Scope tally.Scope
-	// Status takes the function that describes the daemon's state.
+	// Status receives the function that describes the daemon's state.
 	Status *Status
 }
 
-// Daemon describes a daemon whose settings are an S.
+// Daemon describes a daemon with settings of type S.
 type Daemon[S Settings] struct {
 	// Name is the program's name.
 	Name string
 	// Load reads the settings from a file.
 	Load func(path string) (S, error)
-	// Run runs the daemon. When ctx ends it shuts down gracefully and returns nil.
+	// Run runs the daemon. When ctx ends, it shuts down gracefully and returns nil or context.Canceled.
 	Run func(ctx context.Context, s S, env Env) error
 }
 
-// RunMain runs a daemon with the command line of the process and ends the process with its exit code.
+// RunMain runs a daemon with the command line of the process and exits with its exit code.
 func RunMain[S Settings](d Daemon[S]) {
 	os.Exit(d.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 }
 
 // Main runs a daemon and returns its exit code. The first SIGINT or SIGTERM, or the end of ctx, starts a graceful
-// shutdown; a second signal ends the process at once. SIGHUP reads the settings again. The log goes to stdout and is
-// bounded; mistakes in the command line and the settings go to stderr.
+// shutdown; a second signal terminates the process at once. SIGHUP reloads the settings. The log goes to stdout and is
+// rate-limited; mistakes in the command line and in the settings go to stderr.
 func (d Daemon[S]) Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	f, code, proceed := parseFlags(d.Name, args, stdout, stderr)
 	if !proceed {
@@ -83,7 +81,7 @@
 	return d.run(ctx, s, log, f.Settings)
 }
 
-// settingsMessage returns the mistakes of a settings file, or the reason why it could not be read.
+// settingsMessage returns the mistakes of a settings file, or why it could not be read.
 func settingsMessage(err error) string {
 	var e *settings.Error
 	if errors.As(err, &e) {
@@ -99,7 +97,7 @@
 	stopLogged := make(chan struct{})
 	detach := context.AfterFunc(ctx, func() {
 		defer close(stopLogged)
-		// Without the handler, a second signal ends the process.
+		// Restores the default action, so that a second signal terminates the process.
 		stop()
 		log.Warn().Str("op", "stop").Msg("stopping")
 	})
@@ -109,7 +107,7 @@
 	go d.reload(ctx, hangUp, s, log, path)
 	log.Warn().Str("op", "start").Str("program", d.Name).Str("version", Version()).Msg("starting")
 	err := d.serve(ctx, s, log)
-	// The line that says that the daemon was told to end comes before the one that says that it has.
+	// The line "stopping" must precede the line "stopped".
 	if !detach() {
 		<-stopLogged
 	}
@@ -121,8 +119,8 @@
 	return ExitOK
 }
 
-// reload reads the settings again at each signal. The level of the log is taken over at once; other keys need a restart,
-// and a line says which file has changed. A file with mistakes changes nothing.
+// reload reads the settings again at each signal. The log level takes effect at once; other keys need a restart, and the
+// log line states whether any has changed. A file with mistakes changes nothing.
 func (d Daemon[S]) reload(ctx context.Context, hangUp <-chan os.Signal, inForce S, log zerolog.Logger, path string) {
 	for {
 		select {
@@ -132,26 +130,26 @@
 		}
 		next, err := d.Load(path)
 		if err != nil {
-			log.Error().Str("op", "reload").Str("file", path).Str("mistakes", settingsMessage(err)).Msg("the settings in force stay")
+			log.Error().Str("op", "reload").Str("file", path).Str("mistakes", settingsMessage(err)).Msg("settings not reloaded; the previous settings remain in force")
 			continue
 		}
 		d.setLevel(next, log)
 		log.Warn().Str("op", "reload").Str("file", path).Str("level", next.LogSettings().Level).
-			Bool("restart_needed", withoutLog(next) != withoutLog(inForce)).Msg("settings were read again")
+			Bool("restart_needed", withoutLog(next) != withoutLog(inForce)).Msg("settings reloaded")
 	}
 }
 
-// setLevel takes the level of the settings into force for the whole process.
+// setLevel applies the log level of the settings to the whole process.
 func (d Daemon[S]) setLevel(s S, log zerolog.Logger) {
 	level, err := zerolog.ParseLevel(s.LogSettings().Level)
 	if err != nil {
-		log.Error().Err(err).Str("op", "reload").Msg("the log's level stays")
+		log.Error().Err(err).Str("op", "reload").Msg("log level unchanged")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
 }
 
-// withoutLog returns a copy of the settings without their log section, as text.
+// withoutLog returns the settings without their log section as text, for comparison.
 func withoutLog(s any) string {
 	v := reflect.New(reflect.TypeOf(s)).Elem()
 	v.Set(reflect.ValueOf(s))
@@ -161,7 +159,7 @@
 	return fmt.Sprintf("%+v", v.Interface())
 }
 
-// serve runs the daemon and, where it is switched on, the status listener.
+// serve runs the daemon and, if configured, the status listener.
 func (d Daemon[S]) serve(ctx context.Context, s S, log zerolog.Logger) error {
 	p := s.ProcessSettings()
 	r := NewReporter()
@@ -193,8 +191,8 @@
 	}
 }
 
-// serveStatus serves h on address; an empty address switches it off. The status stays readable while the daemon shuts
-// down, until the returned function is called.
+// serveStatus serves h on address; an empty address disables it. The status remains available during a graceful
+// shutdown, until the returned function is called.
 func serveStatus(ctx context.Context, address string, h http.Handler, log zerolog.Logger) (func(), error) {
 	if address == "" {
 		return func() {}, nil
@@ -203,13 +201,13 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "listening for status on %s", address)
 	}
-	log.Warn().Str("op", "listen").Str("status_address", l.Addr().String()).Msg("status is served")
+	log.Warn().Str("op", "listen").Str("status_address", l.Addr().String()).Msg("serving status")
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if err := serve(ctx, l, h); err != nil {
-			log.Error().Str("op", "listen").Err(err).Msg("status is not served any more")
+			log.Error().Str("op", "listen").Err(err).Msg("status listener failed")
 		}
 	}()
 	return func() {
--- a/pkg/telemetry/daemon_test.go
+++ b/pkg/telemetry/daemon_test.go
@@ -22,7 +22,7 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// agentFile writes settings of an agent with the given extra text and returns the path.
+// agentFile writes a valid settings file of an agent, followed by top, and returns its path.
 func agentFile(t *testing.T, top string) string {
 	t.Helper()
 	text := `name = "a1"
@@ -39,7 +39,6 @@
 	return path
 }
 
-// daemon returns a daemon that runs f.
 func daemon(f func(context.Context, settings.Agent, Env) error) Daemon[settings.Agent] {
 	return Daemon[settings.Agent]{Name: "auburnwood-agent", Load: settings.LoadAgent, Run: f}
 }
@@ -85,7 +84,7 @@
 		addr = statusAddress(t, &out)
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 		<-ctx.Done()
-		// The status is still readable in a graceful shutdown.
+		// The status must remain available during a graceful shutdown.
 		var a statusAnswer
 		require.NoError(t, json.Unmarshal(get(t, "http://"+addr+PathStatus), &a))
 		require.Equal(t, "a1", a.Process)
@@ -97,11 +96,11 @@
 	_, err := http.Get("http://" + addr + PathStatus)
 	require.Error(t, err)
 	begun, ended := strings.Index(out.String(), `"stopping"`), strings.Index(out.String(), `"stopped"`)
-	require.Positive(t, begun, "the log says when the end began")
+	require.Positive(t, begun, "the log has no line \"stopping\"")
 	require.Greater(t, ended, begun)
 }
 
-// get returns the body of an answer 200.
+// get returns the body of a response with status 200.
 func get(t *testing.T, url string) []byte {
 	t.Helper()
 	a, err := http.Get(url)
@@ -113,13 +112,13 @@
 	return b
 }
 
-// statusAddress finds the address of the status listener in a log.
+// statusAddress waits for the address of the status listener in the log.
 func statusAddress(t *testing.T, log *lockedBuffer) string {
 	t.Helper()
 	return waitFor(t, log, `"status_address":"([^"]+)"`)
 }
 
-// waitFor returns the group of the pattern once the log holds it; the log is written by a goroutine of its own.
+// waitFor waits until the log, which another goroutine writes, matches the pattern and returns its first group.
 func waitFor(t *testing.T, log *lockedBuffer, pattern string) string {
 	t.Helper()
 	var m []string
@@ -130,7 +129,7 @@
 	return m[1]
 }
 
-// SIGHUP must not end the daemon; the new level is in force, a file with mistakes changes nothing.
+// SIGHUP must not terminate the daemon: a valid file changes the log level, a file with mistakes changes nothing.
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	path := agentFile(t, "")
@@ -155,7 +154,7 @@
 	require.NotContains(t, out.String(), "not written any more")
 }
 
-// lockedBuffer is a buffer that several goroutines write and read.
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/pkg/telemetry/doc.go
+++ b/pkg/telemetry/doc.go
@@ -1,3 +1,3 @@
-// Package telemetry makes the logger and the metrics scope of a daemon, serves its metrics and status over HTTP, and
-// runs its main function.
+// Package telemetry creates the logger and the metrics scope of a daemon, serves its metrics and status over HTTP, and
+// implements its main function.
 package telemetry
--- a/pkg/telemetry/flags.go
+++ b/pkg/telemetry/flags.go
@@ -16,7 +16,7 @@
 	Version   bool   `long:"version" description:"Print the version and exit"`
 }
 
-// parseFlags reads the command line. It reports whether the program is to go on; if not, code is its exit code.
+// parseFlags parses the command line. When proceed is false, the program must exit with code.
 func parseFlags(name string, args []string, stdout, stderr io.Writer) (f daemonFlags, code int, proceed bool) {
 	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	p.Usage = "--settings FILE [options]"
--- a/pkg/telemetry/handler.go
+++ b/pkg/telemetry/handler.go
@@ -13,14 +13,14 @@
 
 // statusAnswer is the JSON document at PathStatus.
 type statusAnswer struct {
-	// Program and Version name the build.
+	// Program and Version identify the build.
 	Program string `json:"program"`
 	Version string `json:"version"`
 	// Process, Region and DataCentre come from the settings.
 	Process    string `json:"process"`
 	Region     string `json:"region"`
 	DataCentre string `json:"dataCentre"`
-	// State is what the daemon's status function returns.
+	// State is the result of the daemon's status function.
 	State any `json:"state"`
 }
 
--- a/pkg/telemetry/log_writer.go
+++ b/pkg/telemetry/log_writer.go
@@ -11,25 +11,26 @@
 
 // Bounds of a daemon's log.
 const (
-	// RoutineLinesPerSecond and RoutineBurst bound the lines of level info and below: a line costs about 3 us, so that at
-	// the bound logging takes a thousandth of a processor.
+	// RoutineLinesPerSecond and RoutineBurst limit the lines of level info and below. A line costs about 3 us, so logging
+	// at this rate takes about 0.1 % of a CPU.
 	RoutineLinesPerSecond = 400
 	RoutineBurst          = 800
-	// ImportantLinesPerSecond and ImportantBurst bound the lines of warnings and errors, which refusals, changes of belief and
-	// dependencies have. Anybody can send packets that have to be refused; at the bound logging takes about one hundredth of a
-	// processor. A change of every agent of a large data centre fits into the burst.
+	// ImportantLinesPerSecond and ImportantBurst limit the lines of warnings and errors, such as refusals and state changes
+	// of agents and dependencies. Anyone can send packets that must be refused; logging at this rate takes about 1 % of a
+	// CPU. The burst has room for a state change of every agent of a large data centre.
 	ImportantLinesPerSecond = 2000
 	ImportantBurst          = 4000
-	// logQueue is the number of lines that wait for the output; routine lines may take half of it.
+	// logQueue is the capacity of the output queue in lines; routine lines may use half of it.
 	logQueue = 4096
-	// flushTime bounds the writing of what is left when the daemon ends.
+	// flushTime is the maximum time for writing the queued lines when the daemon exits.
 	flushTime = 500 * time.Millisecond
-	// droppedInterval is the least time between two lines that count what was dropped.
+	// droppedInterval is the minimum time between two reports of dropped lines.
 	droppedInterval = time.Second
 )
 
-// LogWriter writes log lines from a goroutine of its own, so that a slow or stuck reader of the output blocks nobody. Lines
-// that do not fit are counted, by whether they are routine, and the count is logged as soon as a line can be written again.
+// LogWriter writes log lines from a goroutine of its own, so that a slow or stuck reader of the output does not block the
+// daemon. Lines that exceed the rate or the queue are dropped and counted, routine and other lines separately, and the
+// counts are logged once a line can be written again.
 type LogWriter struct {
 	lines chan []byte
 	done  chan struct{}
@@ -44,7 +45,7 @@
 
 var _ zerolog.LevelWriter = (*LogWriter)(nil)
 
-// NewLogWriter starts writing to w.
+// NewLogWriter returns a LogWriter that writes to w. The caller must Close it.
 func NewLogWriter(w io.Writer) *LogWriter {
 	l := &LogWriter{
 		lines:     make(chan []byte, logQueue),
@@ -57,7 +58,7 @@
 	return l
 }
 
-// Write implements io.Writer; lines without a level are not routine.
+// Write implements io.Writer. Lines without a level count as warnings.
 func (l *LogWriter) Write(p []byte) (int, error) {
 	return l.WriteLevel(zerolog.WarnLevel, p)
 }
@@ -85,7 +86,7 @@
 	l.droppedImportant.Add(1)
 }
 
-// allow reports whether a line may be written now.
+// allow reports whether a line is within the rate limit and the queue limit for routine lines.
 func (l *LogWriter) allow(routine bool) bool {
 	if routine && len(l.lines) >= logQueue/2 {
 		return false
@@ -96,12 +97,12 @@
 	return l.important.AllowN(l.now(), 1)
 }
 
-// Dropped returns the numbers of lines that were left out since the start: routine ones and others.
+// Dropped returns the numbers of lines dropped since the start: routine lines and others.
 func (l *LogWriter) Dropped() (routine, important uint64) {
 	return l.droppedRoutine.Load(), l.droppedImportant.Load()
 }
 
-// Close writes what is left, for flushTime at most. Nothing may be written afterwards.
+// Close waits for the queued lines to be written, for at most flushTime. Nothing may be written after Close.
 func (l *LogWriter) Close() {
 	close(l.lines)
 	select {
@@ -123,14 +124,14 @@
 	r.report(l)
 }
 
-// dropReport logs how many lines were left out.
+// dropReport logs the numbers of dropped lines.
 type dropReport struct {
 	log        zerolog.Logger
 	reported   uint64
 	reportedAt time.Time
 }
 
-// report writes the counts when they have changed.
+// report logs the counts if they have changed since the last report.
 func (r *dropReport) report(l *LogWriter) {
 	routine, important := l.Dropped()
 	if routine+important == r.reported {
@@ -138,5 +139,5 @@
 	}
 	r.reported, r.reportedAt = routine+important, l.now()
 	r.log.Warn().Str("op", "log").Uint64("dropped_routine", routine).Uint64("dropped_important", important).
-		Msg("lines were left out since the start")
+		Msg("log lines dropped since the start")
 }
--- a/pkg/telemetry/log_writer_test.go
+++ b/pkg/telemetry/log_writer_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A pipe that nobody reads must not block the daemon, and what is left out is counted.
+// A pipe without a reader must not block the daemon, and dropped lines must be counted.
 func TestStuckReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
@@ -27,9 +27,9 @@
 		log.Info().Str("op", "placed").Int("n", i).Msg("flow")
 	}
 	routine, important := l.Dropped()
-	require.Positive(t, important, "the queue is full")
+	require.Positive(t, important, "no important line was dropped")
 	require.Positive(t, routine)
-	require.LessOrEqual(t, uint64(lines)-important, uint64(logQueue+1000), "what is kept is bounded")
+	require.LessOrEqual(t, uint64(lines)-important, uint64(logQueue+1000), "more lines were kept than the queue holds")
 }
 
 func TestRoutineLinesAreLimitedSeparately(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Whatever comes in, a second's lines are bounded, and each line that is left out is counted.
+// A flood of important lines is limited, and every dropped line is counted.
 func TestImportantLinesAreLimitedAndDropsCounted(t *testing.T) {
 	var out lockedBuffer
 	l := NewLogWriter(&out)
--- a/pkg/telemetry/logger.go
+++ b/pkg/telemetry/logger.go
@@ -10,14 +10,14 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// Names of the log fields that every line of a daemon carries.
+// Names of the fields of every log line of a daemon.
 const (
 	FieldProcess    = "process"
 	FieldDataCentre = "dc"
 )
 
-// NewLogger returns a logger that writes to w. Each line carries the time in milliseconds, the process and its data
-// centre. It returns an error for a level that zerolog does not know.
+// NewLogger returns a logger that writes to w. Each line has the time in milliseconds, the process and its data centre.
+// It returns an error for a level that zerolog does not know.
 func NewLogger(w io.Writer, l settings.Log, p settings.Process) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(l.Level)
 	if err != nil {
@@ -33,7 +33,7 @@
 // timeFormat is RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// timestamp adds the time to each line without changing zerolog's global time format.
+// timestamp is a hook that adds the time to each line without changing zerolog's global time format.
 type timestamp struct{}
 
 // Run implements zerolog.Hook.
--- a/pkg/telemetry/logger_bench_test.go
+++ b/pkg/telemetry/logger_bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// BenchmarkLogLine measures a line of the kind that each placement writes.
+// BenchmarkLogLine measures a log line like that of a placement.
 func BenchmarkLogLine(b *testing.B) {
 	log, err := NewLogger(io.Discard, settings.DefaultLog(), settings.Process{Name: "balancer-1", DataCentre: "dc"})
 	require.NoError(b, err)
--- a/pkg/telemetry/reporter.go
+++ b/pkg/telemetry/reporter.go
@@ -16,15 +16,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// seriesKey names one series of a metric.
+// seriesKey identifies one series of a metric.
 type seriesKey struct {
-	// name is the metric's name.
 	name string
 	// tags are the encoded tags, sorted by name, without braces.
 	tags string
-	// suffix is "" or one of the suffixes of timers and histograms.
+	// suffix is one of the suffixes of timers and histograms; empty for counters and gauges.
 	suffix string
-	// bound is the upper bound of a histogram's bucket.
+	// bound is the upper bound of a histogram bucket.
 	bound float64
 }
 
@@ -38,7 +37,7 @@
 
 // Reporter is a tally.StatsReporter that keeps the values in memory and writes them as text: one line
 // `name{tag="value"} number` for each series, sorted. A timer has the series _count, _sum_seconds and _max_seconds; a
-// histogram has one _bucket series for each upper bound `le`, each with the samples at or below the bound.
+// histogram has one _bucket series for each upper bound `le`, which counts the samples at or below the bound.
 type Reporter struct {
 	mu     sync.Mutex
 	series map[seriesKey]float64
@@ -94,7 +93,6 @@
 	r.add(seriesKey{name: name, tags: encodeTags(tags), suffix: suffixBucket, bound: bound}, float64(n))
 }
 
-// add adds v to a series.
 func (r *Reporter) add(k seriesKey, v float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +121,6 @@
 	return b.Flush()
 }
 
-// snapshot returns a copy of all series.
 func (r *Reporter) snapshot() map[seriesKey]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +141,7 @@
 	return strings.Join(parts, ",")
 }
 
-// withBound adds the tag of a bucket's upper bound.
+// withBound appends the tag `le` of a bucket's upper bound.
 func withBound(tags string, bound float64) string {
 	le := `le="` + number(bound) + `"`
 	if bound == math.MaxFloat64 {
@@ -156,7 +153,7 @@
 	return tags + "," + le
 }
 
-// braces puts tags in braces; no tags give no text.
+// braces encloses tags in braces, unless there are none.
 func braces(tags string) string {
 	if tags == "" {
 		return ""
@@ -164,7 +161,7 @@
 	return "{" + tags + "}"
 }
 
-// number returns the shortest text of v.
+// number returns the shortest text that parses back to v.
 func number(v float64) string {
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
--- a/pkg/telemetry/server.go
+++ b/pkg/telemetry/server.go
@@ -10,10 +10,10 @@
 	"github.com/gravitational/trace"
 )
 
-// headerTimeout bounds the reading of a request's header, and the end of open requests at shutdown.
+// headerTimeout is the timeout for reading a request's header, and for open requests at shutdown.
 const headerTimeout = 2 * time.Second
 
-// serve answers requests on l until ctx ends.
+// serve serves h on l until ctx ends.
 func serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() {
--- a/pkg/telemetry/status.go
+++ b/pkg/telemetry/status.go
@@ -7,12 +7,12 @@
 	f atomic.Pointer[func() any]
 }
 
-// Set sets the function. It is called at each request, from any goroutine; its result is written as JSON.
+// Set sets the function. It is called for each request, from any goroutine, and its result is encoded as JSON.
 func (s *Status) Set(f func() any) {
 	s.f.Store(&f)
 }
 
-// value returns the state, or nil before Set.
+// value returns the state, or nil before the first call of Set.
 func (s *Status) value() any {
 	f := s.f.Load()
 	if f == nil {
--- a/pkg/telemetry/version.go
+++ b/pkg/telemetry/version.go
@@ -5,7 +5,7 @@
 // unknownVersion is the version of a build without build information.
 const unknownVersion = "unknown"
 
-// Version returns the module version of the build, with the commit when the build knows it.
+// Version returns the module version of the build, followed by the commit if it was recorded in the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
