--- a/pkg/netstack/accept.go
+++ b/pkg/netstack/accept.go
@@ -13,8 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// ConnRequest is a caller's opening TCP segment that waits for an answer. Exactly one of Accept, Reject and Ignore must be
-// called.
+// ConnRequest is a caller's SYN that has not been answered. Exactly one of Accept, Reject and Ignore must be called.
 type ConnRequest struct {
 	// Key is the five-tuple, seen from the caller.
 	Key     flow.Key
@@ -22,7 +21,7 @@
 	request *tcp.ForwarderRequest
 }
 
-// Accept completes the handshake, which blocks until the caller answers. The connection is a *Conn.
+// Accept completes the handshake and blocks until the caller has answered. The connection is a *Conn.
 func (a ConnRequest) Accept() (net.Conn, error) {
 	var queue waiter.Queue
 	id := a.request.ID()
@@ -41,11 +40,11 @@
 // Reject answers the caller with a reset.
 func (a ConnRequest) Reject() { a.request.Complete(true) }
 
-// Ignore leaves the caller without an answer; its TCP sends the segment again.
+// Ignore sends no answer; the caller retransmits the SYN.
 func (a ConnRequest) Ignore() { a.request.Complete(false) }
 
-// AcceptTCP sets the handler of opening TCP segments that belong to no connection. Each call of the handler has its own
-// goroutine; a segment that comes again while its handler runs is ignored.
+// AcceptTCP sets the handler of SYNs that belong to no connection. Each call of the handler has its own goroutine; a
+// retransmitted SYN is ignored until the handler has answered.
 func (s *Stack) AcceptTCP(handler func(ConnRequest)) {
 	f := tcp.NewForwarder(s.stack, s.config.Buffer, maxInFlight, func(r *tcp.ForwarderRequest) {
 		handler(ConnRequest{Key: keyOf(r.ID(), flow.ProtocolTCP), stack: s, request: r})
@@ -53,8 +52,8 @@
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, f.HandlePacket)
 }
 
-// HandleUDP sets the handler of UDP datagrams that belong to no socket. The handler gets a socket connected to the
-// caller, with the first datagram in it, and must close it in the end. It runs within Inject and must not block.
+// HandleUDP sets the handler of UDP datagrams that belong to no socket. The handler receives a socket connected to the
+// caller, with the first datagram queued, and must close it eventually. It runs within Inject and must not block.
 func (s *Stack) HandleUDP(handler func(key flow.Key, conn net.Conn)) {
 	f := udp.NewForwarder(s.stack, func(r *udp.ForwarderRequest) bool {
 		var queue waiter.Queue
--- a/pkg/netstack/accepted_conns.go
+++ b/pkg/netstack/accepted_conns.go
@@ -8,8 +8,8 @@
 	"gvisor.dev/gvisor/pkg/tcpip/stack"
 )
 
-// acceptedConns knows the accepted connections, to let a caller open a new one while the old one of the same ports is in
-// TIME-WAIT (RFC 9293, section 3.10.7.4). The stack does that for listeners only, not for its forwarder.
+// acceptedConns tracks the accepted connections, so that a caller can open a new connection while an old one with the
+// same ports is in TIME-WAIT (RFC 9293, section 3.10.7.4). gVisor supports that for listeners, but not for its forwarder.
 type acceptedConns struct {
 	timeWait time.Duration
 	conns    sync.Map
@@ -22,8 +22,8 @@
 
 func (a *acceptedConns) remove(c *Conn) { a.conns.CompareAndDelete(c.id, c) }
 
-// removeWhenClosed forgets a closed connection once nothing of it is left. One that stays in CLOSING would never end by itself; see
-// Conn.WaitClosed.
+// removeWhenClosed removes a connection once its endpoint is closed. It aborts one that stays in CLOSING, which would
+// never end by itself; see Conn.WaitClosed.
 func (a *acceptedConns) removeWhenClosed(c *Conn) {
 	if c.isClosed() {
 		a.remove(c)
@@ -39,7 +39,7 @@
 	})
 }
 
-// abortTimeWait ends the connection in TIME-WAIT, if any, whose ports an opening segment uses.
+// abortTimeWait aborts the connection in TIME-WAIT, if any, with the addresses and ports of a SYN.
 func (a *acceptedConns) abortTimeWait(packet []byte) {
 	source, destination, segment, ok := tcpOf(packet)
 	if !ok || segment.Flags()&(header.TCPFlagSyn|header.TCPFlagAck) != header.TCPFlagSyn {
--- a/pkg/netstack/address.go
+++ b/pkg/netstack/address.go
@@ -34,7 +34,7 @@
 	return netip.AddrPortFrom(ip.Unmap(), port)
 }
 
-// keyOf returns the flow key of an accepted flow; the stack's remote end is the caller.
+// keyOf returns the flow key of an endpoint whose remote end is the caller.
 func keyOf(id stack.TransportEndpointID, protocol uint8) flow.Key {
 	return flow.Key{
 		Source:      addrPort(id.RemoteAddress, id.RemotePort),
--- a/pkg/netstack/closing_test.go
+++ b/pkg/netstack/closing_test.go
@@ -12,7 +12,7 @@
 	"gvisor.dev/gvisor/pkg/tcpip/header"
 )
 
-// reorderer passes packets on, but lets the ACK after a FIN overtake it.
+// reorderer forwards packets, but delays the first FIN until after the next packet.
 type reorderer struct {
 	mu   sync.Mutex
 	held []byte
@@ -34,8 +34,8 @@
 	}
 }
 
-// closeBoth closes both sides at once and returns the server's side. The server's FIN is acknowledged before the caller's
-// FIN comes, whose own acknowledgement is older.
+// closeBoth closes both sides simultaneously and returns the server's side. The server's FIN is acknowledged before the
+// caller's FIN arrives, which has an older acknowledgement number.
 func closeBoth(t *testing.T, timeWait time.Duration) *Conn {
 	t.Helper()
 	var server *Stack
@@ -59,7 +59,7 @@
 	require.NoError(t, conn.Close())
 	require.Eventually(t, o.isHolding, 20*time.Second, time.Millisecond)
 	require.NoError(t, other.CloseWrite())
-	require.Eventually(t, other.inClosing, 20*time.Second, time.Millisecond, "the state that this test is about")
+	require.Eventually(t, other.inClosing, 20*time.Second, time.Millisecond, "the server does not enter CLOSING")
 	_, err = other.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	require.NoError(t, other.Close())
--- a/pkg/netstack/config.go
+++ b/pkg/netstack/config.go
@@ -8,21 +8,21 @@
 
 // Defaults of a stack.
 const (
-	// DefaultMTU is the size of the largest IP packet in bytes (Ethernet's).
+	// DefaultMTU is the MTU of Ethernet in bytes.
 	DefaultMTU = 1500
-	// MinMTU is the smallest MTU that IPv6 allows (RFC 8200).
+	// MinMTU is the minimum MTU of IPv6 (RFC 8200).
 	MinMTU = 1280
-	// MaxMTU leaves room for a datagram's header in one UDP datagram of 65,507 bytes.
+	// MaxMTU leaves room for the encapsulation header in a UDP datagram of at most 65,507 bytes.
 	MaxMTU = 64000
-	// DefaultQueue is the number of packets that wait for Config.Output.
+	// DefaultQueue is the capacity in packets of the queue for Config.Output.
 	DefaultQueue = 8192
-	// DefaultMaxRTO bounds the exponential back-off, so that a flow resumes soon after a path is repaired.
+	// DefaultMaxRTO bounds the exponential back-off, so that a flow resumes soon after a path recovers.
 	DefaultMaxRTO = 2 * time.Second
-	// DefaultUserTimeout ends a connection whose peer acknowledges nothing.
+	// DefaultUserTimeout is the TCP user timeout: a connection ends after that time without acknowledgements.
 	DefaultUserTimeout = 60 * time.Second
-	// DefaultKeepalive is the idle time before, and the time between, keepalive probes.
+	// DefaultKeepalive is the idle time before the first keepalive probe, and the interval between probes.
 	DefaultKeepalive = 60 * time.Second
-	// DefaultTimeWait is how long a closed connection's address pair is kept.
+	// DefaultTimeWait is the duration of TIME-WAIT.
 	DefaultTimeWait = 5 * time.Second
 	// DefaultBuffer is the size of a connection's send and receive buffer in bytes.
 	DefaultBuffer = 1 << 20
@@ -42,19 +42,19 @@
 
 // Config holds a stack's settings.
 type Config struct {
-	// MTU is the size of the largest IP packet in bytes; 0 means DefaultMTU.
+	// MTU is the maximum size of an IP packet in bytes; 0 means DefaultMTU.
 	MTU int
-	// Output takes each packet that the stack sends. It is called from one goroutine and must not keep the slice.
+	// Output is called with each packet that the stack sends. It is called from one goroutine and must not retain the slice.
 	Output func(packet []byte)
 	// Flush is called after the last Output of a batch; it may be nil.
 	Flush func()
-	// Queue is the number of packets that wait for Output; 0 means DefaultQueue. More are lost, as on any link.
+	// Queue is the capacity in packets of the queue for Output; 0 means DefaultQueue. Excess packets are dropped.
 	Queue int
 	// MaxRTO bounds the retransmission timeout; 0 means DefaultMaxRTO.
 	MaxRTO time.Duration
-	// UserTimeout ends a connection whose peer acknowledges nothing; 0 means DefaultUserTimeout.
+	// UserTimeout ends a connection after that time without acknowledgements; 0 means DefaultUserTimeout.
 	UserTimeout time.Duration
-	// TimeWait is how long a closed connection's address pair is kept; 0 means DefaultTimeWait.
+	// TimeWait is the duration of TIME-WAIT; 0 means DefaultTimeWait.
 	TimeWait time.Duration
 	// Buffer is the size of a connection's send and receive buffer in bytes; 0 means DefaultBuffer.
 	Buffer int
--- a/pkg/netstack/conn.go
+++ b/pkg/netstack/conn.go
@@ -12,12 +12,12 @@
 	"gvisor.dev/gvisor/pkg/waiter"
 )
 
-// Conn is a TCP connection of a Stack. It has CloseRead and CloseWrite for half-close.
+// Conn is a TCP connection of a Stack. It supports half-close with CloseRead and CloseWrite.
 type Conn struct {
 	*gonet.TCPConn
 	queue    *waiter.Queue
 	endpoint tcpip.Endpoint
-	// accepted is nil for a connection that was dialled.
+	// accepted is nil for a dialled connection.
 	accepted *acceptedConns
 	id       stack.TransportEndpointID
 }
@@ -26,7 +26,7 @@
 	return &Conn{TCPConn: gonet.NewTCPConn(queue, endpoint), queue: queue, endpoint: endpoint}
 }
 
-// Close closes both ways; the stack still sends what was written.
+// Close closes both directions; the stack still sends the data written before.
 func (c *Conn) Close() error {
 	err := c.TCPConn.Close()
 	if c.accepted != nil {
@@ -35,7 +35,7 @@
 	return err
 }
 
-// WaitReadable waits until Read would not block. It needs no buffer, so that an idle connection holds none.
+// WaitReadable waits until Read would not block. Unlike Read it needs no buffer, so that an idle connection holds none.
 func (c *Conn) WaitReadable() {
 	if c.endpoint.Readiness(waiter.ReadableEvents) != 0 {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// Abort resets the connection: the peer sees a reset and unsent bytes are lost. It may be called at any time, also
-// while other goroutines read and write.
+// Abort resets the connection: the peer receives a reset and unsent bytes are discarded. It is safe to call concurrently
+// with reads and writes.
 func (c *Conn) Abort() {
 	c.endpoint.Abort()
 	if c.accepted != nil {
@@ -58,19 +58,19 @@
 }
 
 const (
-	// closingTime bounds the wait in state CLOSING. It is longer than several retransmissions of a lost FIN.
+	// closingTime bounds the wait in state CLOSING. It allows for several retransmissions of a lost FIN.
 	closingTime = 2 * time.Second
-	// finWaitTime bounds the wait in state FIN-WAIT-2: everything was acknowledged, and the peer may keep its side open
-	// for as long as it likes. It is as long as the wait of a closed connection for late packets.
+	// finWaitTime bounds the wait in state FIN-WAIT-2: everything was acknowledged, but the peer may keep its side open
+	// indefinitely. It equals the default duration of TIME-WAIT.
 	finWaitTime = DefaultTimeWait
 )
 
 // WaitClosed waits until the connection, on which Close or Abort was called, has nothing left to send, or until ctx ends.
-// The stack tells nobody of that state, so that it is polled.
+// It polls, since gVisor sends no notification of that state.
 //
-// When both sides close at once and the peer's ACK overtakes its FIN, the stack takes the FIN's older acknowledgement for
-// the last word and stays in CLOSING for ever, although all was acknowledged. Packets that are sprayed over several ways
-// do overtake each other.
+// When both sides close simultaneously and the peer's ACK overtakes its FIN, gVisor applies the FIN's older
+// acknowledgement number and stays in CLOSING forever, although everything was acknowledged. Packets sprayed over several
+// paths are reordered like that, so the wait in CLOSING is bounded.
 func (c *Conn) WaitClosed(ctx context.Context) {
 	const maxPause = 50 * time.Millisecond
 	pause := time.Millisecond
@@ -96,7 +96,7 @@
 	}
 }
 
-// maxWait bounds the wait in a state in which nothing is left to send.
+// maxWait returns the maximum wait in a state; only CLOSING and FIN-WAIT-2 have a limit.
 func maxWait(s tcp.EndpointState) time.Duration {
 	switch s {
 	case tcp.StateClosing:
@@ -120,7 +120,7 @@
 	return state == tcp.StateClose || state == tcp.StateError
 }
 
-// InTimeWait reports whether the connection is over on both sides and only answers late segments of the peer.
+// InTimeWait reports whether both sides have closed and only late segments of the peer are answered.
 func (c *Conn) InTimeWait() bool {
 	return tcp.EndpointState(c.endpoint.State()) == tcp.StateTimeWait
 }
--- a/pkg/netstack/dial.go
+++ b/pkg/netstack/dial.go
@@ -12,8 +12,8 @@
 	"gvisor.dev/gvisor/pkg/waiter"
 )
 
-// DialTCP opens a TCP connection from local, whose port may be 0, to remote. The connection is a *Conn. The error names
-// both ends; it wraps ctx's error when ctx ends first.
+// DialTCP opens a TCP connection from local, whose port may be 0, to remote. The connection is a *Conn. The error has
+// both addresses; it wraps ctx's error when ctx ends first.
 func (s *Stack) DialTCP(ctx context.Context, local, remote netip.AddrPort) (net.Conn, error) {
 	var queue waiter.Queue
 	endpoint, terr := s.stack.NewEndpoint(tcp.ProtocolNumber, networkOf(remote.Addr()), &queue)
--- a/pkg/netstack/doc.go
+++ b/pkg/netstack/doc.go
@@ -1,4 +1,4 @@
-// Package netstack ends the TCP connections and UDP flows of raw IP packets, on gVisor's TCP/IP stack.
+// Package netstack terminates the TCP connections and UDP flows of raw IP packets with gVisor's TCP/IP stack.
 //
-// Packets come in through Stack.Inject and leave through Config.Output; the package opens no socket itself.
+// Packets enter through Stack.Inject and leave through Config.Output; the package opens no socket.
 package netstack
--- a/pkg/netstack/reset.go
+++ b/pkg/netstack/reset.go
@@ -8,7 +8,7 @@
 const resetTTL = 64
 
 // Reset returns the IP packet that answers the TCP packet offending with a reset (RFC 9293, section 3.10.7.1). It
-// returns false when offending is no whole TCP segment or is itself a reset, which must not be answered.
+// returns false when offending is not a complete TCP segment, or is a reset, which must not be answered.
 func Reset(offending []byte) ([]byte, bool) {
 	source, destination, segment, ok := tcpOf(offending)
 	if !ok || segment.Flags().Contains(header.TCPFlagRst) {
--- a/pkg/netstack/stack.go
+++ b/pkg/netstack/stack.go
@@ -22,7 +22,7 @@
 	config Config
 	stack  *stack.Stack
 	link   *channel.Endpoint
-	// accepted knows the connections that callers opened.
+	// accepted tracks the connections that callers opened.
 	accepted acceptedConns
 	closed   atomic.Bool
 	cancel   context.CancelFunc
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Inject gives one raw IP packet to the stack, which copies it. A packet that is not valid IPv4 or IPv6 is ignored;
-// Inject returns false for it.
+// Inject passes one raw IP packet to the stack, which copies it. It returns false, and ignores the packet, when the packet
+// is not valid IPv4 or IPv6 or the stack is closed.
 func (s *Stack) Inject(packet []byte) bool {
 	if s.closed.Load() {
 		return false
@@ -149,7 +149,7 @@
 	return scratch
 }
 
-// Close ends every connection at once and sends nothing, as if the VM were gone. It waits for the stack's goroutines.
+// Close drops every connection without sending anything, as if the VM had failed. It waits for the stack's goroutines.
 func (s *Stack) Close() {
 	if s.closed.Swap(true) {
 		return
--- a/pkg/netstack/stack_test.go
+++ b/pkg/netstack/stack_test.go
@@ -17,7 +17,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// pair returns a caller's and a server's stack that are joined back to back.
+// pair returns a caller's and a server's stack connected back to back.
 func pair(t testing.TB, mtu int) (caller, server *Stack) {
 	var err error
 	caller, err = New(Config{MTU: mtu, Output: func(p []byte) { server.Inject(p) }})
@@ -105,7 +105,7 @@
 	require.ErrorContains(t, err, "reset")
 }
 
-// TestPortsAreReusedInTimeWait opens a connection from the port of one that the server has closed first.
+// TestPortsAreReusedInTimeWait opens connections from a port whose previous connection the server closed first.
 func TestPortsAreReusedInTimeWait(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
 	server.AcceptTCP(func(a ConnRequest) {
@@ -163,7 +163,7 @@
 	_, err = conn.Read(make([]byte, 1))
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
-	require.True(t, timeout.Timeout(), "a killed stack must look like a lost VM, not like a reset")
+	require.True(t, timeout.Timeout(), "the caller of a closed stack must time out, as with a failed VM")
 }
 
 func TestConfigMistakes(t *testing.T) {
@@ -173,7 +173,7 @@
 	require.ErrorContains(t, err, "MTU")
 }
 
-// TestResetIsAcceptedByTheStack sends opening and later segments to a port whose only answer is Reset.
+// TestResetIsAcceptedByTheStack dials an address that answers every segment with Reset.
 func TestResetIsAcceptedByTheStack(t *testing.T) {
 	for _, e := range ends {
 		t.Run(e.name, func(t *testing.T) {
