--- a/pkg/errqueue/errqueue.go
+++ b/pkg/errqueue/errqueue.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// oobSize holds the control messages of one entry, in bytes.
+// oobSize is the buffer size in bytes for the control messages of one entry.
 const oobSize = 512
 
-// Enable asks the kernel to keep the addresses of hosts that refuse a datagram of the socket. It is an improvement only,
-// so errors are ignored.
+// Enable makes the kernel record the addresses of hosts that refuse a datagram of the socket. The socket works without
+// it, so errors are ignored.
 func Enable(conn *net.UDPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -23,7 +23,7 @@
 	})
 }
 
-// Drain empties the socket's error queue and calls refused with the receiver of each refused datagram.
+// Drain empties the socket's error queue and calls refused with the destination of each refused datagram.
 func Drain(conn *net.UDPConn, refused func(to netip.AddrPort)) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -35,7 +35,7 @@
 	})
 }
 
-// drainOne handles one entry; it returns false when the queue is empty.
+// drainOne reads one entry and calls refused for it. It returns false when the queue is empty or cannot be read.
 func drainOne(fd int, refused func(to netip.AddrPort)) bool {
 	var payload [1]byte
 	var oob [oobSize]byte
--- a/pkg/packet/doc.go
+++ b/pkg/packet/doc.go
@@ -1,4 +1,4 @@
-// Package packet reads the flow key and the TCP flags of a raw IP packet with the header package of gVisor.
+// Package packet parses the flow key and the TCP flags of a raw IP packet with gVisor's header package.
 //
-// It accepts IPv4 and IPv6 packets that carry a whole TCP or UDP header. It allocates nothing and changes no byte.
+// It accepts IPv4 and IPv6 packets with a complete TCP or UDP header. It does not allocate or modify the packet.
 package packet
--- a/pkg/packet/info.go
+++ b/pkg/packet/info.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnwood/auburnwood/pkg/flow"
 
-// Info is what the packet path needs to know of a packet.
+// Info has the properties of a packet that the packet path uses.
 type Info struct {
 	// Key is the five-tuple, seen from the caller.
 	Key flow.Key
@@ -12,6 +12,6 @@
 	Reset bool
 	// Finish is true when the TCP FIN flag is set.
 	Finish bool
-	// Length is the packet's length in bytes as its IP header states it; bytes after it are padding.
+	// Length is the packet's length in bytes according to its IP header; bytes beyond it are padding.
 	Length int
 }
--- a/pkg/packet/parse.go
+++ b/pkg/packet/parse.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Parse reads the headers of the IP packet b. The error is always an Error.
+// Parse parses the headers of the IP packet b. The error is always an Error.
 func Parse(b []byte) (Info, error) {
 	switch header.IPVersion(b) {
 	case header.IPv4Version:
--- a/pkg/packet/parse_test.go
+++ b/pkg/packet/parse_test.go
@@ -17,7 +17,7 @@
 	servicePort = 443
 )
 
-// ipv4 returns a packet with the transport header in it.
+// ipv4 returns an IPv4 packet with the given payload.
 func ipv4(protocol uint8, transport []byte) []byte {
 	b := make([]byte, header.IPv4MinimumSize+len(transport))
 	ip := header.IPv4(b)
--- a/pkg/wait/wait.go
+++ b/pkg/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or the end of a context, whichever comes first.
+// Package wait sleeps until a duration has passed or a context has ended.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d. The error is that of the context when it ends first, or had ended before; a time of 0 or less does not wait.
+// For waits for d, or until ctx ends, in which case it returns ctx.Err(). It does not wait when d is 0 or less or ctx has
+// already ended.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/pkg/wait/wait_test.go
+++ b/pkg/wait/wait_test.go
@@ -16,12 +16,12 @@
 		waited       time.Duration
 		endedByClock bool
 	}{
-		{"the time comes first", time.Second, time.Minute, time.Second, true},
+		{"the duration passes first", time.Second, time.Minute, time.Second, true},
 		{"the context ends first", time.Minute, time.Second, time.Second, false},
-		{"no time", 0, time.Second, 0, true},
-		{"a time in the past", -time.Second, time.Second, 0, true},
+		{"zero duration", 0, time.Second, 0, true},
+		{"negative duration", -time.Second, time.Second, 0, true},
 		{"the context has ended", time.Minute, 0, 0, false},
-		{"the context has ended, and no time", 0, 0, 0, false},
+		{"the context has ended and the duration is zero", 0, 0, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/wire/addr.go
+++ b/pkg/wire/addr.go
@@ -5,10 +5,11 @@
 	"net/netip"
 )
 
-// AddrSize is the number of bytes of an encoded address: 16 of the IP address, 2 of the port.
+// AddrSize is the size of an encoded address in bytes: 16 for the IP address and 2 for the port.
 const AddrSize = 18
 
-// AppendAddr appends the encoding of a to b; an IPv4 address is stored in its IPv6-mapped form.
+// AppendAddr appends the encoding of a to b. IPv4 addresses are encoded as IPv4-mapped IPv6 addresses, ports in
+// big-endian order.
 func AppendAddr(b []byte, a netip.AddrPort) []byte {
 	ip := a.Addr().As16()
 	b = append(b, ip[:]...)
@@ -27,7 +28,7 @@
 // RowLen returns the number of addresses in an encoded row.
 func RowLen(row []byte) int { return len(row) / AddrSize }
 
-// RowAddr returns address i of an encoded row, or false when the row is shorter.
+// RowAddr returns address i of an encoded row, or false when i is out of range.
 func RowAddr(row []byte, i int) (netip.AddrPort, bool) {
 	if i < 0 || i >= RowLen(row) {
 		return netip.AddrPort{}, false
