--- a/pkg/ctl/applier_test.go
+++ b/pkg/ctl/applier_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestApplierLeavesEqualContentAlone(t *testing.T) {
+func TestApplierDoesNotWriteEqualContent(t *testing.T) {
 	s := store.New(store.Config{})
 	value := []byte(`{ "spec": {"preference":"flows", "mode":"stream", "limits":{"connections":1}, "addresses":[{"ip":"10.0.0.1","port":80}]}, "name":"a"}`)
 	o, err := s.Create(t.Context(), resource.KindService, "a", value)
@@ -194,9 +194,9 @@
 	require.Equal(t, ActionConfigured, r.Action)
 }
 
-// TestConcurrentOperators applies different content concurrently while answers are lost. A write reported as stored must
+// TestRacingOperators applies different content concurrently while answers are lost. A write reported as stored must
 // be in the history, and one reported as not stored must not.
-func TestConcurrentOperators(t *testing.T) {
+func TestRacingOperators(t *testing.T) {
 	for seed := range uint64(20) {
 		s := store.New(store.Config{Seed: seed})
 		s.SetFaults(store.Faults{LoseShare: 0.2, DropShare: 0.2, Jitter: 200 * time.Microsecond})
--- a/pkg/ctl/exitcode.go
+++ b/pkg/ctl/exitcode.go
@@ -8,7 +8,7 @@
 
 // Exit codes of auburnwoodctl.
 const (
-	// ExitOK means that everything asked for was done.
+	// ExitOK means that the command did everything requested.
 	ExitOK = 0
 	// ExitFailure means that a call failed, an object does not exist or a wait timed out; no write has an unknown outcome.
 	ExitFailure = 1
--- a/pkg/ctl/session.go
+++ b/pkg/ctl/session.go
@@ -22,7 +22,7 @@
 // outputJSON is the value of --output for JSON.
 const outputJSON = "json"
 
-// stdinName is the argument that stands for standard input.
+// stdinName is the file argument that means standard input.
 const stdinName = "-"
 
 // store returns a client of the object API at --server.
--- a/pkg/errqueue/errqueue_test.go
+++ b/pkg/errqueue/errqueue_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRefusedReceiverIsNamed(t *testing.T) {
+func TestDrainReportsRefusedDestination(t *testing.T) {
 	for network, addr := range map[string]string{"udp4": "127.0.0.1:0", "udp6": "[::1]:0"} {
 		t.Run(network, func(t *testing.T) {
 			listen := func() *net.UDPConn {
--- a/pkg/packet/parse_test.go
+++ b/pkg/packet/parse_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	good := func() []byte { return ipv4(flow.ProtocolTCP, tcp(header.TCPFlagAck)) }
 	edit := func(b []byte, f func(header.IPv4)) []byte {
 		f(header.IPv4(b))
--- a/pkg/resource/condition.go
+++ b/pkg/resource/condition.go
@@ -30,23 +30,23 @@
 
 // Reasons of conditions.
 const (
-	// ReasonAccepted goes with Accepted=true.
+	// ReasonAccepted is set with Accepted=true.
 	ReasonAccepted ConditionReason = "Accepted"
-	// ReasonInvalid goes with Accepted=false: the service failed validation; the message lists the mistakes.
+	// ReasonInvalid is set with Accepted=false: the service failed validation; the message lists the mistakes.
 	ReasonInvalid ConditionReason = "Invalid"
-	// ReasonAddressConflict goes with Accepted=false: an older service holds one of the addresses.
+	// ReasonAddressConflict is set with Accepted=false: an older service holds one of the addresses.
 	ReasonAddressConflict ConditionReason = "AddressConflict"
-	// ReasonUnreadable goes with Accepted=false: the stored value cannot be decoded as a service.
+	// ReasonUnreadable is set with Accepted=false: the stored value cannot be decoded as a service.
 	ReasonUnreadable ConditionReason = "Unreadable"
-	// ReasonAdopted goes with InForce=true.
+	// ReasonAdopted is set with InForce=true.
 	ReasonAdopted ConditionReason = "Adopted"
-	// ReasonSpreading goes with InForce=false: some balancers have not adopted the revision yet.
+	// ReasonSpreading is set with InForce=false: some balancers have not adopted the revision yet.
 	ReasonSpreading ConditionReason = "Spreading"
-	// ReasonObserving goes with RolloutProgressing=true: a step's window has not ended or its gate is undecided.
+	// ReasonObserving is set with RolloutProgressing=true: a step's window has not ended or its gate is undecided.
 	ReasonObserving ConditionReason = "Observing"
-	// ReasonCompleted goes with RolloutProgressing=false: the new version receives every new flow.
+	// ReasonCompleted is set with RolloutProgressing=false: the new version receives every new flow.
 	ReasonCompleted ConditionReason = "Completed"
-	// ReasonRolledBack goes with RolloutProgressing=false: the gate failed and the old version receives every new flow.
+	// ReasonRolledBack is set with RolloutProgressing=false: the gate failed and the old version receives every new flow.
 	ReasonRolledBack ConditionReason = "RolledBack"
 )
 
--- a/pkg/resource/duration.go
+++ b/pkg/resource/duration.go
@@ -14,7 +14,7 @@
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON decodes the duration from text and rejects any other JSON type.
+// UnmarshalJSON decodes the duration from text such as "30s". It returns an error for any other form.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/pkg/resource/validate_test.go
+++ b/pkg/resource/validate_test.go
@@ -140,7 +140,7 @@
 	require.Contains(t, texts(mistakes)[0], "line 2")
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidDocuments(t *testing.T) {
 	for in, want := range map[string]string{
 		"":                       "ends before",
 		`{"revision":1} x`:       "text after",
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestReadServiceSaysWhyAValueIsNoService(t *testing.T) {
+func TestReadServiceReportsUnreadableValues(t *testing.T) {
 	s := ReadService(objectapi.Object{Name: "a", Version: 3, Value: []byte(`{"name":"b"}`)})
 	require.Equal(t, VersionedService{Service: Service{Name: "a"}, Version: 3, Unreadable: "the service's name is b but its object's name is a"}, s)
 	s = ReadService(objectapi.Object{Name: "a", Value: []byte(`{"nam":"b"}`)})
--- a/pkg/settings/agent.go
+++ b/pkg/settings/agent.go
@@ -13,7 +13,7 @@
 	FabricAddress string `toml:"fabric_address"`
 	// TargetAddress is the address at which the target listens. Required.
 	TargetAddress string `toml:"target_address"`
-	// AnnounceAddress is the address of the HTTP listener at which the target announces itself and starts a drain. Required.
+	// AnnounceAddress is the HTTP listener address at which the target announces itself and starts a drain. Required.
 	AnnounceAddress string `toml:"announce_address"`
 	// Balancers are the control addresses of the balancers to contact first; others are discovered. At least one.
 	Balancers []string `toml:"balancers"`
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -141,7 +141,7 @@
 	require.ErrorContains(t, err, path+".missing")
 }
 
-func TestHostileTextIsRefused(t *testing.T) {
+func TestOversizedInputIsRejected(t *testing.T) {
 	// Decoding a key of thousands of parts took minutes.
 	_, err := ParseAgent([]byte(strings.Repeat("a.", 5000) + "a = 1"))
 	require.Contains(t, reasons(t, err), "a.a: is not a known table")
--- a/pkg/telemetry/daemon.go
+++ b/pkg/telemetry/daemon.go
@@ -166,7 +166,7 @@
 	scope, closer := NewScope(r, p)
 	defer func() { _ = closer.Close() }()
 	env := Env{Log: log, Scope: scope, Status: new(Status)}
-	h := newHandler(r, func() statusAnswer { return d.status(p, env.Status) })
+	h := newHandler(r, func() statusResponse { return d.status(p, env.Status) })
 	stopStatus, err := serveStatus(ctx, p.StatusAddress, h, log)
 	if err != nil {
 		return err
@@ -180,8 +180,8 @@
 }
 
 // status returns the answer of /status.
-func (d Daemon[S]) status(p settings.Process, s *Status) statusAnswer {
-	return statusAnswer{
+func (d Daemon[S]) status(p settings.Process, s *Status) statusResponse {
+	return statusResponse{
 		Program:    d.Name,
 		Version:    Version(),
 		Process:    p.Name,
--- a/pkg/telemetry/daemon_test.go
+++ b/pkg/telemetry/daemon_test.go
@@ -85,7 +85,7 @@
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 		<-ctx.Done()
 		// The status must remain available during a graceful shutdown.
-		var a statusAnswer
+		var a statusResponse
 		require.NoError(t, json.Unmarshal(get(t, "http://"+addr+PathStatus), &a))
 		require.Equal(t, "a1", a.Process)
 		require.Equal(t, map[string]any{"revision": 7.0}, a.State)
--- a/pkg/telemetry/handler.go
+++ b/pkg/telemetry/handler.go
@@ -11,8 +11,8 @@
 	PathStatus  = "/status"
 )
 
-// statusAnswer is the JSON document at PathStatus.
-type statusAnswer struct {
+// statusResponse is the JSON document at PathStatus.
+type statusResponse struct {
 	// Program and Version identify the build.
 	Program string `json:"program"`
 	Version string `json:"version"`
@@ -25,7 +25,7 @@
 }
 
 // newHandler serves the metrics as text and the status as JSON.
-func newHandler(r *Reporter, status func() statusAnswer) http.Handler {
+func newHandler(r *Reporter, status func() statusResponse) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/pkg/telemetry/logger_test.go
+++ b/pkg/telemetry/logger_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, map[string]string{"level": "info", "process": "b1", "dc": "dc", "op": "x", "message": "shown"}, line)
 }
 
-func TestLoggerRefusesUnknownLevel(t *testing.T) {
+func TestLoggerRejectsUnknownLevel(t *testing.T) {
 	_, err := NewLogger(&bytes.Buffer{}, settings.Log{Level: "loud"}, settings.Process{})
 	require.ErrorContains(t, err, "loud")
 }
