--- a/pkg/ctl/applier_test.go
+++ b/pkg/ctl/applier_test.go
@@ -28,7 +28,7 @@
 type hookStore struct {
 	objectapi.Store
 	before, after func()
-	// loseAnswer replaces the answer of the write by ErrOutcomeUnknown.
+	// loseAnswer replaces the answer of the write with ErrOutcomeUnknown.
 	loseAnswer bool
 	// writeErr fails the write before it takes effect; readErr fails reads after the write.
 	writeErr, readErr error
