--- a/pkg/agent/stream.go
+++ b/pkg/agent/stream.go
@@ -29,7 +29,7 @@
 
 // serveBytes proxies an opaque byte stream. It dials the target before it accepts the caller's connection, so that a
 // caller gets a reset instead of a handshake when the target is down.
-func (st *stream) serveBytes(in netstack.Accepted) {
+func (st *stream) serveBytes(in netstack.ConnRequest) {
 	target, err := st.a.dialTarget("tcp")
 	if err != nil {
 		st.record(refusal.ReasonTargetRefused, err.Error())
@@ -67,7 +67,7 @@
 }
 
 // serveRequests passes the caller's connection to the request handler.
-func (st *stream) serveRequests(in netstack.Accepted) {
+func (st *stream) serveRequests(in netstack.ConnRequest) {
 	if !st.open(in) {
 		return
 	}
@@ -75,7 +75,7 @@
 	st.a.cfg.RequestHandler.ServeFlow(st.a.ctx, st.caller, st.f.key)
 }
 
-func (st *stream) open(in netstack.Accepted) bool {
+func (st *stream) open(in netstack.ConnRequest) bool {
 	conn, err := in.Accept()
 	if err != nil {
 		st.a.deps.Log.Debug().Str("op", "accept").Uint64("flow", st.f.hash).Err(err).Send()
--- a/pkg/ctl/app_test.go
+++ b/pkg/ctl/app_test.go
@@ -19,30 +19,30 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// desk runs commands against a store.
-type desk struct {
-	t       *testing.T
-	store   *store.Store
-	answer  refusal.QueryResult
-	query   refusal.Query
-	stdin   string
-	out     bytes.Buffer
-	errs    bytes.Buffer
-	clockAt time.Time
+// harness runs commands against an in-memory store.
+type harness struct {
+	t      *testing.T
+	store  *store.Store
+	answer refusal.QueryResult
+	query  refusal.Query
+	stdin  string
+	out    bytes.Buffer
+	errs   bytes.Buffer
+	now    time.Time
 }
 
-func newDesk(t *testing.T) *desk {
-	return &desk{t: t, store: store.New(store.Config{WatchWait: time.Second}), clockAt: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, store: store.New(store.Config{WatchWait: time.Second}), now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)}
 }
 
 // Find implements RefusalReader.
-func (d *desk) Find(_ context.Context, q refusal.Query) (refusal.QueryResult, error) {
+func (d *harness) Find(_ context.Context, q refusal.Query) (refusal.QueryResult, error) {
 	d.query = q
 	return d.answer, nil
 }
 
-// run runs a command and checks its exit code.
-func (d *desk) run(code int, args ...string) string {
+// run runs a command, checks its exit code and returns its standard output.
+func (d *harness) run(code int, args ...string) string {
 	d.t.Helper()
 	d.out.Reset()
 	d.errs.Reset()
@@ -52,7 +52,7 @@
 		Stderr:   &d.errs,
 		Open:     func(Protocol, string, time.Duration) objectapi.Store { return d.store },
 		Refusals: func(objectapi.Store) RefusalReader { return d },
-		Now:      func() time.Time { return d.clockAt },
+		Now:      func() time.Time { return d.now },
 	}
 	got := a.Main(d.t.Context(), append([]string{"--server", "http://api"}, args...))
 	require.Equal(d.t, code, got, "%s\n%s", d.out.String(), d.errs.String())
@@ -71,8 +71,8 @@
 	return path
 }
 
-// accept stores a status that says that the stored version of a service is in force on adopted of 3 balancers.
-func (d *desk) accept(name string, adopted int) {
+// accept stores a status in which the stored version of a service is accepted and in force on adopted of 3 balancers.
+func (d *harness) accept(name string, adopted int) {
 	d.t.Helper()
 	ctx := d.t.Context()
 	o, err := d.store.Get(ctx, resource.KindService, name)
@@ -82,8 +82,8 @@
 	d.putStatus(s)
 }
 
-// putStatus stores a status.
-func (d *desk) putStatus(s resource.ServiceStatus) {
+// putStatus creates or replaces a status.
+func (d *harness) putStatus(s resource.ServiceStatus) {
 	d.t.Helper()
 	ctx := d.t.Context()
 	if old, err := objectapi.GetTyped[resource.ServiceStatus](ctx, d.store, resource.KindServiceStatus, s.Name); err == nil {
@@ -97,7 +97,7 @@
 }
 
 func TestUsageMistakes(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	for _, args := range [][]string{
 		{}, {"nonsense"}, {"--nope"}, {"validate"}, {"validate", "/nonexistent"}, {"apply"}, {"delete"}, {"get", "nonsense"},
 		{"apply", "--retries", "-1", "x"}, {"delete", "--version-is", "1", "a", "b"}, {"watch", "service", "a", "b"},
@@ -114,7 +114,7 @@
 }
 
 func TestValidate(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	require.Contains(t, d.run(ExitOK, "validate", file(t, service("a", "10.0.0.1", 1))), "valid")
 	d.stdin = `{"name":"a","spec":{}} {"name":"a","spce":{}} {"name":`
 	out := d.run(ExitUsage, "validate", "-")
@@ -133,7 +133,7 @@
 }
 
 func TestApplyGetDelete(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	path := file(t, service("a", "10.0.0.1", 1), service("b", "10.0.0.2", 1))
 	require.Contains(t, d.run(ExitOK, "apply", "--dry-run", path), "created (dry run)")
 	require.Zero(t, storedLimit(t, d.store, "a"))
@@ -150,12 +150,12 @@
 	require.Len(t, rows, 2)
 	require.Equal(t, resource.InForce{Adopted: 3, Known: 3}, rows[1].Status.InForce)
 	require.Contains(t, d.run(ExitOK, "get", "service-status"), "service-status  a")
-	// An address in force at another service is refused before anything is written, and an invalid document as well.
+	// An address of another service and an invalid document are each rejected before anything is written.
 	out = d.run(ExitUsage, "apply", file(t, service("c", "10.0.0.9", 1), service("d", "10.0.0.1", 1)))
 	require.Contains(t, out, `spec.addresses[0]: 10.0.0.1:80/tcp belongs to service "a"`)
 	d.run(ExitUsage, "apply", file(t, service("c", "10.0.0.9", 1), service("D", "10.0.0.8", 1)))
 	d.run(ExitFailure, "get", "service", "c")
-	// An address moves from one service to another within one input.
+	// An address can move from one service to another within one input.
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.7", 1), service("d", "10.0.0.1", 1)))
 	d.run(ExitConflict, "delete", "--version-is", "1", "b")
 	require.Contains(t, d.run(ExitOK, "delete", "b"), "deleted")
@@ -167,7 +167,7 @@
 }
 
 func TestApplyWaits(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	path := file(t, service("a", "10.0.0.1", 1))
 	d.run(ExitOK, "apply", path)
 	d.accept("a", 2)
@@ -185,25 +185,25 @@
 }
 
 func TestWaitIgnoresTheStatusOfAnEarlierVersion(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.1", 1)))
 	d.accept("a", 3)
 	changed := file(t, service("a", "10.0.0.1", 2))
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 	require.Contains(t, d.errs.String(), "no status yet")
-	// Rejected at an earlier version, the new one is judged all the same.
+	// A rejection of an earlier version does not apply to the new one.
 	s := resource.ServiceStatus{Name: "a", ObservedVersion: 1}
 	s.SetCondition(resource.Condition{Type: resource.ConditionAccepted, Status: resource.StatusFalse, Reason: resource.ReasonInvalid})
 	d.putStatus(s)
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 	require.Contains(t, d.errs.String(), "no status yet")
-	// Observed, but another version is in force.
+	// The version was observed, but an older one is in force.
 	d.putStatus(resource.ServiceStatus{Name: "a", ObservedVersion: 1000, AcceptedVersion: 1, InForce: resource.InForce{Adopted: 3, Known: 3}})
 	d.run(ExitFailure, "apply", "--wait", "50ms", changed)
 }
 
 func TestWatch(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	d.run(ExitOK, "apply", file(t, service("a", "10.0.0.1", 1), service("b", "10.0.0.2", 1)))
 	require.Equal(t, 2, strings.Count(d.run(ExitOK, "watch", "--count", "2"), "pending"))
 	require.Contains(t, d.run(ExitOK, "watch", "--count", "1", "service", "b"), "put  b")
@@ -215,17 +215,17 @@
 }
 
 func TestExplain(t *testing.T) {
-	d := newDesk(t)
+	d := newHarness(t)
 	require.Contains(t, d.run(ExitOK, "explain", "--caller", "::ffff:192.0.2.7"), "no refusals found")
 	require.Equal(t, netip.MustParsePrefix("192.0.2.7/32"), d.query.Caller)
-	require.Equal(t, d.clockAt, d.query.To)
-	require.Equal(t, d.clockAt.Add(-time.Hour), d.query.From)
+	require.Equal(t, d.now, d.query.To)
+	require.Equal(t, d.now.Add(-time.Hour), d.query.From)
 	d.answer = refusal.QueryResult{Refusals: 3, Records: []refusal.Record{
-		{Time: d.clockAt, Count: 1, Caller: netip.MustParseAddrPort("192.0.2.7:999"), Reason: refusal.ReasonNoTarget, Run: refusal.RunNo, Detail: "none is active"},
-		{Time: d.clockAt, Last: d.clockAt.Add(time.Second), Count: 2, Callers: netip.MustParsePrefix("192.0.2.0/24"), Service: "a", Reason: refusal.ReasonAllFull},
+		{Time: d.now, Count: 1, Caller: netip.MustParseAddrPort("192.0.2.7:999"), Reason: refusal.ReasonNoTarget, Run: refusal.RunNo, Detail: "none is active"},
+		{Time: d.now, Last: d.now.Add(time.Second), Count: 2, Callers: netip.MustParsePrefix("192.0.2.0/24"), Service: "a", Reason: refusal.ReasonAllFull},
 	}}
 	out := d.run(ExitOK, "explain", "--service", "a", "--reason", "no-target", "--id", "x", "--from", "2026-12-01T00:00:00Z", "--to", "2026-12-02T00:00:00Z")
-	require.Equal(t, refusal.Query{Service: "a", Reason: refusal.ReasonNoTarget, ID: "x", From: d.clockAt.Add(-36 * time.Hour), To: d.clockAt.Add(-12 * time.Hour)}, d.query)
+	require.Equal(t, refusal.Query{Service: "a", Reason: refusal.ReasonNoTarget, ID: "x", From: d.now.Add(-36 * time.Hour), To: d.now.Add(-12 * time.Hour)}, d.query)
 	require.Contains(t, out, "none is active")
 	require.Contains(t, out, "192.0.2.0/24")
 	require.Contains(t, out, "3 refusals in 2 records")
--- a/pkg/netstack/accept.go
+++ b/pkg/netstack/accept.go
@@ -13,17 +13,16 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Accepted is a caller's opening TCP segment that waits for an answer. Exactly one of Accept, Reject and Ignore must be
-// called.
-type Accepted struct {
+// ConnRequest is a caller's SYN that has not been answered. Exactly one of Accept, Reject and Ignore must be called.
+type ConnRequest struct {
 	// Key is the five-tuple, seen from the caller.
 	Key     flow.Key
 	stack   *Stack
 	request *tcp.ForwarderRequest
 }
 
-// Accept completes the handshake, which blocks until the caller answers. The connection is a *Conn.
-func (a Accepted) Accept() (net.Conn, error) {
+// Accept completes the handshake and blocks until the caller has answered. The connection is a *Conn.
+func (a ConnRequest) Accept() (net.Conn, error) {
 	var queue waiter.Queue
 	id := a.request.ID()
 	endpoint, terr := a.request.CreateEndpoint(&queue)
@@ -32,29 +31,29 @@
 		return nil, trace.ConnectionProblem(nil, "handshake with caller %v: %s", a.Key.Source, terr)
 	}
 	a.request.Complete(false)
-	a.stack.tune(endpoint)
+	a.stack.setSocketOptions(endpoint)
 	c := newConn(&queue, endpoint)
 	a.stack.accepted.add(c, id)
 	return c, nil
 }
 
 // Reject answers the caller with a reset.
-func (a Accepted) Reject() { a.request.Complete(true) }
+func (a ConnRequest) Reject() { a.request.Complete(true) }
 
-// Ignore leaves the caller without an answer; its TCP sends the segment again.
-func (a Accepted) Ignore() { a.request.Complete(false) }
+// Ignore sends no answer; the caller retransmits the SYN.
+func (a ConnRequest) Ignore() { a.request.Complete(false) }
 
-// AcceptTCP sets the handler of opening TCP segments that belong to no connection. Each call of the handler has its own
-// goroutine; a segment that comes again while its handler runs is ignored.
-func (s *Stack) AcceptTCP(handler func(Accepted)) {
+// AcceptTCP sets the handler of SYNs that belong to no connection. Each call of the handler has its own goroutine; a
+// retransmitted SYN is ignored until the handler has answered.
+func (s *Stack) AcceptTCP(handler func(ConnRequest)) {
 	f := tcp.NewForwarder(s.stack, s.config.Buffer, maxInFlight, func(r *tcp.ForwarderRequest) {
-		handler(Accepted{Key: keyOf(r.ID(), flow.ProtocolTCP), stack: s, request: r})
+		handler(ConnRequest{Key: keyOf(r.ID(), flow.ProtocolTCP), stack: s, request: r})
 	})
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, f.HandlePacket)
 }
 
-// HandleUDP sets the handler of UDP datagrams that belong to no socket. The handler gets a socket connected to the
-// caller, with the first datagram in it, and must close it in the end. It runs within Inject and must not block.
+// HandleUDP sets the handler of UDP datagrams that belong to no socket. The handler receives a socket connected to the
+// caller, with the first datagram queued, and must close it eventually. It runs within Inject and must not block.
 func (s *Stack) HandleUDP(handler func(key flow.Key, conn net.Conn)) {
 	f := udp.NewForwarder(s.stack, func(r *udp.ForwarderRequest) bool {
 		var queue waiter.Queue
--- a/pkg/netstack/stack.go
+++ b/pkg/netstack/stack.go
@@ -22,7 +22,7 @@
 	config Config
 	stack  *stack.Stack
 	link   *channel.Endpoint
-	// accepted knows the connections that callers opened.
+	// accepted tracks the connections that callers opened.
 	accepted acceptedConns
 	closed   atomic.Bool
 	cancel   context.CancelFunc
@@ -42,7 +42,7 @@
 	})
 	s.accepted.timeWait = c.TimeWait
 	s.link = channel.New(c.Queue, uint32(c.MTU), "")
-	if err := s.setUp(); err != nil {
+	if err := s.configure(); err != nil {
 		s.stack.Destroy()
 		return nil, trace.Wrap(err)
 	}
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-func (s *Stack) setUp() error {
+func (s *Stack) configure() error {
 	for _, step := range []func() tcpip.Error{
 		s.setOptions,
 		func() tcpip.Error { return s.stack.CreateNIC(defaultNIC, s.link) },
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Inject gives one raw IP packet to the stack, which copies it. A packet that is not valid IPv4 or IPv6 is ignored;
-// Inject returns false for it.
+// Inject passes one raw IP packet to the stack, which copies it. It returns false, and ignores the packet, when the packet
+// is not valid IPv4 or IPv6 or the stack is closed.
 func (s *Stack) Inject(packet []byte) bool {
 	if s.closed.Load() {
 		return false
@@ -100,7 +100,7 @@
 	if !ok {
 		return false
 	}
-	s.accepted.reopen(packet)
+	s.accepted.abortTimeWait(packet)
 	p := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(packet)})
 	s.link.InjectInbound(number, p)
 	p.DecRef()
@@ -149,7 +149,7 @@
 	return scratch
 }
 
-// Close ends every connection at once and sends nothing, as if the VM were gone. It waits for the stack's goroutines.
+// Close drops every connection without sending anything, as if the VM had failed. It waits for the stack's goroutines.
 func (s *Stack) Close() {
 	if s.closed.Swap(true) {
 		return
--- a/pkg/netstack/stack_test.go
+++ b/pkg/netstack/stack_test.go
@@ -17,7 +17,7 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// pair returns a caller's and a server's stack that are joined back to back.
+// pair returns a caller's and a server's stack connected back to back.
 func pair(t testing.TB, mtu int) (caller, server *Stack) {
 	var err error
 	caller, err = New(Config{MTU: mtu, Output: func(p []byte) { server.Inject(p) }})
@@ -38,7 +38,7 @@
 }
 
 func echo(t testing.TB, s *Stack) {
-	s.AcceptTCP(func(a Accepted) {
+	s.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			return
@@ -77,7 +77,7 @@
 func TestRejectAnswersWithReset(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
 	keys := make(chan flow.Key, 1)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		keys <- a.Key
 		a.Reject()
 	})
@@ -89,7 +89,7 @@
 
 func TestAbortResetsPeer(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err != nil {
 			return
@@ -105,10 +105,10 @@
 	require.ErrorContains(t, err, "reset")
 }
 
-// TestPortsAreReusedInTimeWait opens a connection from the port of one that the server has closed first.
+// TestPortsAreReusedInTimeWait opens connections from a port whose previous connection the server closed first.
 func TestPortsAreReusedInTimeWait(t *testing.T) {
 	caller, server := pair(t, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err == nil {
 			_ = conn.Close()
@@ -163,7 +163,7 @@
 	_, err = conn.Read(make([]byte, 1))
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
-	require.True(t, timeout.Timeout(), "a killed stack must look like a lost VM, not like a reset")
+	require.True(t, timeout.Timeout(), "the caller of a closed stack must time out, as with a failed VM")
 }
 
 func TestConfigMistakes(t *testing.T) {
@@ -173,8 +173,8 @@
 	require.ErrorContains(t, err, "MTU")
 }
 
-// TestResetIsTakenByTheStack sends opening and later segments to a port whose only answer is Reset.
-func TestResetIsTakenByTheStack(t *testing.T) {
+// TestResetIsAcceptedByTheStack dials an address that answers every segment with Reset.
+func TestResetIsAcceptedByTheStack(t *testing.T) {
 	for _, e := range ends {
 		t.Run(e.name, func(t *testing.T) {
 			var caller *Stack
@@ -198,7 +198,7 @@
 	s, err := New(Config{Output: func([]byte) {}})
 	require.NoError(f, err)
 	f.Cleanup(s.Close)
-	s.AcceptTCP(func(a Accepted) { a.Reject() })
+	s.AcceptTCP(func(a ConnRequest) { a.Reject() })
 	s.HandleUDP(func(_ flow.Key, conn net.Conn) { _ = conn.Close() })
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		s.Inject(packet)
@@ -214,7 +214,7 @@
 
 func BenchmarkTCPThroughput(b *testing.B) {
 	caller, server := pair(b, DefaultMTU)
-	server.AcceptTCP(func(a Accepted) {
+	server.AcceptTCP(func(a ConnRequest) {
 		conn, err := a.Accept()
 		if err == nil {
 			_, _ = io.Copy(io.Discard, conn)
--- a/pkg/resource/validate_test.go
+++ b/pkg/resource/validate_test.go
@@ -21,7 +21,6 @@
 	return b
 }
 
-// texts returns mistakes as text.
 func texts(list []FieldError) []string {
 	var out []string
 	for _, f := range list {
@@ -141,7 +140,7 @@
 	require.Contains(t, texts(mistakes)[0], "line 2")
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidDocuments(t *testing.T) {
 	for in, want := range map[string]string{
 		"":                       "ends before",
 		`{"revision":1} x`:       "text after",
@@ -155,7 +154,7 @@
 	}
 }
 
-func TestReadServiceSaysWhyAValueIsNoService(t *testing.T) {
+func TestReadServiceReportsUnreadableValues(t *testing.T) {
 	s := ReadService(objectapi.Object{Name: "a", Version: 3, Value: []byte(`{"name":"b"}`)})
 	require.Equal(t, VersionedService{Service: Service{Name: "a"}, Version: 3, Unreadable: "the service's name is b but its object's name is a"}, s)
 	s = ReadService(objectapi.Object{Name: "a", Value: []byte(`{"nam":"b"}`)})
@@ -184,7 +183,7 @@
 		if len(mistakes) > 0 {
 			return
 		}
-		// What is accepted must be stored and read back unchanged by the strict decoder.
+		// Every accepted service must be readable by the strict decoder and remain valid after a round trip.
 		out, err := json.Marshal(s)
 		require.NoError(t, err)
 		read := ReadService(objectapi.Object{Name: s.Name, Value: out})
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -141,8 +141,8 @@
 	require.ErrorContains(t, err, path+".missing")
 }
 
-func TestHostileTextIsRefused(t *testing.T) {
-	// Found by FuzzParse: keys of some thousand parts took minutes.
+func TestOversizedInputIsRejected(t *testing.T) {
+	// Decoding a key of thousands of parts took minutes.
 	_, err := ParseAgent([]byte(strings.Repeat("a.", 5000) + "a = 1"))
 	require.Contains(t, reasons(t, err), "a.a: is not a known table")
 	_, err = ParseAgent(make([]byte, MaxFileSize+1))
--- a/pkg/telemetry/handler.go
+++ b/pkg/telemetry/handler.go
@@ -11,21 +11,21 @@
 	PathStatus  = "/status"
 )
 
-// statusAnswer is the JSON document at PathStatus.
-type statusAnswer struct {
-	// Program and Version name the build.
+// statusResponse is the JSON document at PathStatus.
+type statusResponse struct {
+	// Program and Version identify the build.
 	Program string `json:"program"`
 	Version string `json:"version"`
 	// Process, Region and DataCentre come from the settings.
 	Process    string `json:"process"`
 	Region     string `json:"region"`
 	DataCentre string `json:"dataCentre"`
-	// State is what the daemon's status function returns.
+	// State is the result of the daemon's status function.
 	State any `json:"state"`
 }
 
 // newHandler serves the metrics as text and the status as JSON.
-func newHandler(r *Reporter, status func() statusAnswer) http.Handler {
+func newHandler(r *Reporter, status func() statusResponse) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/pkg/telemetry/log_writer_test.go
+++ b/pkg/telemetry/log_writer_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A pipe that nobody reads must not block the daemon, and what is left out is counted.
-func TestAStuckReaderBlocksNobody(t *testing.T) {
+// A pipe without a reader must not block the daemon, and dropped lines must be counted.
+func TestStuckReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer r.Close()
@@ -27,12 +27,12 @@
 		log.Info().Str("op", "placed").Int("n", i).Msg("flow")
 	}
 	routine, important := l.Dropped()
-	require.Positive(t, important, "the queue is full")
+	require.Positive(t, important, "no important line was dropped")
 	require.Positive(t, routine)
-	require.LessOrEqual(t, uint64(lines)-important, uint64(logQueue+1000), "what is kept is bounded")
+	require.LessOrEqual(t, uint64(lines)-important, uint64(logQueue+1000), "more lines were kept than the queue holds")
 }
 
-func TestRoutineLinesAreBoundedAndTheRestIsNot(t *testing.T) {
+func TestRoutineLinesAreLimitedSeparately(t *testing.T) {
 	var out lockedBuffer
 	l := NewLogWriter(&out)
 	start := time.Unix(1000, 0)
@@ -52,7 +52,7 @@
 	require.Equal(t, []uint64{100, 0}, []uint64{routine, important})
 }
 
-func TestEitherKindOfLineComesBackWithTime(t *testing.T) {
+func TestRateLimitsRefillOverTime(t *testing.T) {
 	for routine, rate := range map[bool]int{true: RoutineLinesPerSecond, false: ImportantLinesPerSecond} {
 		l := NewLogWriter(io.Discard)
 		now := time.Unix(1000, 0)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Whatever comes in, a second's lines are bounded, and each line that is left out is counted.
-func TestAFloodOfRefusalsIsBoundedAndCounted(t *testing.T) {
+// A flood of important lines is limited, and every dropped line is counted.
+func TestImportantLinesAreLimitedAndDropsCounted(t *testing.T) {
 	var out lockedBuffer
 	l := NewLogWriter(&out)
 	start := time.Now()
