--- a/internal/lab/control/script.go
+++ b/internal/lab/control/script.go
@@ -147,7 +147,7 @@
 	})
 	for end := time.Now().Add(s.part(0.9)); time.Now().Before(end) && ctx.Err() == nil; {
 		_ = wait.For(ctx, gapEvery)
-		s.c.truth.inner.CutHistory()
+		s.c.truth.inner.ClearHistory()
 	}
 	s.faults(func(f *store.Faults) { f.Duplicate, f.HoldKinds = 0, nil })
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -84,11 +84,11 @@
 // open opens the flow; it counts one that was refused or not answered.
 func (c *caller) open(ctx context.Context) bool {
 	began := time.Now()
-	for i := range platformtest.CopyTimes {
+	for i := range platformtest.OpeningSendTimes {
 		c.send(segment.SYN, uint32(i), nil)
 		until := began.Add(openTime)
-		if i+1 < len(platformtest.CopyTimes) {
-			until = began.Add(platformtest.CopyTimes[i+1])
+		if i+1 < len(platformtest.OpeningSendTimes) {
+			until = began.Add(platformtest.OpeningSendTimes[i+1])
 		}
 		for {
 			s, ok := c.receive(ctx, until)
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -33,7 +33,7 @@
 // written again at once or a little later.
 func (w *world) restore(ctx context.Context, random *rand.Rand, script func(text string)) {
 	for n := 0; ctx.Err() == nil; n++ {
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		if n%manyEvery == 0 {
 			w.writeOthers(ctx)
 		}
@@ -66,7 +66,7 @@
 }
 
 // comeBack ends an outage with an older copy.
-func (w *world) comeBack(older store.Copy, rewritten ...objectapi.Kind) {
+func (w *world) comeBack(older store.Snapshot, rewritten ...objectapi.Kind) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
 	w.store.Restore(older, rewritten...)
--- a/internal/lab/soak/target.go
+++ b/internal/lab/soak/target.go
@@ -210,7 +210,7 @@
 		t.opening(s, f)
 	case f == nil || s.Acknowledgement-f.initial-1 > initialStep/2:
 		raw := append([]byte(nil), s.Raw...)
-		platformtest.Return(raw)
+		platformtest.MarkReturned(raw)
 		t.write(raw)
 	default:
 		t.of(f, s)
@@ -222,7 +222,7 @@
 	if f == nil || f.closed {
 		if t.busy >= 2*slots {
 			raw := append([]byte(nil), s.Raw...)
-			platformtest.Return(raw)
+			platformtest.MarkReturned(raw)
 			t.write(raw)
 			return
 		}
--- a/internal/standin/store/injector.go
+++ b/internal/standin/store/injector.go
@@ -32,7 +32,7 @@
 }
 
 // ExpireWatches drops the history, so that watches have to begin anew.
-func (i *Injector) ExpireWatches() { i.store.CutHistory() }
+func (i *Injector) ExpireWatches() { i.store.ClearHistory() }
 
 // Repeat makes each watch report the last n events again.
 func (i *Injector) Repeat(n int) {
--- a/internal/standin/store/restore.go
+++ b/internal/standin/store/restore.go
@@ -8,19 +8,19 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Copy is a copy of a store's objects and history, from which it can come back.
-type Copy struct {
+// Snapshot is a copy of a store's objects and history, from which it can come back.
+type Snapshot struct {
 	objects map[key]objectapi.Object
 	history []event
 	version uint64
 	trimmed uint64
 }
 
-// Copy returns a copy of the store as it is now.
-func (s *Store) Copy() Copy {
+// Snapshot returns a copy of the store as it is now.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{
+	return Snapshot{
 		objects: maps.Clone(s.objects),
 		history: slices.Clone(s.history),
 		version: s.version,
@@ -31,7 +31,7 @@
 // Restore replaces the objects and the history by those of an earlier copy and begins the next era, in which revisions go on from
 // those of the copy. What was written since is lost, except for objects of the kinds in rewritten: they are written again as they
 // are now, in the order of their versions. Waiting watches fail.
-func (s *Store) Restore(c Copy, rewritten ...objectapi.Kind) {
+func (s *Store) Restore(c Snapshot, rewritten ...objectapi.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost := s.objects
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// CutHistory forgets all events, so that every watch from an earlier version gets ErrExpired.
-func (s *Store) CutHistory() {
+// ClearHistory forgets all events, so that every watch from an earlier version gets ErrExpired.
+func (s *Store) ClearHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -79,8 +79,8 @@
 // Open returns the true number of open connections.
 func (t *Target) Open() int { return int(t.open.Load()) }
 
-// Highest returns the highest number of connections that were open at once.
-func (t *Target) Highest() int { return int(t.highest.Load()) }
+// PeakConnections returns the highest number of connections that were open at once.
+func (t *Target) PeakConnections() int { return int(t.highest.Load()) }
 
 // Shed returns the number of requests that found no slot.
 func (t *Target) Shed() int { return int(t.shed.Load()) }
--- a/pkg/ctl/applier_test.go
+++ b/pkg/ctl/applier_test.go
@@ -184,7 +184,7 @@
 	s := store.New(store.Config{Era: 1})
 	_, err := Applier{Store: s}.Apply(t.Context(), service("a", "10.0.0.1", 1))
 	require.NoError(t, err)
-	older := s.Copy()
+	older := s.Snapshot()
 	h := &hooked{Store: s, lost: true, after: func() { s.Restore(older) }}
 	r, err := Applier{Store: h}.Apply(t.Context(), service("a", "10.0.0.1", 2))
 	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown)
--- a/pkg/dsrd/evacuations_test.go
+++ b/pkg/dsrd/evacuations_test.go
@@ -97,7 +97,7 @@
 		{"nothing fails", nil, nil},
 		{"slow", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Latency: 240 * time.Millisecond}) }, nil},
 		{"events are repeated", func(f *evacuationFixture) { f.store.SetFaults(store.Faults{Duplicate: 4}) }, nil},
-		{"history is forgotten", nil, func(f *evacuationFixture) { f.store.CutHistory() }},
+		{"history is forgotten", nil, func(f *evacuationFixture) { f.store.ClearHistory() }},
 		{"a short outage follows", nil, func(f *evacuationFixture) {
 			f.store.SetFaults(store.Faults{Outage: true})
 			f.pass(300 * time.Millisecond)
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuationFixture(t)
 		f.pass(time.Second)
-		older := f.store.Copy()
+		older := f.store.Snapshot()
 		f.declare("marka")
 		f.pass(time.Second)
 		f.store.Restore(older)
@@ -176,7 +176,7 @@
 		f := newEvacuationFixture(t)
 		f.declare("zarqa")
 		f.pass(time.Second)
-		older := f.store.Copy()
+		older := f.store.Snapshot()
 		f.declare("marka")
 		f.pass(time.Second)
 		f.store.Restore(older)
@@ -197,7 +197,7 @@
 		f := newEvacuationFixture(t)
 		f.declare("zarqa")
 		f.pass(time.Second)
-		older := f.store.Copy()
+		older := f.store.Snapshot()
 		f.declare("marka")
 		f.pass(time.Second)
 		f.store.Restore(older)
@@ -214,7 +214,7 @@
 		f := newEvacuationFixture(t)
 		marka := f.declare("marka")
 		f.pass(time.Second)
-		older := f.store.Copy()
+		older := f.store.Snapshot()
 		f.withdraw("marka", marka)
 		f.pass(time.Second)
 		f.store.Restore(older, evacuation.Kind)
--- a/pkg/lease/restored_test.go
+++ b/pkg/lease/restored_test.go
@@ -59,7 +59,7 @@
 	former := Grant{Holder: "a", Term: store.Version(1, 7)}
 	f, err := Claim[stampedText](t.Context(), s, "thing", "x", former)
 	require.NoError(t, err)
-	older := s.Copy()
+	older := s.Snapshot()
 	require.NoError(t, f.Write(t.Context(), stampedText{Text: "lost"}))
 	s.Restore(older)
 	_, err = Claim[stampedText](t.Context(), s, "thing", "x", former)
--- a/pkg/objectapi/eras_test.go
+++ b/pkg/objectapi/eras_test.go
@@ -83,7 +83,7 @@
 func TestAWatchFromAnEarlierEraHasExpired(t *testing.T) {
 	a := newRestoredAPI(t)
 	a.create(t, "one")
-	older := a.Copy()
+	older := a.Snapshot()
 	o := a.create(t, "two")
 	a.Restore(older)
 	for _, name := range []string{"three", "four", "five"} {
@@ -102,7 +102,7 @@
 
 func TestAConditionOnAnEarlierEraDoesNotHold(t *testing.T) {
 	a := newRestoredAPI(t)
-	older := a.Copy()
+	older := a.Snapshot()
 	o := a.create(t, "one")
 	a.Restore(older)
 	_, err := a.other.Create(t.Context(), "thing", "one", []byte("of another process"))
@@ -117,7 +117,7 @@
 func TestAnInformerHandsOverWhatALaterEraHolds(t *testing.T) {
 	a := newRestoredAPI(t)
 	a.create(t, "one")
-	older := a.Copy()
+	older := a.Snapshot()
 	a.create(t, "two")
 	known := make(map[string]bool)
 	informed := make(chan struct{}, 100)
--- a/pkg/objectapi/informer_test.go
+++ b/pkg/objectapi/informer_test.go
@@ -59,7 +59,7 @@
 			mem.SetFaults(randomFaults(rng))
 		}
 		if rng.IntN(50) == 0 {
-			mem.CutHistory()
+			mem.ClearHistory()
 		}
 		change(t, mem, rng)
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
@@ -155,7 +155,7 @@
 		go func() { done <- in.Run(ctx) }()
 		time.Sleep(time.Second)
 		s.now.Store(older)
-		current.CutHistory()
+		current.ClearHistory()
 		time.Sleep(5 * time.Minute)
 		cancel()
 		<-done
--- a/pkg/refusal/restored_test.go
+++ b/pkg/refusal/restored_test.go
@@ -26,13 +26,13 @@
 }
 
 // newRestoredLog returns a log that has written two objects, and a copy of the store from before the second.
-func newRestoredLog(t *testing.T) (*Log, *store.Store, store.Copy, *objectapi.Eras) {
+func newRestoredLog(t *testing.T) (*Log, *store.Store, store.Snapshot, *objectapi.Eras) {
 	s, eras := store.New(store.Config{Era: 1}), objectapi.NewEras()
 	eras.See(1)
 	l := NewLog(Config{Process: "p", Incarnation: 1, Store: s, Eras: eras})
 	l.Record(Record{Reason: ReasonAllFull})
 	require.NoError(t, l.Drain(t.Context()))
-	older := s.Copy()
+	older := s.Snapshot()
 	l.Record(Record{Reason: ReasonAllFull})
 	require.NoError(t, l.Drain(t.Context()))
 	require.Equal(t, 2, recordsIn(t, s))
--- a/pkg/request/restored_test.go
+++ b/pkg/request/restored_test.go
@@ -75,7 +75,7 @@
 			if c.era > 0 {
 				r.publishEra(time.Time{})
 			}
-			older := r.store.Copy()
+			older := r.store.Snapshot()
 			target := newScriptedTarget(t, responseOK)
 			_, url := newFaultServer(t, target.addr(), r.options)
 			res, body := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "2")
@@ -105,7 +105,7 @@
 	_, url := newFaultServer(t, target.addr(), r.options)
 	res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "1")
 	require.Equal(t, 200, res.StatusCode)
-	r.store.Restore(r.store.Copy())
+	r.store.Restore(r.store.Snapshot())
 	res, body := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, "2")
 	require.Equal(t, 200, res.StatusCode, body)
 	require.Equal(t, "true", res.Header.Get(HeaderRepeated))
@@ -121,7 +121,7 @@
 		r.publishEra(time.Time{})
 		target := newScriptedTarget(t, responseOK)
 		_, url := newFaultServer(t, target.addr(), r.options)
-		older := r.store.Copy()
+		older := r.store.Snapshot()
 		r.store.Restore(older)
 		r.publishEra(r.now())
 		res, _ := call(t, "POST", url, "order", HeaderKey, testKey, HeaderAttempt, c.attempt)
--- a/pkg/revision/history_test.go
+++ b/pkg/revision/history_test.go
@@ -128,7 +128,7 @@
 	case faultSlowStore:
 		w.store.SetFaults(store.Faults{Latency: 100 * time.Millisecond, Jitter: 500 * time.Millisecond})
 	case faultWatchGap:
-		w.store.CutHistory()
+		w.store.ClearHistory()
 	case faultPause:
 		p.pause(f.length)
 	case faultPauseAtHead:
--- a/pkg/revision/restored_test.go
+++ b/pkg/revision/restored_test.go
@@ -98,7 +98,7 @@
 		a, b := w.start("a"), w.start("b")
 		w.putQueue(1)
 		time.Sleep(5 * time.Second)
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		for q := range uint32(4) {
 			w.putQueue(2 + q)
 			time.Sleep(2 * time.Second)
@@ -120,7 +120,7 @@
 		a := w.start("a")
 		w.putQueue(1)
 		time.Sleep(5 * time.Second)
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		w.putQueue(2)
 		time.Sleep(2 * time.Second)
 		a.OnAdopt(func(r resource.Revision) {
@@ -140,7 +140,7 @@
 	first := startSession(t, s, grant)
 	putService(t, s, testService("a", "10.0.0.1", 0).Service)
 	require.NoError(t, first.round(t.Context()))
-	older := s.Copy()
+	older := s.Snapshot()
 	putService(t, s, testService("b", "10.0.0.2", 0).Service)
 	require.NoError(t, first.round(t.Context()))
 	adopter := NewAdopter(zerolog.Nop())
@@ -228,7 +228,7 @@
 
 // restore lets the store be away and come back from a copy. The service is written again at once, or within less than the time that the compile duty
 // waits.
-func (r *restoredRun) restore(older store.Copy) {
+func (r *restoredRun) restore(older store.Snapshot) {
 	r.store.SetFaults(store.Faults{Outage: true})
 	time.Sleep(time.Duration(r.random.IntN(1500)) * time.Millisecond)
 	if r.random.IntN(2) == 0 {
@@ -248,14 +248,14 @@
 	}
 	r.change()
 	time.Sleep(5 * time.Second)
-	older := r.store.Copy()
+	older := r.store.Snapshot()
 	for n := range 60 {
 		switch r.random.IntN(8) {
 		case 0:
 			r.restore(older)
-			older = r.store.Copy()
+			older = r.store.Snapshot()
 		case 1:
-			older = r.store.Copy()
+			older = r.store.Snapshot()
 		case 2:
 			r.restart(n)
 		case 3:
--- a/pkg/rollout/resume_test.go
+++ b/pkg/rollout/resume_test.go
@@ -57,7 +57,7 @@
 		defer cancel()
 		require.NoError(t, c.Duty(ctx, term(1)))
 		require.Equal(t, resource.RolloutProgressing, readRecord(t, s).State)
-		older := s.Copy()
+		older := s.Snapshot()
 		ctx, cancel = context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
 		require.NoError(t, c.Duty(ctx, term(1)))
