--- a/cmd/auburnwoodctl/main_test.go
+++ b/cmd/auburnwoodctl/main_test.go
@@ -18,8 +18,8 @@
 	"github.com/auburnwood/auburnwood/platform/platformtest"
 )
 
-// write stores the refusal of one flow, as a balancer does, and returns the record's ID.
-func write(t *testing.T, s objectapi.Store, flow uint64) string {
+// recordRefusal stores the refusal of one flow, as a balancer does, and returns the record's ID.
+func recordRefusal(t *testing.T, s objectapi.Store, flow uint64) string {
 	l := refusal.NewLog(refusal.Config{Process: "balancer-1", Incarnation: 1, Store: s, Logger: zerolog.Nop(), Scope: tally.NoopScope})
 	id := l.Record(refusal.Record{
 		Service: "shop", Caller: netip.MustParseAddrPort("192.0.2.7:4001"), Destination: netip.MustParseAddrPort("198.51.100.1:80"),
@@ -41,8 +41,8 @@
 	}
 	urls := map[ctl.Protocol]string{ctl.ProtocolObjectAPI: own.URL, ctl.ProtocolPlatform: onPlatform.URL}
 	for p, target := range stores {
-		wanted := write(t, target, 77)
-		write(t, target, 78)
+		wanted := recordRefusal(t, target, 77)
+		recordRefusal(t, target, 78)
 		for _, by := range [][]string{{"--flow", "77"}, {"--id", wanted}} {
 			var out, errs bytes.Buffer
 			a := app()
--- a/internal/archtest/deps_test.go
+++ b/internal/archtest/deps_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listed is the first cell of a row of the dependency page that names a module.
-var listed = regexp.MustCompile("(?m)^\\| `([a-z0-9.]+\\.[a-z]+/[^`]+)` \\|")
+// moduleRow is the first cell of a row of the dependency page that names a module.
+var moduleRow = regexp.MustCompile("(?m)^\\| `([a-z0-9.]+\\.[a-z]+/[^`]+)` \\|")
 
 // TestDependenciesAreExplained compares the modules that go.mod requires directly with those of the dependency page.
 func TestDependenciesAreExplained(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "DEPENDENCIES.md"))
 	require.NoError(t, err)
 	var explained []string
-	for _, m := range listed.FindAllStringSubmatch(string(page), -1) {
+	for _, m := range moduleRow.FindAllStringSubmatch(string(page), -1) {
 		explained = append(explained, m[1])
 	}
 	required := directModules(t)
--- a/internal/archtest/platform_test.go
+++ b/internal/archtest/platform_test.go
@@ -19,9 +19,9 @@
 	maxPlatformLines = 1500
 )
 
-// TestThePlatformOnlyTranslates checks that the adapter imports no package that decides or runs in its own right, but the
+// TestPlatformOnlyTranslates checks that the adapter imports no package that decides or runs in its own right, but the
 // daemons whose interface it fills.
-func TestThePlatformOnlyTranslates(t *testing.T) {
+func TestPlatformOnlyTranslates(t *testing.T) {
 	for path, f := range sourceFiles(t, platformDir) {
 		for _, imported := range imports(f) {
 			below, ours := strings.CutPrefix(imported, module)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestThePlatformStaysSmall(t *testing.T) {
+func TestPlatformStaysSmall(t *testing.T) {
 	lines := 0
 	for path := range sourceFiles(t, platformDir) {
 		text, err := os.ReadFile(path)
@@ -46,15 +46,15 @@
 	require.Less(t, lines, maxPlatformLines)
 }
 
-// TestOnlyThePlatformNamesItsFields checks that no other code spells a field of the platform's documents. Names of one word
+// TestOnlyPlatformNamesItsFields checks that no other code spells a field of the platform's documents. Names of one word
 // are not the platform's alone.
-func TestOnlyThePlatformNamesItsFields(t *testing.T) {
+func TestOnlyPlatformNamesItsFields(t *testing.T) {
 	names := platformFields(t)
 	require.True(t, names["pathPrefix"], "the platform's fields are found")
 	require.True(t, names["warmupLeftMs"], "the fields of reports are found")
 	for _, dir := range []string{"pkg", "internal", "cmd"} {
 		for path, f := range sourceFiles(t, dir) {
-			for _, text := range texts(f) {
+			for _, text := range stringLiterals(f) {
 				require.False(t, names[text], "%s names %s", path, text)
 				require.NotContains(t, text, "/-/", path)
 			}
@@ -104,8 +104,8 @@
 	return out
 }
 
-// texts returns the string literals of a file, and the JSON names in its tags.
-func texts(f *ast.File) []string {
+// stringLiterals returns the string literals of a file, and the JSON names in its tags.
+func stringLiterals(f *ast.File) []string {
 	var out []string
 	ast.Inspect(f, func(n ast.Node) bool {
 		literal, ok := n.(*ast.BasicLit)
--- a/internal/standin/fabric/caller.go
+++ b/internal/standin/fabric/caller.go
@@ -11,7 +11,7 @@
 // Caller is one caller's host with its own IP address.
 type Caller struct {
 	addr netip.Addr
-	side *side
+	uplink *uplink
 }
 
 // NewCaller returns the caller with the address, and makes the fabric bring packets for it.
@@ -20,10 +20,10 @@
 	defer f.callersMu.Unlock()
 	s, ok := f.callers[addr]
 	if !ok {
-		s = f.sides[len(f.callers)%len(f.sides)]
+		s = f.uplinks[len(f.callers)%len(f.uplinks)]
 		f.callers[addr] = s
 	}
-	return &Caller{addr: addr, side: s}
+	return &Caller{addr: addr, uplink: s}
 }
 
 // Addr returns the caller's address.
@@ -42,10 +42,10 @@
 func (c *Caller) Dial(ctx context.Context, network string, local, remote netip.AddrPort) (net.Conn, error) {
 	switch network {
 	case "tcp", "tcp4", "tcp6":
-		conn, err := c.side.stack.DialTCP(ctx, local, remote)
+		conn, err := c.uplink.stack.DialTCP(ctx, local, remote)
 		return conn, trace.Wrap(err)
 	case "udp", "udp4", "udp6":
-		conn, err := c.side.stack.DialUDP(local, remote)
+		conn, err := c.uplink.stack.DialUDP(local, remote)
 		return conn, trace.Wrap(err)
 	}
 	return nil, trace.BadParameter("caller %v: unknown network %q", c.addr, network)
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -24,19 +24,19 @@
 type Fabric struct {
 	cfg     Config
 	conn    *net.UDPConn
-	sides   []*side
+	uplinks   []*uplink
 	members members
 	counts  counters
 
 	callersMu sync.RWMutex
-	callers   map[netip.Addr]*side
+	callers   map[netip.Addr]*uplink
 
 	closed chan struct{}
 	done   sync.WaitGroup
 }
 
-// side is one TCP stack with its own source of randomness and its own socket.
-type side struct {
+// uplink is one TCP stack with its own source of randomness and its own socket.
+type uplink struct {
 	fabric *Fabric
 	stack  *netstack.Stack
 	conn   *net.UDPConn
@@ -54,9 +54,9 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &Fabric{cfg: cfg, conn: conn, callers: make(map[netip.Addr]*side), closed: make(chan struct{})}
+	f := &Fabric{cfg: cfg, conn: conn, callers: make(map[netip.Addr]*uplink), closed: make(chan struct{})}
 	for i := range cfg.Stacks {
-		if err := f.addSide(uint64(i)); err != nil {
+		if err := f.addUplink(uint64(i)); err != nil {
 			f.Close()
 			return nil, trace.Wrap(err)
 		}
@@ -77,18 +77,18 @@
 	return conn, nil
 }
 
-func (f *Fabric) addSide(i uint64) error {
+func (f *Fabric) addUplink(i uint64) error {
 	conn, err := listen(netip.AddrPortFrom(f.cfg.Listen.Addr(), 0))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s := &side{fabric: f, conn: conn, random: rand.New(rand.NewPCG(f.cfg.Seed, i))}
+	s := &uplink{fabric: f, conn: conn, random: rand.New(rand.NewPCG(f.cfg.Seed, i))}
 	s.stack, err = netstack.New(netstack.Config{Output: s.spray})
 	if err != nil {
 		_ = conn.Close()
 		return trace.Wrap(err)
 	}
-	f.sides = append(f.sides, s)
+	f.uplinks = append(f.uplinks, s)
 	return nil
 }
 
@@ -123,7 +123,7 @@
 func (f *Fabric) Close() {
 	close(f.closed)
 	_ = f.conn.Close()
-	for _, s := range f.sides {
+	for _, s := range f.uplinks {
 		s.stack.Close()
 		_ = s.conn.Close()
 	}
@@ -161,7 +161,7 @@
 		f.counts.stray.Add(1)
 		return
 	}
-	s := f.sideOf(info.Key.Destination.Addr())
+	s := f.uplinkOf(info.Key.Destination.Addr())
 	if s == nil || !s.stack.Inject(b) {
 		f.counts.stray.Add(1)
 		return
@@ -169,14 +169,14 @@
 	f.counts.toCallers.Add(1)
 }
 
-func (f *Fabric) sideOf(a netip.Addr) *side {
+func (f *Fabric) uplinkOf(a netip.Addr) *uplink {
 	f.callersMu.RLock()
 	defer f.callersMu.RUnlock()
 	return f.callers[a]
 }
 
 // spray sends one packet of a caller to a balancer chosen at random.
-func (s *side) spray(p []byte) {
+func (s *uplink) spray(p []byte) {
 	f := s.fabric
 	balancers := f.members.load()
 	if len(balancers) == 0 {
@@ -202,14 +202,14 @@
 }
 
 // hold draws the time for which a packet is held back; the caller holds the lock.
-func (s *side) hold() time.Duration {
+func (s *uplink) hold() time.Duration {
 	if s.fabric.cfg.Delay <= 0 {
 		return 0
 	}
 	return time.Duration(s.random.Int64N(int64(s.fabric.cfg.Delay)))
 }
 
-func (s *side) sendAfter(hold time.Duration, to netip.AddrPort, p []byte) {
+func (s *uplink) sendAfter(hold time.Duration, to netip.AddrPort, p []byte) {
 	if hold == 0 {
 		s.send(to, p)
 		return
@@ -218,7 +218,7 @@
 	time.AfterFunc(hold, func() { s.send(to, kept) })
 }
 
-func (s *side) send(to netip.AddrPort, p []byte) {
+func (s *uplink) send(to netip.AddrPort, p []byte) {
 	f := s.fabric
 	if f.cfg.Tap != nil {
 		f.cfg.Tap(to, false, p)
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -14,15 +14,15 @@
 
 var service = netip.MustParseAddrPort("198.51.100.1:80")
 
-// mirror ends callers' connections behind several sockets that stand for balancers.
-type mirror struct {
+// echoHost ends callers' connections behind several sockets that stand for balancers.
+type echoHost struct {
 	stack *netstack.Stack
 	conns []*net.UDPConn
 	seen  []int
 }
 
-func newMirror(t *testing.T, f *Fabric, balancers int) *mirror {
-	m := &mirror{seen: make([]int, balancers)}
+func newEchoHost(t *testing.T, f *Fabric, balancers int) *echoHost {
+	m := &echoHost{seen: make([]int, balancers)}
 	out, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	m.stack, err = netstack.New(netstack.Config{Output: func(p []byte) {
@@ -62,7 +62,7 @@
 	return m
 }
 
-func (m *mirror) read(conn *net.UDPConn, i int) {
+func (m *echoHost) read(conn *net.UDPConn, i int) {
 	b := make([]byte, maxPacketSize)
 	for {
 		n, err := conn.Read(b)
@@ -82,7 +82,7 @@
 	return conn
 }
 
-func TestCallersTalkAcrossSprayedPackets(t *testing.T) {
+func TestConnectionsSurviveSprayedPackets(t *testing.T) {
 	tests := map[string]Config{
 		"clean": {Seed: 1},
 		"rough": {Seed: 2, Loss: 0.02, Duplicate: 0.05, Delay: 2 * time.Millisecond},
@@ -92,7 +92,7 @@
 			f, err := New(cfg)
 			require.NoError(t, err)
 			defer f.Close()
-			newMirror(t, f, 3)
+			newEchoHost(t, f, 3)
 			conn := dial(t, f, "10.1.0.1")
 			defer conn.Close()
 			sent := make([]byte, 200<<10)
@@ -124,7 +124,7 @@
 		f.AddBalancer(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port))
 	}
 	for range 400 {
-		f.sides[0].spray([]byte{0})
+		f.uplinks[0].spray([]byte{0})
 	}
 	f.Close()
 	require.Len(t, sent, 4)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestKnowsBalancersAfterLag(t *testing.T) {
+func TestBalancerChangesAreDelayed(t *testing.T) {
 	f, err := New(Config{Detection: time.Hour})
 	require.NoError(t, err)
 	defer f.Close()
@@ -156,7 +156,7 @@
 	require.EqualValues(t, 2, f.Counts().Stray)
 }
 
-func TestConfigMistakes(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for _, cfg := range []Config{{Loss: -1}, {Duplicate: 2}, {Stacks: -1}} {
 		_, err := New(cfg)
 		require.Error(t, err)
--- a/internal/standin/store/restore.go
+++ b/internal/standin/store/restore.go
@@ -46,7 +46,7 @@
 	for i := range s.history {
 		s.history[i].Object.Version = inEra(era, s.history[i].Object.Version)
 	}
-	s.writeAgain(lost, rewritten)
+	s.rewriteLost(lost, rewritten)
 	for kind := range s.changed {
 		s.wake(kind)
 	}
@@ -59,8 +59,8 @@
 	return objectapi.EraOf(s.version)
 }
 
-// writeAgain writes the lost objects of some kinds again and deletes those that were deleted; s.mu is held.
-func (s *Store) writeAgain(lost map[key]objectapi.Object, kinds []objectapi.Kind) {
+// rewriteLost writes the lost objects of some kinds again and deletes those that were deleted; s.mu is held.
+func (s *Store) rewriteLost(lost map[key]objectapi.Object, kinds []objectapi.Kind) {
 	objects := slices.Collect(maps.Values(lost))
 	slices.SortFunc(objects, func(a, b objectapi.Object) int { return cmp.Compare(a.Version, b.Version) })
 	for _, o := range objects {
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -177,7 +177,7 @@
 		return objectapi.Object{}, fail(op, o.Kind, o.Name, objectapi.ErrOutcomeUnknown, errLost)
 	}
 	out, err := s.apply(op, o)
-	if s.loses() {
+	if s.shouldLoseAnswer() {
 		return objectapi.Object{}, fail(op, o.Kind, o.Name, objectapi.ErrOutcomeUnknown, errLost)
 	}
 	if err != nil {
@@ -274,8 +274,8 @@
 	return p > 0 && s.rng.Float64() < p
 }
 
-// loses says whether this answer is lost; s.mu is held.
-func (s *Store) loses() bool {
+// shouldLoseAnswer says whether this answer is lost; s.mu is held.
+func (s *Store) shouldLoseAnswer() bool {
 	if s.faults.LoseNext > 0 {
 		s.faults.LoseNext--
 		return true
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// TestFaultsInTime checks the faults that only time shows; the others are in the contract tests.
-func TestFaultsInTime(t *testing.T) {
+// TestTimedFaults checks the faults that only time shows; the others are in the contract tests.
+func TestTimedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{WatchWait: 10 * time.Second})
 		s.SetFaults(Faults{Latency: time.Second})
--- a/internal/standin/store/watch.go
+++ b/internal/standin/store/watch.go
@@ -28,7 +28,7 @@
 			return nil, 0, r.err
 		}
 		left := end.Sub(s.cfg.Now())
-		if r.news || left <= 0 {
+		if r.hasEvents || left <= 0 {
 			return r.events, r.next, nil
 		}
 		if r.retry > 0 {
@@ -40,33 +40,33 @@
 	}
 }
 
-// polled is what a watch finds at one look.
-type polled struct {
+// pollResult is what a watch finds at one look.
+type pollResult struct {
 	events []objectapi.Event
 	next   uint64
-	// news says that there is an event after the version asked for.
-	news bool
+	// hasEvents says that there is an event after the version asked for.
+	hasEvents bool
 	// retry is when a held event is due; 0 when none is held.
 	retry   time.Duration
 	changed <-chan struct{}
 	err     error
 }
 
-func (s *Store) poll(kind objectapi.Kind, from uint64) polled {
+func (s *Store) poll(kind objectapi.Kind, from uint64) pollResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Outage {
-		return polled{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrUnavailable, errOutage)}
+		return pollResult{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrUnavailable, errOutage)}
 	}
 	if from < s.trimmed {
-		return polled{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrExpired, nil)}
+		return pollResult{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrExpired, nil)}
 	}
 	if from > s.version {
-		return polled{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrExpired, errFuture)}
+		return pollResult{err: fail(objectapi.OpWatch, kind, "", objectapi.ErrExpired, errFuture)}
 	}
-	p := polled{next: s.version, changed: s.waiter(kind)}
+	p := pollResult{next: s.version, changed: s.changeChan(kind)}
 	hold, now := s.faults.HoldKinds[kind], s.cfg.Now()
-	for _, e := range s.history[s.after(from):] {
+	for _, e := range s.history[s.indexAfter(from):] {
 		if e.Object.Kind != kind {
 			continue
 		}
@@ -77,17 +77,17 @@
 		}
 		p.events = append(p.events, cloneEvent(e.Event))
 	}
-	p.news = len(p.events) > 0
-	if p.news {
-		p.events = append(s.repeats(kind, from), p.events...)
+	p.hasEvents = len(p.events) > 0
+	if p.hasEvents {
+		p.events = append(s.duplicates(kind, from), p.events...)
 	}
 	return p
 }
 
-// repeats are the last events up to a version, which the duplicate fault reports again; s.mu is held.
-func (s *Store) repeats(kind objectapi.Kind, from uint64) []objectapi.Event {
+// duplicates are the last events up to a version, which the duplicate fault reports again; s.mu is held.
+func (s *Store) duplicates(kind objectapi.Kind, from uint64) []objectapi.Event {
 	var out []objectapi.Event
-	for i := s.after(from) - 1; i >= 0 && len(out) < s.faults.Duplicate; i-- {
+	for i := s.indexAfter(from) - 1; i >= 0 && len(out) < s.faults.Duplicate; i-- {
 		if s.history[i].Object.Kind == kind {
 			out = append(out, cloneEvent(s.history[i].Event))
 		}
@@ -96,16 +96,16 @@
 	return out
 }
 
-// after is the index of the first event above a version; s.mu is held.
-func (s *Store) after(version uint64) int {
+// indexAfter is the index of the first event above a version; s.mu is held.
+func (s *Store) indexAfter(version uint64) int {
 	i, _ := slices.BinarySearchFunc(s.history, version+1, func(e event, v uint64) int {
 		return cmp.Compare(e.Object.Version, v)
 	})
 	return i
 }
 
-// waiter returns the channel that closes at the kind's next change; s.mu is held.
-func (s *Store) waiter(kind objectapi.Kind) <-chan struct{} {
+// changeChan returns the channel that closes at the kind's next change; s.mu is held.
+func (s *Store) changeChan(kind objectapi.Kind) <-chan struct{} {
 	c, ok := s.changed[kind]
 	if !ok {
 		c = make(chan struct{})
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -35,7 +35,7 @@
 		http.Error(w, "size is no number of bytes", http.StatusBadRequest)
 		return
 	}
-	chunk, every, err := pace(q.Get("chunk"), q.Get("every"))
+	chunk, every, err := parsePace(q.Get("chunk"), q.Get("every"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -49,8 +49,8 @@
 	sendPaced(w, r, body, chunk, every)
 }
 
-// pace reads the optional chunk size and interval.
-func pace(chunk, every string) (int64, time.Duration, error) {
+// parsePace reads the optional chunk size and interval.
+func parsePace(chunk, every string) (int64, time.Duration, error) {
 	if every == "" {
 		return 0, 0, nil
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -23,7 +23,7 @@
 	journal *Journal
 	slots   chan struct{}
 	open    atomic.Int64
-	highest atomic.Int64
+	peak atomic.Int64
 	shed    atomic.Int64
 
 	mu     sync.Mutex
@@ -80,7 +80,7 @@
 func (t *Target) Open() int { return int(t.open.Load()) }
 
 // PeakConnections returns the highest number of connections that were open at once.
-func (t *Target) PeakConnections() int { return int(t.highest.Load()) }
+func (t *Target) PeakConnections() int { return int(t.peak.Load()) }
 
 // Shed returns the number of requests that found no slot.
 func (t *Target) Shed() int { return int(t.shed.Load()) }
@@ -116,15 +116,15 @@
 func (t *Target) connState(c net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
-		t.opened(c)
+		t.addConn(c)
 	case http.StateClosed, http.StateHijacked:
-		t.ended(c)
+		t.removeConn(c)
 	}
 }
 
-func (t *Target) opened(c net.Conn) {
+func (t *Target) addConn(c net.Conn) {
 	n := t.open.Add(1)
-	for h := t.highest.Load(); n > h && !t.highest.CompareAndSwap(h, n); h = t.highest.Load() {
+	for h := t.peak.Load(); n > h && !t.peak.CompareAndSwap(h, n); h = t.peak.Load() {
 	}
 	if t.cfg.Connections > 0 && n > int64(t.cfg.Connections) {
 		reset(c)
@@ -139,7 +139,7 @@
 	t.conns[c] = struct{}{}
 }
 
-func (t *Target) ended(c net.Conn) {
+func (t *Target) removeConn(c net.Conn) {
 	t.open.Add(-1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -34,7 +34,7 @@
 	return resp, body
 }
 
-func TestDownloadIsCheckable(t *testing.T) {
+func TestDownloadMatchesContent(t *testing.T) {
 	_, url := newTarget(t, nil)
 	for _, query := range []string{"?flow=f1&size=100000", "?flow=f1&size=3000&chunk=1000&every=1ms"} {
 		resp, body := get(t, url+PathDownload+query)
@@ -82,7 +82,7 @@
 	require.NoError(t, w.Close())
 }
 
-func TestWorkShedsAndKeepsAccount(t *testing.T) {
+func TestWorkIsShedAndRecorded(t *testing.T) {
 	x, url := newTarget(t, func(c *Config) { c.Slots = 2 })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -118,12 +118,12 @@
 
 func TestColdStart(t *testing.T) {
 	x, _ := newTarget(t, func(c *Config) { c.ColdStart, c.ColdFactor = time.Hour, 4 })
-	require.Equal(t, 4*time.Second, x.slowed(time.Second))
+	require.Equal(t, 4*time.Second, x.workDuration(time.Second))
 	x.started = x.started.Add(-2 * time.Hour)
-	require.Equal(t, time.Second, x.slowed(time.Second))
+	require.Equal(t, time.Second, x.workDuration(time.Second))
 }
 
-func TestFailedWorkIsInTheAccount(t *testing.T) {
+func TestFailedWorkIsRecorded(t *testing.T) {
 	x, url := newTarget(t, func(c *Config) { c.FailWork = 1 })
 	resp, _ := get(t, url+PathWork+"?id=w&takes=1ms")
 	require.Equal(t, http.StatusInternalServerError, resp.StatusCode)
@@ -171,7 +171,7 @@
 	require.False(t, ok)
 }
 
-func TestPortOfTargetIsItsOwnForUDPToo(t *testing.T) {
+func TestTargetOwnsItsUDPPort(t *testing.T) {
 	x, _ := newTarget(t, nil)
 	_, err := Start(Config{Service: "route-svc", ID: "r2", Listen: x.Addr()}, nil)
 	require.Error(t, err)
--- a/internal/standin/target/work.go
+++ b/internal/standin/target/work.go
@@ -14,23 +14,23 @@
 		http.Error(w, "takes is no duration", http.StatusBadRequest)
 		return
 	}
-	if !t.takeSlot() {
+	if !t.acquireSlot() {
 		t.shed.Add(1)
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "no slot is free", http.StatusServiceUnavailable)
 		return
 	}
-	defer t.freeSlot()
+	defer t.releaseSlot()
 	i := t.journal.start(Run{ID: r.URL.Query().Get("id"), Target: t.cfg.ID, Start: time.Now()})
-	cancelled := wait.For(r.Context(), t.slowed(takes)) != nil
-	failed := t.fails()
+	cancelled := wait.For(r.Context(), t.workDuration(takes)) != nil
+	failed := t.drawFailure()
 	t.journal.end(i, time.Now(), cancelled, failed)
 	if failed {
 		http.Error(w, "work failed", http.StatusInternalServerError)
 	}
 }
 
-func (t *Target) takeSlot() bool {
+func (t *Target) acquireSlot() bool {
 	if t.slots == nil {
 		return true
 	}
@@ -42,21 +42,21 @@
 	}
 }
 
-func (t *Target) freeSlot() {
+func (t *Target) releaseSlot() {
 	if t.slots != nil {
 		<-t.slots
 	}
 }
 
-// slowed returns how long work takes, longer while the target is cold.
-func (t *Target) slowed(takes time.Duration) time.Duration {
+// workDuration returns how long work takes, longer while the target is cold.
+func (t *Target) workDuration(takes time.Duration) time.Duration {
 	if time.Since(t.started) < t.cfg.ColdStart {
 		return time.Duration(float64(takes) * t.cfg.ColdFactor)
 	}
 	return takes
 }
 
-func (t *Target) fails() bool {
+func (t *Target) drawFailure() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.random.Float64() < t.cfg.FailWork
