--- a/cmd/auburnwood-agent/main.go
+++ b/cmd/auburnwood-agent/main.go
@@ -1,4 +1,4 @@
-// Command auburnwood-agent runs beside a target: it ends the callers' connections and hands them to the target.
+// Command auburnwood-agent runs beside a target: it terminates callers' connections and proxies them to the target.
 package main
 
 import (
--- a/cmd/auburnwood-balancer/main.go
+++ b/cmd/auburnwood-balancer/main.go
@@ -1,4 +1,4 @@
-// Command auburnwood-balancer takes packets from the fabric and forwards them to the agents beside the targets.
+// Command auburnwood-balancer receives packets from the fabric and forwards them to the agents beside the targets.
 package main
 
 import (
--- a/cmd/auburnwood-lab/main.go
+++ b/cmd/auburnwood-lab/main.go
@@ -1,4 +1,5 @@
-// Command auburnwood-lab runs auburnwood on loopback with stand-ins: the demo, the fault runs and the measurements.
+// Command auburnwood-lab runs auburnwood on loopback with stand-ins for outside systems: the demo, fault tests and
+// measurements.
 package main
 
 import (
--- a/cmd/auburnwoodctl/main.go
+++ b/cmd/auburnwoodctl/main.go
@@ -21,7 +21,7 @@
 	os.Exit(code)
 }
 
-// app returns the program on the streams of the process.
+// app returns the program with the standard streams of the process.
 func app() ctl.App {
 	return ctl.App{
 		Stdin:    os.Stdin,
@@ -33,13 +33,14 @@
 	}
 }
 
-// Calls a second of one run, and calls at once; an operator's run is short and may store many services.
+// callRate bounds the object API calls per second of one run, callBurst the calls in a burst. A run is short but may store
+// many services.
 const (
 	callRate  = 50
 	callBurst = 50
 )
 
-// open returns the object API at a URL, with reads that are tried again within a budget.
+// open returns a client of the object API at a URL, with calls limited to the budget and reads retried within it.
 func open(p ctl.Protocol, server string, timeout time.Duration) objectapi.Store {
 	var client objectapi.Store
 	switch p {
--- a/cmd/auburnwoodctl/main_test.go
+++ b/cmd/auburnwoodctl/main_test.go
@@ -18,7 +18,7 @@
 	"github.com/auburnwood/auburnwood/platform/platformtest"
 )
 
-// recordRefusal stores the refusal of one flow, as a balancer does, and returns the record's ID.
+// recordRefusal stores the refusal of one flow as a balancer does and returns the record's ID.
 func recordRefusal(t *testing.T, s objectapi.Store, flow uint64) string {
 	l := refusal.NewLog(refusal.Config{Process: "balancer-1", Incarnation: 1, Store: s, Logger: zerolog.Nop(), Scope: tally.NoopScope})
 	id := l.Record(refusal.Record{
--- a/internal/archtest/deps_test.go
+++ b/internal/archtest/deps_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moduleRow is the first cell of a row of the dependency page that names a module.
+// moduleRow matches a table row of the dependency page whose first cell is a module path.
 var moduleRow = regexp.MustCompile("(?m)^\\| `([a-z0-9.]+\\.[a-z]+/[^`]+)` \\|")
 
 // TestDependenciesAreExplained compares the modules that go.mod requires directly with those of the dependency page.
@@ -26,7 +26,7 @@
 	require.ElementsMatch(t, required, explained)
 }
 
-// directModules returns the modules that go.mod requires without the mark for indirect ones.
+// directModules returns the modules that go.mod requires directly.
 func directModules(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "go.mod"))
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -18,10 +18,10 @@
 	module = "github.com/auburnwood/auburnwood/"
 )
 
-// sourceDirs hold all code.
+// sourceDirs are the directories of all Go code of the module.
 var sourceDirs = []string{"pkg", "internal", "cmd", "platform"}
 
-// decisionPackages do no input or output and read no clock.
+// decisionPackages perform no I/O and read no clock, so that their decisions are deterministic.
 var decisionPackages = []string{
 	"pkg/arbiter", "pkg/flow", "pkg/limit", "pkg/membership", "pkg/packet", "pkg/placement", "pkg/resource",
 	"pkg/rollout", "pkg/ticket", "pkg/view", "pkg/wire", "pkg/dsr/admission", "pkg/dsr/announcement",
@@ -39,7 +39,7 @@
 	"Since": true, "Until": true,
 }
 
-// ioFiles are the files of decision packages that take the object API or a clock from outside.
+// ioFiles are the files of decision packages that are exempt, since they are given the object API or a clock.
 var ioFiles = map[string]bool{"group_writer.go": true, "read_groups.go": true}
 
 func sourceFiles(t *testing.T, dir string) map[string]*ast.File {
@@ -107,7 +107,7 @@
 	}
 }
 
-// processStarter is the one package that may start processes: it runs the daemons to make faults from outside them.
+// processStarter is the only package that may start processes: it runs the daemons to inject faults from outside.
 const processStarter = "internal/lab/soak"
 
 func TestNoPackageStartsProcesses(t *testing.T) {
@@ -118,7 +118,7 @@
 				require.NotEqual(t, "net/http/httputil", imported, path)
 				require.False(t, imported == "os/exec" && !within, "%s starts processes", path)
 				lab := strings.Contains(path, filepath.Join("internal", "lab", "command"))
-				require.False(t, imported == module+processStarter && !lab, "%s imports what starts processes", path)
+				require.False(t, imported == module+processStarter && !lab, "%s imports the package that starts processes", path)
 			}
 		}
 	}
--- a/internal/archtest/platform_test.go
+++ b/internal/archtest/platform_test.go
@@ -15,12 +15,12 @@
 
 const (
 	platformDir = "platform"
-	// maxPlatformLines keeps the adapter a translation.
+	// maxPlatformLines bounds the lines of the adapter's source files without tests: logic belongs into pkg.
 	maxPlatformLines = 1500
 )
 
-// TestPlatformOnlyTranslates checks that the adapter imports no package that decides or runs in its own right, but the
-// daemons whose interface it fills.
+// TestPlatformOnlyTranslates checks that the adapter reads no clock and imports only data types, the object API and package
+// dsrd, whose Platform interface it implements; platformtest may import more.
 func TestPlatformOnlyTranslates(t *testing.T) {
 	for path, f := range sourceFiles(t, platformDir) {
 		for _, imported := range imports(f) {
@@ -46,8 +46,8 @@
 	require.Less(t, lines, maxPlatformLines)
 }
 
-// TestOnlyPlatformNamesItsFields checks that no other code spells a field of the platform's documents. Names of one word
-// are not the platform's alone.
+// TestOnlyPlatformNamesItsFields checks that no other code contains a field name or path of the platform's protocols. Names
+// of one word are exempt, since other code uses them for its own fields.
 func TestOnlyPlatformNamesItsFields(t *testing.T) {
 	names := platformFields(t)
 	require.True(t, names["pathPrefix"], "the platform's fields are found")
@@ -62,7 +62,7 @@
 	}
 }
 
-// platformFields returns the names of fields in the adapter's documents that have more than one word.
+// platformFields returns the field names of the adapter's documents that have more than one word.
 func platformFields(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	for _, f := range sourceFiles(t, platformDir) {
@@ -85,7 +85,7 @@
 	return names
 }
 
-// fieldConstants returns the values of more than one word of the constants that name fields.
+// fieldConstants returns the values of constants named field..., where the value has more than one word.
 func fieldConstants(f *ast.File) []string {
 	var out []string
 	ast.Inspect(f, func(n ast.Node) bool {
--- a/internal/standin/fabric/caller.go
+++ b/internal/standin/fabric/caller.go
@@ -8,13 +8,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Caller is one caller's host with its own IP address.
+// Caller is a caller with its own IP address.
 type Caller struct {
-	addr netip.Addr
+	addr   netip.Addr
 	uplink *uplink
 }
 
-// NewCaller returns the caller with the address, and makes the fabric bring packets for it.
+// NewCaller returns a caller with the address and makes the fabric deliver packets for it.
 func (f *Fabric) NewCaller(addr netip.Addr) *Caller {
 	f.callersMu.Lock()
 	defer f.callersMu.Unlock()
@@ -33,7 +33,7 @@
 func (c *Caller) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	remote, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, trace.BadParameter("caller %v: %q is no IP address and port", c.addr, address)
+		return nil, trace.BadParameter("caller %v: %q is not an IP address and port", c.addr, address)
 	}
 	return c.Dial(ctx, network, netip.AddrPortFrom(c.addr, 0), remote)
 }
--- a/internal/standin/fabric/counts.go
+++ b/internal/standin/fabric/counts.go
@@ -4,17 +4,17 @@
 
 // Counts are the fabric's totals in packets.
 type Counts struct {
-	// ToBalancers were sent to balancers, duplicates included.
+	// ToBalancers counts packets sent to balancers, duplicates included.
 	ToBalancers uint64
-	// Lost were dropped on purpose.
+	// Lost counts packets dropped by the loss fault or because sending failed.
 	Lost uint64
-	// Duplicated were sent twice on purpose.
+	// Duplicated counts packets sent twice by the duplicate fault.
 	Duplicated uint64
-	// Unroutable were dropped because no balancer was known.
+	// Unroutable counts packets dropped because the fabric had no balancer.
 	Unroutable uint64
-	// ToCallers reached a caller.
+	// ToCallers counts packets delivered to a caller.
 	ToCallers uint64
-	// Stray had no caller at their destination or were no IP packets.
+	// Stray counts packets that are malformed or whose destination is not a caller.
 	Stray uint64
 }
 
--- a/internal/standin/fabric/doc.go
+++ b/internal/standin/fabric/doc.go
@@ -1,5 +1,5 @@
-// Package fabric stands in for the platform's network fabric: it sprays each packet of its callers over the balancers by
-// UDP on loopback, and brings the packets that agents send back to the right caller.
+// Package fabric stands in for the platform's network fabric: it sprays the packets of its callers over the balancers by
+// UDP on loopback, and delivers the packets that agents send back to their caller.
 //
-// It can lose, duplicate and delay packets, and it learns of a change of the balancers only after a set time.
+// It can lose, duplicate and delay packets, and applies changes of the set of balancers only after a configured time.
 package fabric
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -24,7 +24,7 @@
 type Fabric struct {
 	cfg     Config
 	conn    *net.UDPConn
-	uplinks   []*uplink
+	uplinks []*uplink
 	members members
 	counts  counters
 
@@ -35,7 +35,7 @@
 	done   sync.WaitGroup
 }
 
-// uplink is one TCP stack with its own source of randomness and its own socket.
+// uplink is a TCP stack shared by several callers, with its own random source and its own socket towards the balancers.
 type uplink struct {
 	fabric *Fabric
 	stack  *netstack.Stack
@@ -44,7 +44,7 @@
 	random *rand.Rand
 }
 
-// New opens the sockets and starts carrying packets.
+// New opens the sockets and starts forwarding packets.
 func New(cfg Config) (*Fabric, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -100,26 +100,26 @@
 // Counts returns the totals so far.
 func (f *Fabric) Counts() Counts { return f.counts.read() }
 
-// Balancers returns the balancers that the fabric knows at the moment.
+// Balancers returns the balancers that the fabric currently sends to.
 func (f *Fabric) Balancers() []netip.AddrPort { return f.members.load() }
 
-// AddBalancer lets the fabric send packets to a balancer once the join lag is over.
+// AddBalancer makes the fabric send packets to a balancer after Config.JoinLag.
 func (f *Fabric) AddBalancer(a netip.AddrPort) {
 	f.after(f.cfg.JoinLag, func() { f.members.add(a) })
 }
 
-// RemoveBalancer lets the fabric stop sending packets to a balancer once the detection time is over.
+// RemoveBalancer makes the fabric stop sending packets to a balancer after Config.Detection.
 func (f *Fabric) RemoveBalancer(a netip.AddrPort) {
 	f.after(f.cfg.Detection, func() { f.members.remove(a) })
 }
 
-// SendTo sends one datagram to a balancer as it is; tests use it for hostile input.
+// SendTo sends one datagram to a balancer unchanged; tests use it for malformed input.
 func (f *Fabric) SendTo(balancer netip.AddrPort, datagram []byte) error {
 	_, err := f.conn.WriteToUDPAddrPort(datagram, balancer)
 	return trace.Wrap(err, "fabric: send to %v", balancer)
 }
 
-// Close stops everything; callers' connections end without a word.
+// Close stops the fabric and cuts callers' connections.
 func (f *Fabric) Close() {
 	close(f.closed)
 	_ = f.conn.Close()
@@ -138,7 +138,7 @@
 	time.AfterFunc(d, do)
 }
 
-// readReplies brings packets from agents to their callers.
+// readReplies delivers packets from agents to their callers.
 func (f *Fabric) readReplies() {
 	b := make([]byte, maxPacketSize)
 	for {
@@ -188,34 +188,34 @@
 	lost := s.random.Float64() < f.cfg.Loss
 	twice := s.random.Float64() < f.cfg.Duplicate
 	again := balancers[s.random.IntN(len(balancers))]
-	hold := s.hold()
+	delay := s.delay()
 	s.mu.Unlock()
 	if lost {
 		f.counts.lost.Add(1)
 		return
 	}
-	s.sendAfter(hold, to, p)
+	s.sendAfter(delay, to, p)
 	if twice {
 		f.counts.duplicated.Add(1)
-		s.sendAfter(hold, again, p)
+		s.sendAfter(delay, again, p)
 	}
 }
 
-// hold draws the time for which a packet is held back; the caller holds the lock.
-func (s *uplink) hold() time.Duration {
+// delay draws the delay of a packet; s.mu is held.
+func (s *uplink) delay() time.Duration {
 	if s.fabric.cfg.Delay <= 0 {
 		return 0
 	}
 	return time.Duration(s.random.Int64N(int64(s.fabric.cfg.Delay)))
 }
 
-func (s *uplink) sendAfter(hold time.Duration, to netip.AddrPort, p []byte) {
-	if hold == 0 {
+func (s *uplink) sendAfter(delay time.Duration, to netip.AddrPort, p []byte) {
+	if delay == 0 {
 		s.send(to, p)
 		return
 	}
 	kept := append([]byte(nil), p...)
-	time.AfterFunc(hold, func() { s.send(to, kept) })
+	time.AfterFunc(delay, func() { s.send(to, kept) })
 }
 
 func (s *uplink) send(to netip.AddrPort, p []byte) {
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -14,7 +14,7 @@
 
 var service = netip.MustParseAddrPort("198.51.100.1:80")
 
-// echoHost ends callers' connections behind several sockets that stand for balancers.
+// echoHost echoes callers' connections; it receives packets on several sockets that stand in for balancers.
 type echoHost struct {
 	stack *netstack.Stack
 	conns []*net.UDPConn
@@ -141,7 +141,7 @@
 	f.AddBalancer(a)
 	f.AddBalancer(a)
 	f.RemoveBalancer(a)
-	require.Equal(t, []netip.AddrPort{a}, f.Balancers(), "a dead balancer is not noticed at once")
+	require.Equal(t, []netip.AddrPort{a}, f.Balancers(), "a removed balancer stays until the detection time is over")
 	f.cfg.Detection = 0
 	f.RemoveBalancer(a)
 	require.Empty(t, f.Balancers())
--- a/internal/standin/fabric/members.go
+++ b/internal/standin/fabric/members.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// members is the set of balancers that the fabric knows at the moment.
+// members is the set of balancers that the fabric currently sends to.
 type members struct {
 	mu    sync.Mutex
 	known atomic.Pointer[[]netip.AddrPort]
--- a/internal/standin/store/config.go
+++ b/internal/standin/store/config.go
@@ -19,9 +19,9 @@
 	History int
 	// WatchWait is how long a watch waits for an event before it returns none.
 	WatchWait time.Duration
-	// Seed makes the random faults repeatable.
+	// Seed makes the random faults reproducible.
 	Seed uint64
-	// Era is the era in which the store starts; a store in era 0 names none until it comes back from a copy.
+	// Era is the era in which the store starts; a store in era 0 names no era until it is restored from a snapshot.
 	Era uint64
 	// Now is the clock; the default is time.Now.
 	Now func() time.Time
--- a/internal/standin/store/doc.go
+++ b/internal/standin/store/doc.go
@@ -1,2 +1,2 @@
-// Package store is a small stand-in for the platform's object API, in memory and with faults, for tests and the lab.
+// Package store is an in-memory stand-in for the platform's object API with fault injection, for tests and the lab.
 package store
--- a/internal/standin/store/http.go
+++ b/internal/standin/store/http.go
@@ -8,12 +8,12 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Handler serves the store by HTTP. Where an answer is lost, it cuts the connection, as a store that dies would.
+// Handler serves the store over HTTP. When an answer is lost, it aborts the connection, as a crashing store would.
 func Handler(s objectapi.Store) http.Handler {
 	return objectapi.Handler(abortingStore{s})
 }
 
-// abortingStore ends the HTTP exchange without an answer when the outcome of a write must stay unknown.
+// abortingStore aborts the HTTP exchange without a response when a write fails with ErrOutcomeUnknown.
 type abortingStore struct {
 	objectapi.Store
 }
@@ -39,7 +39,7 @@
 	return err
 }
 
-// abortIfUnknown ends the exchange; net/http drops the connection on this panic value without a log line.
+// abortIfUnknown panics with http.ErrAbortHandler on ErrOutcomeUnknown; net/http then drops the connection without logging.
 func abortIfUnknown(err error) {
 	if errors.Is(err, objectapi.ErrOutcomeUnknown) {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/store/injector.go
+++ b/internal/standin/store/injector.go
@@ -9,20 +9,20 @@
 // NewInjector returns the injector of a store without faults.
 func NewInjector(s *Store) *Injector { return &Injector{store: s} }
 
-// Refuse refuses every call, or none.
+// Refuse sets whether the store refuses every call.
 func (i *Injector) Refuse(on bool) {
 	i.faults.Outage = on
 	i.store.SetFaults(i.faults)
 }
 
-// LoseAnswers loses the answers of the next n writes.
+// LoseAnswers makes the answers of the next n writes get lost.
 func (i *Injector) LoseAnswers(n int) {
 	f := i.faults
 	f.LoseNext = n
 	i.store.SetFaults(f)
 }
 
-// DropWrites loses every write before it takes effect, or none.
+// DropWrites sets whether every write is lost before it takes effect.
 func (i *Injector) DropWrites(on bool) {
 	i.faults.DropShare = 0
 	if on {
@@ -31,10 +31,10 @@
 	i.store.SetFaults(i.faults)
 }
 
-// ExpireWatches drops the history, so that watches have to begin anew.
+// ExpireWatches clears the history, so that watches have to be restarted from a list.
 func (i *Injector) ExpireWatches() { i.store.ClearHistory() }
 
-// Repeat makes each watch report the last n events again.
+// Repeat makes each watch repeat the last n events.
 func (i *Injector) Repeat(n int) {
 	i.faults.Duplicate = n
 	i.store.SetFaults(i.faults)
--- a/internal/standin/store/restore.go
+++ b/internal/standin/store/restore.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Snapshot is a copy of a store's objects and history, from which it can come back.
+// Snapshot is a copy of a store's objects and history, for Restore.
 type Snapshot struct {
 	objects map[key]objectapi.Object
 	history []event
@@ -16,7 +16,7 @@
 	trimmed uint64
 }
 
-// Snapshot returns a copy of the store as it is now.
+// Snapshot returns a copy of the store's current objects and history.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,9 +28,9 @@
 	}
 }
 
-// Restore replaces the objects and the history by those of an earlier copy and begins the next era, in which revisions go on from
-// those of the copy. What was written since is lost, except for objects of the kinds in rewritten: they are written again as they
-// are now, in the order of their versions. Waiting watches fail.
+// Restore replaces the objects and the history by those of a snapshot and begins the next era, in which revisions continue
+// from those of the snapshot. Later writes are lost, except for objects of the kinds in rewritten: their current state is
+// written again, in the order of their versions. Waiting watches fail with ErrUnavailable.
 func (s *Store) Restore(c Snapshot, rewritten ...objectapi.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,8 @@
 	return objectapi.EraOf(s.version)
 }
 
-// rewriteLost writes the lost objects of some kinds again and deletes those that were deleted; s.mu is held.
+// rewriteLost brings objects of the given kinds back to their state in lost, and deletes those that are not in it; s.mu is
+// held.
 func (s *Store) rewriteLost(lost map[key]objectapi.Object, kinds []objectapi.Kind) {
 	objects := slices.Collect(maps.Values(lost))
 	slices.SortFunc(objects, func(a, b objectapi.Object) int { return cmp.Compare(a.Version, b.Version) })
@@ -90,14 +91,14 @@
 	return o
 }
 
-// Version returns the version of a revision in an era.
+// Version returns the version of a revision in an era; it panics when either is out of range.
 func Version(era, revision uint64) uint64 {
 	v, err := objectapi.MakeVersion(era, revision)
 	if err != nil {
-		panic(err) // No test restores a store millions of times.
+		panic(err) // Eras are out of range only after millions of restores.
 	}
 	return v
 }
 
-// inEra moves a version to another era.
+// inEra returns the version with the same revision in another era.
 func inEra(era, version uint64) uint64 { return Version(era, objectapi.RevisionOf(version)) }
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -21,7 +21,7 @@
 var _ objectapi.Store = (*Store)(nil)
 
 var (
-	errRestored = errors.New("the store came back from a copy")
+	errRestored = errors.New("store was restored from a snapshot")
 	errOutage   = errors.New("outage")
 	errRate     = errors.New("rate limit")
 	errLost     = errors.New("answer lost")
@@ -40,7 +40,7 @@
 	at time.Time
 }
 
-// Store is an object API in memory; safe for concurrent use.
+// Store is an in-memory object API; it is safe for concurrent use.
 type Store struct {
 	cfg Config
 
@@ -51,7 +51,7 @@
 	history []event
 	// trimmed is the highest version that the history no longer holds.
 	trimmed uint64
-	// changed is closed and replaced when a kind gets an event or the faults change.
+	// changed holds the channels that wake closes when a kind gets an event, or the faults or the history change.
 	changed map[objectapi.Kind]chan struct{}
 	faults  Faults
 	limiter *rate.Limiter
@@ -87,7 +87,7 @@
 	}
 }
 
-// ClearHistory forgets all events, so that every watch from an earlier version gets ErrExpired.
+// ClearHistory removes all events, so that every watch from an earlier version fails with ErrExpired.
 func (s *Store) ClearHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Counts returns the calls so far.
+// Counts returns a copy of the call counts so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +163,7 @@
 	return err
 }
 
-// write applies one write, with the faults before and after.
+// write applies one write and injects the faults before and after it.
 func (s *Store) write(ctx context.Context, op objectapi.Op, o objectapi.Object) (objectapi.Object, error) {
 	if err := s.enter(ctx, op, o.Kind, o.Name); err != nil {
 		return objectapi.Object{}, err
@@ -186,7 +186,7 @@
 	return clone(out), nil
 }
 
-// apply checks the condition and changes the state; s.mu is held.
+// apply checks the write's condition and applies it; s.mu is held.
 func (s *Store) apply(op objectapi.Op, o objectapi.Object) (objectapi.Object, error) {
 	k := key{o.Kind, o.Name}
 	old, ok := s.objects[k]
@@ -212,13 +212,13 @@
 	if n := len(s.history) - s.cfg.History; n > 0 {
 		s.trimmed = s.history[n-1].Object.Version
 	}
-	if len(s.history) >= 2*s.cfg.History { // Moved in one go, so that a write costs no copy of the history.
+	if len(s.history) >= 2*s.cfg.History { // Trimmed in batches, so that not every write moves the history.
 		s.history = slices.Delete(s.history, 0, len(s.history)-s.cfg.History)
 	}
 	s.wake(e.Object.Kind)
 }
 
-// wake ends the waits of a kind's watches; s.mu is held.
+// wake wakes the watches of a kind; s.mu is held.
 func (s *Store) wake(kind objectapi.Kind) {
 	if c, ok := s.changed[kind]; ok {
 		close(c)
@@ -226,7 +226,7 @@
 	}
 }
 
-// enter counts the call, waits out the latency and refuses it when a fault says so.
+// enter checks the kind and name, counts the call, refuses it if a fault is set and waits for the latency.
 func (s *Store) enter(ctx context.Context, op objectapi.Op, kind objectapi.Kind, name string) error {
 	err := objectapi.CheckKind(kind)
 	if op != objectapi.OpList && op != objectapi.OpWatch {
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// admit counts the call and returns its latency, or the fault that refuses it.
+// admit counts the call and returns its latency, or the error of the fault that refuses it.
 func (s *Store) admit(op objectapi.Op) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,12 +269,12 @@
 	return d, nil
 }
 
-// chance draws with a probability; s.mu is held.
+// chance returns true with probability p; s.mu is held.
 func (s *Store) chance(p float64) bool {
 	return p > 0 && s.rng.Float64() < p
 }
 
-// shouldLoseAnswer says whether this answer is lost; s.mu is held.
+// shouldLoseAnswer reports whether the answer of this write is lost; s.mu is held.
 func (s *Store) shouldLoseAnswer() bool {
 	if s.faults.LoseNext > 0 {
 		s.faults.LoseNext--
@@ -283,7 +283,7 @@
 	return s.chance(s.faults.LoseShare)
 }
 
-// clone keeps callers from sharing bytes with the store.
+// clone copies the object's value, so that clients and the store share no memory.
 func clone(o objectapi.Object) objectapi.Object {
 	o.Value = bytes.Clone(o.Value)
 	return o
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// TestTimedFaults checks the faults that only time shows; the others are in the contract tests.
+// TestTimedFaults checks the faults that depend on time; the contract tests check the others.
 func TestTimedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{WatchWait: 10 * time.Second})
@@ -40,7 +40,7 @@
 		events, _, err := s.Watch(t.Context(), "other", o.Version)
 		require.NoError(t, err)
 		require.Len(t, events, 1)
-		require.Zero(t, time.Since(began), "the later event of another kind comes first")
+		require.Zero(t, time.Since(began), "the later event of another kind is not delayed")
 		events, next, err := s.Watch(t.Context(), "thing", o.Version-1)
 		require.NoError(t, err)
 		require.Len(t, events, 1)
@@ -54,7 +54,7 @@
 	})
 }
 
-// TestOutageEndsWatches checks that a waiting watch learns of an outage.
+// TestOutageEndsWatches checks that a waiting watch fails at the start of an outage.
 func TestOutageEndsWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{WatchWait: time.Hour})
--- a/internal/standin/store/watch.go
+++ b/internal/standin/store/watch.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-var errFuture = errors.New("version is above the store's")
+var errFuture = errors.New("watch version is above the store's version")
 
 // Watch implements objectapi.Store.
 func (s *Store) Watch(ctx context.Context, kind objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
@@ -40,13 +40,13 @@
 	}
 }
 
-// pollResult is what a watch finds at one look.
+// pollResult is the result of one look of a watch at the history.
 type pollResult struct {
 	events []objectapi.Event
 	next   uint64
-	// hasEvents says that there is an event after the version asked for.
+	// hasEvents is set when there is an event after the requested version.
 	hasEvents bool
-	// retry is when a held event is due; 0 when none is held.
+	// retry is the time until a delayed event is due; 0 when there is none.
 	retry   time.Duration
 	changed <-chan struct{}
 	err     error
@@ -84,7 +84,7 @@
 	return p
 }
 
-// duplicates are the last events up to a version, which the duplicate fault reports again; s.mu is held.
+// duplicates returns the last events up to a version, which the Duplicate fault repeats; s.mu is held.
 func (s *Store) duplicates(kind objectapi.Kind, from uint64) []objectapi.Event {
 	var out []objectapi.Event
 	for i := s.indexAfter(from) - 1; i >= 0 && len(out) < s.faults.Duplicate; i-- {
@@ -96,7 +96,7 @@
 	return out
 }
 
-// indexAfter is the index of the first event above a version; s.mu is held.
+// indexAfter returns the index of the first event above a version; s.mu is held.
 func (s *Store) indexAfter(version uint64) int {
 	i, _ := slices.BinarySearchFunc(s.history, version+1, func(e event, v uint64) int {
 		return cmp.Compare(e.Object.Version, v)
@@ -104,7 +104,7 @@
 	return i
 }
 
-// changeChan returns the channel that closes at the kind's next change; s.mu is held.
+// changeChan returns a channel that is closed at the kind's next wake; s.mu is held.
 func (s *Store) changeChan(kind objectapi.Kind) <-chan struct{} {
 	c, ok := s.changed[kind]
 	if !ok {
@@ -114,7 +114,7 @@
 	return c
 }
 
-// await returns at a change, after a time, or with the context's error.
+// await returns nil at a change or after d, or the context's error.
 func (s *Store) await(ctx context.Context, changed <-chan struct{}, d time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/standin/target/checker.go
+++ b/internal/standin/target/checker.go
@@ -19,10 +19,10 @@
 	return &Checker{want: Content(service, flow)}
 }
 
-// Size returns the number of bytes that were right.
+// Size returns the number of bytes in the writes that matched.
 func (c *Checker) Size() int64 { return c.size }
 
-// Write compares b with the next bytes of the content; it returns trace.CompareFailed at the first difference.
+// Write compares b with the next bytes of the content; it returns trace.CompareFailed when they differ.
 func (c *Checker) Write(b []byte) (int, error) {
 	if cap(c.buf) < len(b) {
 		c.buf = make([]byte, len(b))
--- a/internal/standin/target/config.go
+++ b/internal/standin/target/config.go
@@ -9,29 +9,28 @@
 
 // Config holds a target's settings.
 type Config struct {
-	// Service is the name of the service that the target truly serves.
+	// Service is the name of the service that the target actually serves.
 	Service string
-	// ID names the target.
-	ID string
-	// Version is the version that the target runs.
+	ID      string
+	// Version is the version of the target's software.
 	Version string
-	// Listen is the address; the zero value takes a free port of 127.0.0.1.
+	// Listen is the address; the zero value means a free port of 127.0.0.1.
 	Listen netip.AddrPort
-	// Slots is the number of requests for work that run at once; more are shed. 0 means no bound.
+	// Slots is the number of work requests that run at once; further ones are shed. 0 means no limit.
 	Slots int
-	// Connections is the highest number of open connections; more are closed at once. 0 means no bound.
+	// Connections is the maximum number of open connections; further ones are reset. 0 means no limit.
 	Connections int
-	// ColdStart is the time after the start in which work takes ColdFactor times as long.
+	// ColdStart is the time after the start during which work takes ColdFactor times as long.
 	ColdStart time.Duration
 	// ColdFactor is at least 1; 0 means 1.
 	ColdFactor float64
-	// FalseLoad, when not nil, turns the true number of open connections into the reported one.
+	// FalseLoad, when not nil, maps the actual number of open connections to the reported one.
 	FalseLoad func(open int) int
-	// FailWork is the probability, 0 to 1, that a request for work fails with status 500 after it ran.
+	// FailWork is the probability, 0 to 1, that a work request fails with status 500 after it ran.
 	FailWork float64
 	// ProxyProtocol expects a PROXY protocol header on each connection.
 	ProxyProtocol bool
-	// Seed makes random failures repeatable.
+	// Seed makes random failures reproducible.
 	Seed uint64
 }
 
--- a/internal/standin/target/content.go
+++ b/internal/standin/target/content.go
@@ -9,7 +9,7 @@
 
 const wordSize = 8
 
-// content is an endless stream of bytes that depends on the service, the flow's name and nothing else.
+// content is an endless stream of bytes, determined by the service and the flow's name.
 type content struct {
 	state uint64
 	word  [wordSize]byte
@@ -33,7 +33,7 @@
 	return len(b), nil
 }
 
-// next draws a word by SplitMix64.
+// next generates the next word with SplitMix64.
 func (c *content) next() {
 	c.state += 0x9e3779b97f4a7c15
 	z := c.state
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -32,7 +32,7 @@
 	q := r.URL.Query()
 	size, err := strconv.ParseInt(q.Get("size"), 10, 64)
 	if err != nil || size < 0 {
-		http.Error(w, "size is no number of bytes", http.StatusBadRequest)
+		http.Error(w, "parameter size is not a number of bytes", http.StatusBadRequest)
 		return
 	}
 	chunk, every, err := parsePace(q.Get("chunk"), q.Get("every"))
@@ -49,18 +49,18 @@
 	sendPaced(w, r, body, chunk, every)
 }
 
-// parsePace reads the optional chunk size and interval.
+// parsePace parses the chunk size and the interval; both are 0 when every is empty.
 func parsePace(chunk, every string) (int64, time.Duration, error) {
 	if every == "" {
 		return 0, 0, nil
 	}
 	d, err := time.ParseDuration(every)
 	if err != nil || d <= 0 {
-		return 0, 0, fmt.Errorf("every %q is no duration", every)
+		return 0, 0, fmt.Errorf("parameter every: %q is not a positive duration", every)
 	}
 	n, err := strconv.ParseInt(chunk, 10, 64)
 	if err != nil || n <= 0 {
-		return 0, 0, fmt.Errorf("chunk %q is no number of bytes", chunk)
+		return 0, 0, fmt.Errorf("parameter chunk: %q is not a positive number of bytes", chunk)
 	}
 	return n, d, nil
 }
--- a/internal/standin/target/journal.go
+++ b/internal/standin/target/journal.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Run is the true account of one request for work.
+// Run is the record of one request to PathWork.
 type Run struct {
-	// ID is the caller's name for the work.
+	// ID is the caller's ID of the work.
 	ID string
-	// Target names the target that ran it.
+	// Target is the ID of the target that ran it.
 	Target string
 	// Start and End are when it ran.
 	Start, End time.Time
 	// Cancelled is true when the caller or agent cancelled it.
 	Cancelled bool
-	// Failed is true when the target answered with an error after it ran.
+	// Failed is true when the target answered with status 500 after running it.
 	Failed bool
 }
 
-// Journal keeps what truly ran; several targets may share one.
+// Journal records the work that targets ran, independently of what callers were answered; several targets may share one.
 type Journal struct {
 	mu   sync.Mutex
 	runs []Run
 }
 
-// Runs returns a copy of the account.
+// Runs returns a copy of the recorded runs.
 func (j *Journal) Runs() []Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/standin/target/label.go
+++ b/internal/standin/target/label.go
@@ -2,11 +2,11 @@
 
 import "bytes"
 
-// Label stands before the echoed bytes of each UDP answer and says who answers.
+// Label precedes the echoed bytes of each UDP response and identifies the target.
 type Label struct {
-	// Service is the service that the target truly serves.
+	// Service is the service that the target actually serves.
 	Service string
-	// Target names the target.
+	// Target is the target's ID.
 	Target string
 }
 
@@ -18,7 +18,7 @@
 	return append(b, 0)
 }
 
-// CutLabel splits an answer into its label and the echoed bytes; it returns false when there is no whole label.
+// CutLabel splits a response into its label and the echoed bytes; it returns false when the label is missing or incomplete.
 func CutLabel(b []byte) (Label, []byte, bool) {
 	service, rest, ok := bytes.Cut(b, []byte{0})
 	if !ok {
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -23,7 +23,7 @@
 	journal *Journal
 	slots   chan struct{}
 	open    atomic.Int64
-	peak atomic.Int64
+	peak    atomic.Int64
 	shed    atomic.Int64
 
 	mu     sync.Mutex
@@ -32,7 +32,8 @@
 	killed bool
 }
 
-// Start listens and serves TCP and, on the same port, UDP, which is echoed behind a Label. The journal may be shared; nil makes a new one.
+// Start serves HTTP and, on the same port, UDP datagrams, which are echoed behind a Label. The journal may be shared; nil
+// means a new one.
 func Start(cfg Config, journal *Journal) (*Target, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -73,22 +74,21 @@
 // Addr returns the address that the target listens on.
 func (t *Target) Addr() netip.AddrPort { return t.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Config returns the settings in force.
+// Config returns the settings, with defaults applied.
 func (t *Target) Config() Config { return t.cfg }
 
-// Open returns the true number of open connections.
+// Open returns the actual number of open connections.
 func (t *Target) Open() int { return int(t.open.Load()) }
 
-// PeakConnections returns the highest number of connections that were open at once.
+// PeakConnections returns the highest number of connections that were open at the same time.
 func (t *Target) PeakConnections() int { return int(t.peak.Load()) }
 
-// Shed returns the number of requests that found no slot.
+// Shed returns the number of work requests shed for lack of a free slot.
 func (t *Target) Shed() int { return int(t.shed.Load()) }
 
-// Journal returns the account of what ran.
 func (t *Target) Journal() *Journal { return t.journal }
 
-// Kill closes the listener and resets every connection, as when the process dies.
+// Kill closes the listener and resets every connection, as if the process died.
 func (t *Target) Kill() {
 	t.mu.Lock()
 	conns := t.conns
@@ -112,7 +112,7 @@
 	_ = c.Close()
 }
 
-// connState counts the open connections.
+// connState tracks the open connections.
 func (t *Target) connState(c net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
@@ -149,8 +149,8 @@
 // listenTries bounds the search for a port that is free for TCP and UDP.
 const listenTries = 20
 
-// listen opens both sockets on one port. When the port is free to choose, another one is tried if UDP lacks it: datagrams
-// for this target would reach whoever has the port.
+// listen opens both sockets on one port. When at names no port, it tries another one if the UDP port is taken, since
+// datagrams for this target would reach the process that owns it.
 func listen(at netip.AddrPort) (*net.TCPListener, *net.UDPConn, error) {
 	for try := 1; ; try++ {
 		ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -179,5 +179,5 @@
 	require.NoError(t, err)
 	defer taken.Close()
 	_, err = Start(Config{Service: "route-svc", ID: "r3", Listen: taken.LocalAddr().(*net.UDPAddr).AddrPort()}, nil)
-	require.Error(t, err, "a target that cannot take datagrams must not seem to")
+	require.Error(t, err, "a target without its UDP port must not start")
 }
--- a/internal/standin/target/work.go
+++ b/internal/standin/target/work.go
@@ -11,7 +11,7 @@
 func (t *Target) work(w http.ResponseWriter, r *http.Request) {
 	takes, err := time.ParseDuration(r.URL.Query().Get("takes"))
 	if err != nil {
-		http.Error(w, "takes is no duration", http.StatusBadRequest)
+		http.Error(w, "parameter takes is not a duration", http.StatusBadRequest)
 		return
 	}
 	if !t.acquireSlot() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// workDuration returns how long work takes, longer while the target is cold.
+// workDuration returns how long work takes; during ColdStart it is multiplied by ColdFactor.
 func (t *Target) workDuration(takes time.Duration) time.Duration {
 	if time.Since(t.started) < t.cfg.ColdStart {
 		return time.Duration(float64(takes) * t.cfg.ColdFactor)
--- a/proto/generate.sh
+++ b/proto/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Regenerates the committed protobuf code. Needs protoc; the plugins come through go.mod.
+# Regenerates the committed protobuf code. Requires protoc; the plugins are tools of go.mod.
 set -eu
 cd "$(dirname "$0")/.."
 bin=$(mktemp -d)
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Formats, lints, tests and fuzzes the whole module. It needs nothing but Go.
+# Checks formatting, lints, tests and fuzzes the whole module. Requires only Go.
 set -eu
 cd "$(dirname "$0")/.."
 fuzz_time=${FUZZ_TIME:-3000x}
--- a/scripts/run-processes.sh
+++ b/scripts/run-processes.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs an installation with each daemon as a process of its own on loopback, and proves by checked downloads that no flow
-# is cut while processes are replaced, frozen and killed. Usage: run-processes.sh [zarqa|saobien]
+# Runs an installation on loopback with each daemon in its own process, and checks by verified downloads that no flow
+# breaks while processes are replaced, paused and killed. Usage: run-processes.sh [zarqa|saobien]
 set -eu
 cd "$(dirname "$0")/.."
 deployment=${1:-zarqa}
@@ -12,7 +12,7 @@
 
 work=$(mktemp -d)
 pids=""
-# Only processes that this script started are ended, by their process numbers.
+# Only processes started by this script are killed, by PID.
 trap 'for p in $pids; do kill -CONT "$p" 2>/dev/null || true; kill -9 "$p" 2>/dev/null || true; done; rm -rf "$work"' EXIT
 
 go build -o "$work/bin/" ./cmd/...
@@ -43,8 +43,8 @@
 "$work/bin/auburnwoodctl" apply --wait 20s "$work/etc/services.json"
 sleep 2
 
-downloads "plain" $first 300 65536 0 0s
-downloads "plain" $second 300 65536 0 0s
+downloads "without faults" $first 300 65536 0 0s
+downloads "without faults" $second 300 65536 0 0s
 
 downloads "while a target drains, a balancer is killed and the object API is down" $first 40 2097152 16384 40ms > "$work/long.txt" &
 long=$!
@@ -61,9 +61,9 @@
 
 start balancer-1 auburnwood-balancer
 $lab --call "/balancer?number=1&present=true"
-downloads "just after the balancer came back" $second 200 65536 0 0s
+downloads "just after the balancer was restarted" $second 200 65536 0 0s
 
-frozen() { # description process seconds
+paused() { # description process seconds
   downloads "$1" $first 40 1048576 16384 40ms > "$work/long.txt" &
   long=$!
   sleep 1
@@ -74,13 +74,13 @@
   cat "$work/long.txt"
   case $(cat "$work/long.txt") in *'"broken":0,'*) ;; *) failed=1 ;; esac
 }
-frozen "while a balancer is frozen for 5 s" balancer-2 5
-frozen "while an agent is frozen for 4 s" $first-3 4
+paused "while a balancer is paused for 5 s" balancer-2 5
+paused "while an agent is paused for 4 s" $first-3 4
 
-downloads "after everything" $first 300 65536 0 0s
+downloads "after all faults" $first 300 65536 0 0s
 "$work/bin/auburnwoodctl" get
 
-echo "a call to an address of no service, and why it was refused:"
+echo "refusal of a call to an address without a service:"
 $lab --call "/refused?caller=10.3.0.1"
 for _ in 1 2 3 4 5 6 7 8 9 10; do
   "$work/bin/auburnwoodctl" explain --caller 10.3.0.1 > "$work/explain.txt"
@@ -90,8 +90,8 @@
 cat "$work/explain.txt"
 grep -q unknown-address "$work/explain.txt" || failed=1
 if [ $failed -ne 0 ]; then
-  echo "a download was broken"
+  echo "failed: a download broke, or the refusal was not recorded; logs are in out/"
   mkdir -p out && cp "$work"/*.log out/
   exit 1
 fi
-echo "separate processes: every download whole"
+echo "separate processes: no download broke"
