--- a/internal/standin/store/watch.go
+++ b/internal/standin/store/watch.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// pollResult is the result of one look of a watch at the history.
+// pollResult holds the events that are due for a watch, or what it has to wait for.
 type pollResult struct {
 	events []objectapi.Event
 	next   uint64
--- a/scripts/run-processes.sh
+++ b/scripts/run-processes.sh
@@ -94,4 +94,4 @@
   mkdir -p out && cp "$work"/*.log out/
   exit 1
 fi
-echo "separate processes: no download broke"
+echo "separate processes: every download whole"
