--- a/internal/standin/fabric/caller.go
+++ b/internal/standin/fabric/caller.go
@@ -8,22 +8,22 @@
 	"github.com/gravitational/trace"
 )
 
-// Caller is one caller's host with its own IP address.
+// Caller is a caller with its own IP address.
 type Caller struct {
-	addr netip.Addr
-	side *side
+	addr   netip.Addr
+	uplink *uplink
 }
 
-// NewCaller returns the caller with the address, and makes the fabric bring packets for it.
+// NewCaller returns a caller with the address and makes the fabric deliver packets for it.
 func (f *Fabric) NewCaller(addr netip.Addr) *Caller {
 	f.callersMu.Lock()
 	defer f.callersMu.Unlock()
 	s, ok := f.callers[addr]
 	if !ok {
-		s = f.sides[len(f.callers)%len(f.sides)]
+		s = f.uplinks[len(f.callers)%len(f.uplinks)]
 		f.callers[addr] = s
 	}
-	return &Caller{addr: addr, side: s}
+	return &Caller{addr: addr, uplink: s}
 }
 
 // Addr returns the caller's address.
@@ -33,7 +33,7 @@
 func (c *Caller) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	remote, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, trace.BadParameter("caller %v: %q is no IP address and port", c.addr, address)
+		return nil, trace.BadParameter("caller %v: %q is not an IP address and port", c.addr, address)
 	}
 	return c.Dial(ctx, network, netip.AddrPortFrom(c.addr, 0), remote)
 }
@@ -42,10 +42,10 @@
 func (c *Caller) Dial(ctx context.Context, network string, local, remote netip.AddrPort) (net.Conn, error) {
 	switch network {
 	case "tcp", "tcp4", "tcp6":
-		conn, err := c.side.stack.DialTCP(ctx, local, remote)
+		conn, err := c.uplink.stack.DialTCP(ctx, local, remote)
 		return conn, trace.Wrap(err)
 	case "udp", "udp4", "udp6":
-		conn, err := c.side.stack.DialUDP(local, remote)
+		conn, err := c.uplink.stack.DialUDP(local, remote)
 		return conn, trace.Wrap(err)
 	}
 	return nil, trace.BadParameter("caller %v: unknown network %q", c.addr, network)
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -24,19 +24,19 @@
 type Fabric struct {
 	cfg     Config
 	conn    *net.UDPConn
-	sides   []*side
+	uplinks []*uplink
 	members members
 	counts  counters
 
 	callersMu sync.RWMutex
-	callers   map[netip.Addr]*side
+	callers   map[netip.Addr]*uplink
 
 	closed chan struct{}
 	done   sync.WaitGroup
 }
 
-// side is one TCP stack with its own source of randomness and its own socket.
-type side struct {
+// uplink is a TCP stack shared by several callers, with its own random source and its own socket towards the balancers.
+type uplink struct {
 	fabric *Fabric
 	stack  *netstack.Stack
 	conn   *net.UDPConn
@@ -44,7 +44,7 @@
 	random *rand.Rand
 }
 
-// New opens the sockets and starts carrying packets.
+// New opens the sockets and starts forwarding packets.
 func New(cfg Config) (*Fabric, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -54,9 +54,9 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &Fabric{cfg: cfg, conn: conn, callers: make(map[netip.Addr]*side), closed: make(chan struct{})}
+	f := &Fabric{cfg: cfg, conn: conn, callers: make(map[netip.Addr]*uplink), closed: make(chan struct{})}
 	for i := range cfg.Stacks {
-		if err := f.addSide(uint64(i)); err != nil {
+		if err := f.addUplink(uint64(i)); err != nil {
 			f.Close()
 			return nil, trace.Wrap(err)
 		}
@@ -77,18 +77,18 @@
 	return conn, nil
 }
 
-func (f *Fabric) addSide(i uint64) error {
+func (f *Fabric) addUplink(i uint64) error {
 	conn, err := listen(netip.AddrPortFrom(f.cfg.Listen.Addr(), 0))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s := &side{fabric: f, conn: conn, random: rand.New(rand.NewPCG(f.cfg.Seed, i))}
+	s := &uplink{fabric: f, conn: conn, random: rand.New(rand.NewPCG(f.cfg.Seed, i))}
 	s.stack, err = netstack.New(netstack.Config{Output: s.spray})
 	if err != nil {
 		_ = conn.Close()
 		return trace.Wrap(err)
 	}
-	f.sides = append(f.sides, s)
+	f.uplinks = append(f.uplinks, s)
 	return nil
 }
 
@@ -100,30 +100,30 @@
 // Counts returns the totals so far.
 func (f *Fabric) Counts() Counts { return f.counts.read() }
 
-// Balancers returns the balancers that the fabric knows at the moment.
+// Balancers returns the balancers that the fabric currently sends to.
 func (f *Fabric) Balancers() []netip.AddrPort { return f.members.load() }
 
-// AddBalancer lets the fabric send packets to a balancer once the join lag is over.
+// AddBalancer makes the fabric send packets to a balancer after Config.JoinLag.
 func (f *Fabric) AddBalancer(a netip.AddrPort) {
 	f.after(f.cfg.JoinLag, func() { f.members.add(a) })
 }
 
-// RemoveBalancer lets the fabric stop sending packets to a balancer once the detection time is over.
+// RemoveBalancer makes the fabric stop sending packets to a balancer after Config.Detection.
 func (f *Fabric) RemoveBalancer(a netip.AddrPort) {
 	f.after(f.cfg.Detection, func() { f.members.remove(a) })
 }
 
-// SendTo sends one datagram to a balancer as it is; tests use it for hostile input.
+// SendTo sends one datagram to a balancer unchanged; tests use it for malformed input.
 func (f *Fabric) SendTo(balancer netip.AddrPort, datagram []byte) error {
 	_, err := f.conn.WriteToUDPAddrPort(datagram, balancer)
 	return trace.Wrap(err, "fabric: send to %v", balancer)
 }
 
-// Close stops everything; callers' connections end without a word.
+// Close stops the fabric and cuts callers' connections.
 func (f *Fabric) Close() {
 	close(f.closed)
 	_ = f.conn.Close()
-	for _, s := range f.sides {
+	for _, s := range f.uplinks {
 		s.stack.Close()
 		_ = s.conn.Close()
 	}
@@ -138,7 +138,7 @@
 	time.AfterFunc(d, do)
 }
 
-// readReplies brings packets from agents to their callers.
+// readReplies delivers packets from agents to their callers.
 func (f *Fabric) readReplies() {
 	b := make([]byte, maxPacketSize)
 	for {
@@ -161,7 +161,7 @@
 		f.counts.stray.Add(1)
 		return
 	}
-	s := f.sideOf(info.Key.Destination.Addr())
+	s := f.uplinkOf(info.Key.Destination.Addr())
 	if s == nil || !s.stack.Inject(b) {
 		f.counts.stray.Add(1)
 		return
@@ -169,14 +169,14 @@
 	f.counts.toCallers.Add(1)
 }
 
-func (f *Fabric) sideOf(a netip.Addr) *side {
+func (f *Fabric) uplinkOf(a netip.Addr) *uplink {
 	f.callersMu.RLock()
 	defer f.callersMu.RUnlock()
 	return f.callers[a]
 }
 
 // spray sends one packet of a caller to a balancer chosen at random.
-func (s *side) spray(p []byte) {
+func (s *uplink) spray(p []byte) {
 	f := s.fabric
 	balancers := f.members.load()
 	if len(balancers) == 0 {
@@ -188,37 +188,37 @@
 	lost := s.random.Float64() < f.cfg.Loss
 	twice := s.random.Float64() < f.cfg.Duplicate
 	again := balancers[s.random.IntN(len(balancers))]
-	hold := s.hold()
+	delay := s.delay()
 	s.mu.Unlock()
 	if lost {
 		f.counts.lost.Add(1)
 		return
 	}
-	s.sendAfter(hold, to, p)
+	s.sendAfter(delay, to, p)
 	if twice {
 		f.counts.duplicated.Add(1)
-		s.sendAfter(hold, again, p)
+		s.sendAfter(delay, again, p)
 	}
 }
 
-// hold draws the time for which a packet is held back; the caller holds the lock.
-func (s *side) hold() time.Duration {
+// delay draws the delay of a packet; s.mu is held.
+func (s *uplink) delay() time.Duration {
 	if s.fabric.cfg.Delay <= 0 {
 		return 0
 	}
 	return time.Duration(s.random.Int64N(int64(s.fabric.cfg.Delay)))
 }
 
-func (s *side) sendAfter(hold time.Duration, to netip.AddrPort, p []byte) {
-	if hold == 0 {
+func (s *uplink) sendAfter(delay time.Duration, to netip.AddrPort, p []byte) {
+	if delay == 0 {
 		s.send(to, p)
 		return
 	}
 	kept := append([]byte(nil), p...)
-	time.AfterFunc(hold, func() { s.send(to, kept) })
+	time.AfterFunc(delay, func() { s.send(to, kept) })
 }
 
-func (s *side) send(to netip.AddrPort, p []byte) {
+func (s *uplink) send(to netip.AddrPort, p []byte) {
 	f := s.fabric
 	if f.cfg.Tap != nil {
 		f.cfg.Tap(to, false, p)
