--- a/internal/lab/policy/compare.go
+++ b/internal/lab/policy/compare.go
@@ -100,7 +100,7 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%.4f\t%.4f\t%.4f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\n", r.Scenario.Name, r.Without, worth, spread, r.Bound, worst,
 			r.sum(func(o *Result) int { return o.InTime }), r.sum(func(o *Result) int { return o.Late }),
-			r.sum(func(o *Result) int { return o.Lost }), r.sum(func(o *Result) int { return o.Told }),
+			r.sum(func(o *Result) int { return o.Lost }), r.sum(func(o *Result) int { return o.Notified }),
 			r.sum(func(o *Result) int { return o.GivenUp }), r.sum(func(o *Result) int { return o.Twice }))
 	}
 	return t.Flush()
--- a/internal/lab/policy/nodes.go
+++ b/internal/lab/policy/nodes.go
@@ -73,10 +73,10 @@
 
 // welcome answers an announcement with what other targets' answers are like.
 func (b *balancerNode) welcome(to netip.AddrPort) {
-	usual := b.core.MedianResponses(b.w.now(), to)
+	usual := b.core.Usual(b.w.now(), to)
 	for _, a := range b.w.agents {
 		if a.address == to {
-			b.w.carry(b.w.between(b.index, a.index), func() { a.table.SetMedianAnswers(usual) })
+			b.w.carry(b.w.between(b.index, a.index), func() { a.table.Usual(usual) })
 		}
 	}
 }
@@ -118,7 +118,7 @@
 func (b *balancerNode) Refused(r dispatch.Refusal) {
 	b.w.result.Refusals++
 	if r.Notified {
-		b.w.result.Told++
+		b.w.result.Notified++
 	}
 }
 
--- a/internal/lab/policy/result.go
+++ b/internal/lab/policy/result.go
@@ -36,9 +36,9 @@
 	Counts
 	// Windows are the counts of requests by when they began.
 	Windows []Counts
-	// Refusals is the number of refused flows, Told those whose callers were told; GivenUp of flows that waited in vain,
+	// Refusals is the number of refused flows, Notified those whose callers were reset at once; GivenUp of flows that waited in vain,
 	// Unanswered of offers without an answer.
-	Refusals, Told, GivenUp, Unanswered int
+	Refusals, Notified, GivenUp, Unanswered int
 	// Twice is the number of flows that ran at two targets, which must not be.
 	Twice int
 	// Crashed is the number of times that a cold target ended since it got too many flows, Wrong that of errors that callers got.
@@ -95,5 +95,5 @@
 // String describes the result in one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("asked=%d in_time=%d late=%d lost=%d worth=%.4f worst=%.3f refusals=%d told=%d given_up=%d unanswered=%d twice=%d",
-		r.Asked, r.InTime, r.Late, r.Lost, r.Worth(), r.Worst(), r.Refusals, r.Told, r.GivenUp, r.Unanswered, r.Twice)
+		r.Asked, r.InTime, r.Late, r.Lost, r.Worth(), r.Worst(), r.Refusals, r.Notified, r.GivenUp, r.Unanswered, r.Twice)
 }
--- a/pkg/dsr/admission/queue.go
+++ b/pkg/dsr/admission/queue.go
@@ -23,14 +23,14 @@
 	// DefaultRoundTrips is assumed for the time that packets spend between the caller and the target, from the answer
 	// to the opening packet to the answer to the request, until it is measured.
 	DefaultRoundTrips = 15 * time.Millisecond
-	// LongWorkFactor is the work of a long request as a multiple of the typical one, which 97 of 100 requests do not
+	// LongWork is the work of a long request as a multiple of the typical one, which 97 of 100 requests do not
 	// exceed. A request counts as timely only when there is time for that much: those closest to their promised time
 	// go first, so that under an overload every request is offered with just the time that is set aside.
-	LongWorkFactor = 2.5
-	// MinWorkFactor is the least margin, as a multiple of the typical work. It applies where half of the promised
+	LongWork = 2.5
+	// MinWork is the least margin, as a multiple of the typical work. It applies where half of the promised
 	// time is less than a long request takes: a target that is slow after its start would otherwise count every
 	// request that has waited as late.
-	MinWorkFactor = 1.5
+	MinWork = 1.5
 	// RetransmissionSlack is how late a retransmission of an opening packet may be until its caller counts as gone:
 	// the delay of a busy balancer.
 	RetransmissionSlack = 100 * time.Millisecond
@@ -76,7 +76,7 @@
 // margin is the time set aside for the work of one request: that of a long one, unless that would leave less than
 // half of the promised time for waiting.
 func (o Opening) margin(work time.Duration, long float64) time.Duration {
-	return min(time.Duration(long*float64(work)), max(o.Aim/2, time.Duration(MinWorkFactor*float64(work))))
+	return min(time.Duration(long*float64(work)), max(o.Aim/2, time.Duration(MinWork*float64(work))))
 }
 
 // expired reports whether the caller will have left before an answer when the work begins now.
@@ -149,8 +149,8 @@
 	return Opening{}, false
 }
 
-// RecordRetransmission records a retransmission of the opening packet of a queued flow.
-func (q *Queue) RecordRetransmission(key flow.Key, age, next time.Duration) {
+// RecordSent records a retransmission of the opening packet of a queued flow.
+func (q *Queue) RecordSent(key flow.Key, age, next time.Duration) {
 	for i := range q.waiting {
 		if q.waiting[i].Key == key {
 			q.waiting[i].RecordSent(age, next)
@@ -181,9 +181,9 @@
 		return a.Arrived.Before(b.Arrived)
 	}
 	roundTrips := cmp.Or(q.RoundTrips, DefaultRoundTrips)
-	long := LongWorkFactor
+	long := LongWork
 	if q.Without.LongWork {
-		long = MinWorkFactor
+		long = MinWork
 	}
 	timely := a.timely(now, work, roundTrips, long)
 	if timely != b.timely(now, work, roundTrips, long) {
--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -28,15 +28,15 @@
 	// of that report, and offered the number of flows offered since then.
 	busy     int
 	reported time.Time
-	offered  int
+	asked    int
 	// workTime is the target's recent time per request, as reported; 0 when the agent does not know it.
 	workTime time.Duration
 	// rate is the target's reported rate of new flows, per second.
 	rate float64
 	// coldLimit is the reported limit on new flows while the target warms up.
 	coldLimit warmup.Limit
-	// responses are the minimum response times and sizes of the target, by the hash of the address.
-	responses map[uint32]outlier.Response
+	// answers are the minimum answer times and sizes of the target, by the hash of the address.
+	answers map[uint32]outlier.Answer
 	// failing is set while the agent reports that its target fails more requests than a healthy one.
 	failing bool
 	// suspect is set when the agent left an offer unanswered, until its next message.
@@ -58,7 +58,7 @@
 
 // recordReport records the target's state, which every message of an agent carries.
 func (a *agent) recordReport(now time.Time, m *dsrpb.Message) {
-	a.busy, a.reported, a.offered = int(m.Busy), now, 0
+	a.busy, a.reported, a.asked = int(m.Busy), now, 0
 	a.workTime = time.Duration(m.WorkUs) * time.Microsecond
 	a.coldLimit = coldLimitOf(now, m.Cold)
 	a.rate = float64(m.FlowsPerSecond)
@@ -69,25 +69,25 @@
 // assumed to become free at the target's reported rate of work.
 func (a *agent) load(now time.Time) float64 {
 	slots := float64(max(1, a.slots))
-	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.workTime, InitialWorkTime))
-	return (max(0, float64(a.busy)-freed) + float64(a.offered) + 1) / slots
+	freed := slots * float64(now.Sub(a.reported)) / float64(cmp.Or(a.workTime, DefaultWorkTime))
+	return (max(0, float64(a.busy)-freed) + float64(a.asked) + 1) / slots
 }
 
 // completionTime estimates the time until the target has answered one more request. The typical work time of the
 // service stands in for one that the agent does not know.
 func (a *agent) completionTime(now time.Time, typical time.Duration) time.Duration {
-	work := cmp.Or(a.workTime, typical)
-	finish := time.Duration(max(1, a.load(now)) * float64(work))
+	workTime := cmp.Or(a.workTime, typical)
+	completionTime := time.Duration(max(1, a.load(now)) * float64(workTime))
 	if !a.coldLimit.InForce(now) {
-		return finish
+		return completionTime
 	}
-	ahead := max(0, a.busy-a.slots) + a.offered
-	return max(finish, a.coldLimitAt(now).Wait(now, ahead, 0)+work)
+	ahead := max(0, a.busy-a.slots) + a.asked
+	return max(completionTime, a.coldLimitAt(now).Wait(now, ahead, 0)+workTime)
 }
 
 // hasFreeSlot reports whether the target is estimated to have a free slot and, while it is cold, room for a new flow.
 func (a *agent) hasFreeSlot(now time.Time) bool {
-	if a.coldLimit.InForce(now) && a.coldLimitAt(now).Room <= a.offered {
+	if a.coldLimit.InForce(now) && a.coldLimitAt(now).Room <= a.asked {
 		return false
 	}
 	return a.load(now) <= 1
--- a/pkg/dsr/dispatch/agents.go
+++ b/pkg/dsr/dispatch/agents.go
@@ -97,7 +97,7 @@
 	a.dataCentre, a.region = strings.Clone(n.DataCentre), strings.Clone(n.Region)
 	b.addToService(a, strings.Clone(m.Service))
 	a.state, a.slots, a.incarnation, a.failing = n.State, int(n.Slots), n.Incarnation, n.Failing
-	a.responses = responsesOf(n.Answers)
+	a.answers = answersOf(n.Answers)
 	a.interval = min(time.Duration(n.IntervalMs)*time.Millisecond, MaxAnnounceInterval)
 	b.recordReport(now, a, m)
 	if a.state == dsrpb.State_STATE_READY && before != a.state {
--- a/pkg/dsr/dispatch/answers.go
+++ b/pkg/dsr/dispatch/answers.go
@@ -45,7 +45,7 @@
 func (b *Balancer) opened(now time.Time, f *flowState) {
 	f.phase, f.since = open, now
 	f.packet, f.tried, f.failed = nil, nil, nil
-	f.undetermined, f.unasked, f.unanswered, f.probedAgents = nil, nil, nil, nil
+	f.undetermined, f.unasked, f.unanswered, f.probed = nil, nil, nil, nil
 	held := f.held
 	f.held = nil
 	for _, raw := range held {
--- a/pkg/dsr/dispatch/balancer.go
+++ b/pkg/dsr/dispatch/balancer.go
@@ -58,12 +58,12 @@
 	// hedgeBudget limits the unanswered offers that are followed by an offer to the next agent.
 	hedgeBudget *limit.Budget
 	// answerLatency estimates how long agents take to answer an offer, workTimes the mean work time of each service.
-	answerLatency estimate.Latency
+	answerLatency estimate.Answer
 	workTimes     map[string]*estimate.Mean
 	// spreads compares the load of the balancer's data centre with that of all, by service.
 	spreads map[string]spread
-	// medians caches the median of the minimum responses, by service and address.
-	medians map[responseKey]medianResponse
+	// medians caches the median of the minimum answers, by service and address.
+	medians map[answerKey]medianAnswer
 
 	message dsrpb.Message
 }
@@ -84,7 +84,7 @@
 		flows:     make(map[flow.Key]*flowState),
 		workTimes: make(map[string]*estimate.Mean),
 		spreads:   make(map[string]spread),
-		medians:   make(map[responseKey]medianResponse),
+		medians:   make(map[answerKey]medianAnswer),
 		lastSweep: now,
 
 		searchBudget:   SearchBurst,
--- a/pkg/dsr/dispatch/balancer_test.go
+++ b/pkg/dsr/dispatch/balancer_test.go
@@ -27,14 +27,14 @@
 
 // sent is one message to an agent.
 type sent struct {
-	to        netip.AddrPort
-	kind      dsrpb.Kind
-	service   string
-	queueMode dsrpb.Patience
-	owner     bool
-	packet    string
-	opens     bool
-	age       time.Duration
+	to       netip.AddrPort
+	kind     dsrpb.Kind
+	service  string
+	patience dsrpb.Patience
+	owner    bool
+	packet   string
+	opens    bool
+	age      time.Duration
 }
 
 // recorder records the output of a balancer.
@@ -47,7 +47,7 @@
 }
 
 func (r *recorder) ToAgent(to netip.AddrPort, m *dsrpb.Message) {
-	one := sent{to: to, kind: m.Kind, service: m.Service, queueMode: m.Patience, owner: m.Owner}
+	one := sent{to: to, kind: m.Kind, service: m.Service, patience: m.Patience, owner: m.Owner}
 	if s, err := (dsrtest.Codec{}).Decode(m.Packet); err == nil {
 		one.packet, one.opens, one.age = string(dsrtest.Data(m.Packet)), s.IsOpening(), s.Age
 	}
@@ -154,8 +154,8 @@
 	return m
 }
 
-// onlySent returns the single message since the last call.
-func (f *fixture) onlySent() sent {
+// asked returns the single message since the last call.
+func (f *fixture) asked() sent {
 	f.Helper()
 	m := f.takeSent()
 	require.Len(f, m, 1)
@@ -167,7 +167,7 @@
 		name                string
 		near, near2, remote uint32
 		want                int
-		queueMode           dsrpb.Patience
+		patience            dsrpb.Patience
 	}{
 		{"near and free", 0, 1, 0, 1, dsrpb.Patience_PATIENCE_FREE_SLOT},
 		{"near and least busy", 1, 0, 0, 2, dsrpb.Patience_PATIENCE_FREE_SLOT},
@@ -182,9 +182,9 @@
 			f.announce(4, "reports-svc", "dc-1", dsrpb.State_STATE_READY, 0)
 			f.announce(5, "route-svc", "dc-1", dsrpb.State_STATE_LEAVING, 0)
 			f.open(1)
-			m := f.onlySent()
+			m := f.asked()
 			require.Equal(t, agentAt(c.want), m.to)
-			require.Equal(t, c.queueMode, m.queueMode)
+			require.Equal(t, c.patience, m.patience)
 			require.Equal(t, "route-svc", m.service)
 		})
 	}
@@ -196,18 +196,18 @@
 		f.announceReady(1, "dc-1", 0)
 		f.announceReady(2, "dc-1", 0)
 		f.open(1)
-		first := f.onlySent().to
+		first := f.asked().to
 		f.pass(HedgeAfter)
-		second := f.onlySent().to
+		second := f.asked().to
 		require.ElementsMatch(t, []netip.AddrPort{agentAt(1), agentAt(2)}, []netip.AddrPort{first, second}, "the next agent is asked when the first does not answer")
 		f.accept(1, 1, 1000)
 		f.accept(2, 1, 4_000_000_000)
 		f.data(1, ack, "GET")
-		m := f.onlySent()
+		m := f.asked()
 		require.Equal(t, agentAt(chosen), m.to)
 		require.True(t, m.owner)
 		f.data(1, ack+3_000_000_000, "GET")
-		require.Equal(t, agentAt(chosen), f.onlySent().to, "the sequence numbers of a long flow move away")
+		require.Equal(t, agentAt(chosen), f.asked().to, "the sequence numbers of a long flow move away")
 	}
 }
 
@@ -227,7 +227,7 @@
 	f.answer(1, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, func(m *dsrpb.Message) { m.HasSequence, m.Reference = true, 1000 })
 	require.Empty(t, f.takeSent(), "the half-open flow of the other target is not the caller's")
 	f.answer(2, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, func(m *dsrpb.Message) { m.HasSequence, m.Reference = true, 4_000_000_000 })
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 }
 
 func TestPacketsAreHeldUntilTheOwnerIsKnown(t *testing.T) {
@@ -250,14 +250,14 @@
 	f.announceReady(1, "dc-1", 0)
 	f.announceReady(2, "dc-2", 0)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 	f.pass(HedgeAfter)
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.onlySent().to, "the next flow is not offered to the suspect agent")
+	require.Equal(t, agentAt(2), f.asked().to, "the next flow is not offered to the suspect agent")
 	f.announceReady(1, "dc-1", 0)
 	f.open(3)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 }
 
 // Anybody can send opening packets: the number of tracked flows is bounded, and open flows still work at the bound.
@@ -279,7 +279,7 @@
 	f.data(5000, 1001, "of nobody")
 	require.Empty(t, f.takeSent())
 	f.data(1, 1001, "hello")
-	require.Equal(t, "hello", f.onlySent().packet)
+	require.Equal(t, "hello", f.asked().packet)
 }
 
 // During an overload answers are late; hedging every offer would add to the overload.
@@ -335,7 +335,7 @@
 	f.announceReady(1, "dc-1", 0)
 	f.announceReady(2, "dc-1", 0)
 	f.open(1)
-	first := int(f.onlySent().to.Addr().As4()[3])
+	first := int(f.asked().to.Addr().As4()[3])
 	second := 3 - first
 	f.pass(HedgeAfter)
 	for range 2 {
@@ -399,9 +399,9 @@
 	f.open(1)
 	f.takeSent()
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_LEAVING)
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.onlySent().to, "the leaving agent gets no further offers")
+	require.Equal(t, agentAt(2), f.asked().to, "the leaving agent gets no further offers")
 }
 
 func TestNewFlowsAreParkedWhileTheBalancerStarts(t *testing.T) {
@@ -412,7 +412,7 @@
 	f.b.SetRoutes(f.now, table(5, route(service, "route-svc")))
 	require.Empty(t, f.takeSent())
 	f.announceReady(1, "dc-1", 0)
-	require.Equal(t, agentAt(1), f.onlySent().to, "the flow is offered to the first agent at once")
+	require.Equal(t, agentAt(1), f.asked().to, "the flow is offered to the first agent at once")
 	f.packet(dsrtest.Packet{Source: caller(2), Destination: reports, Flags: segment.SYN})
 	require.Len(t, f.out.resets, 1, "an address without a route is refused")
 }
@@ -426,7 +426,7 @@
 	f.packet(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.SYN, Attempt: 1, Sequence: 7})
 	f.takeSent()
 	f.announceReady(1, "dc-1", 0)
-	require.Equal(t, 200*time.Millisecond, f.onlySent().age)
+	require.Equal(t, 200*time.Millisecond, f.asked().age)
 }
 
 func TestParkedFlowIsRefusedAfterParkTimeout(t *testing.T) {
@@ -452,7 +452,7 @@
 	require.False(t, f.b.SetRoutes(f.now, table(4)), "an older configuration is ignored")
 	f.announce(2, "reports-svc", "dc-1", dsrpb.State_STATE_READY, 0)
 	f.b.SetRoutes(f.now, table(6, route(service, "reports-svc")))
-	require.Equal(t, agentAt(2), f.onlySent().to, "the flow goes to the route's new service")
+	require.Equal(t, agentAt(2), f.asked().to, "the flow goes to the route's new service")
 	require.Empty(t, f.out.refusals)
 }
 
@@ -476,7 +476,7 @@
 	require.Len(t, f.takeSent(), 3, "every agent is asked and none is sent the packet")
 	f.answer(1, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_NOT_HELD, nil)
 	f.answer(3, 1, dsrpb.Kind_KIND_LOCATED, dsrpb.Verdict_VERDICT_HELD, nil)
-	m := f.onlySent()
+	m := f.asked()
 	require.Equal(t, agentAt(3), m.to)
 	require.Equal(t, "tail", m.packet)
 }
@@ -503,7 +503,7 @@
 	require.Len(t, f.takeSent(), SearchMessagesPerSecond)
 	f.announceReady(1, "dc-1", 0)
 	f.open(50000)
-	require.Equal(t, dsrpb.Kind_KIND_FORWARD, f.onlySent().kind, "new flows are still placed")
+	require.Equal(t, dsrpb.Kind_KIND_FORWARD, f.asked().kind, "new flows are still placed")
 }
 
 func TestProbesAreBounded(t *testing.T) {
@@ -578,7 +578,7 @@
 	f.answer(1, 1, dsrpb.Kind_KIND_RETURNED, dsrpb.Verdict_VERDICT_NOT_HELD, func(m *dsrpb.Message) {
 		m.Packet = dsrtest.Encode(dsrtest.Packet{Source: caller(1), Destination: service, Flags: segment.ACK, Acknowledgement: 9001, Data: []byte("x")})
 	})
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 }
 
 func TestFlowQueuedAtASilentAgentIsOfferedElsewhere(t *testing.T) {
@@ -589,11 +589,11 @@
 	f.pass(200 * time.Millisecond)
 	f.takeSent()
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to, "a retransmission goes to the agent where the flow is queued")
+	require.Equal(t, agentAt(1), f.asked().to, "a retransmission goes to the agent where the flow is queued")
 	f.now = f.now.Add(700 * time.Millisecond)
 	f.announceReady(2, "dc-1", 0)
 	f.open(1)
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 }
 
 func TestIsolatedBalancerParksNewFlows(t *testing.T) {
@@ -604,7 +604,7 @@
 	require.Empty(t, f.out.resets)
 	f.announceReady(1, "dc-1", 0)
 	f.pass(parkInterval)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 }
 
 func BenchmarkPacketOfAKnownFlow(b *testing.B) {
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -10,39 +10,39 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// choice is the agent that a new flow is offered to next, and whether the flow may be queued there.
+// choice is the agent that a new flow is offered to next; patience says whether the flow may be queued there.
 type choice struct {
-	agent     *agent
-	queueMode dsrpb.Patience
+	agent    *agent
+	patience dsrpb.Patience
 }
 
 // choose returns the next agent for a new flow, or false when no eligible agent is left. It turns from free slots to
 // queues once free slots or tries are used up.
 func (b *Balancer) choose(now time.Time, f *flowState) (choice, bool) {
-	if f.queueMode == dsrpb.Patience_PATIENCE_FREE_SLOT && len(f.tried) < MaxFreeTries {
+	if f.patience == dsrpb.Patience_PATIENCE_FREE_SLOT && len(f.tried) < MaxFreeTries {
 		if a := b.best(now, f, true); a != nil {
-			return choice{agent: a, queueMode: dsrpb.Patience_PATIENCE_FREE_SLOT}, true
+			return choice{agent: a, patience: dsrpb.Patience_PATIENCE_FREE_SLOT}, true
 		}
 	}
-	if f.queueMode == dsrpb.Patience_PATIENCE_FREE_SLOT {
-		f.queueMode = dsrpb.Patience_PATIENCE_QUEUE
+	if f.patience == dsrpb.Patience_PATIENCE_FREE_SLOT {
+		f.patience = dsrpb.Patience_PATIENCE_QUEUE
 		f.tried = append(f.tried[:0], f.failed...)
 	}
 	if len(f.tried)-len(f.failed) >= MaxQueueTries {
 		return choice{}, false
 	}
 	if a := b.best(now, f, false); a != nil {
-		return choice{agent: a, queueMode: dsrpb.Patience_PATIENCE_QUEUE}, true
+		return choice{agent: a, patience: dsrpb.Patience_PATIENCE_QUEUE}, true
 	}
 	return choice{}, false
 }
 
-// best returns the best-ranked untried agent. With free set, only targets that seem to have a free slot count; else a
+// best returns the best-ranked untried agent. With hasFreeSlot set, only targets that seem to have one count; else a
 // sample of all targets is compared. Suspect agents come last. Failing targets are excluded while they are no majority.
-func (b *Balancer) best(now time.Time, f *flowState, free bool) *agent {
+func (b *Balancer) best(now time.Time, f *flowState, hasFreeSlot bool) *agent {
 	typical := b.typicalWorkTime(f.service)
 	list := b.eligibleAgents(now, f)
-	if free {
+	if hasFreeSlot {
 		list = slices.DeleteFunc(list, func(a *agent) bool { return a.suspect || !a.hasFreeSlot(now) || a.isSlow(typical) })
 		list = b.spreadOut(now, f, list)
 	} else {
@@ -51,7 +51,7 @@
 	var best *agent
 	var bestRank rank
 	for _, a := range list {
-		if r := b.rank(now, a, f.hash, free, typical); best == nil || r.before(bestRank) {
+		if r := b.rank(now, a, f.hash, hasFreeSlot, typical); best == nil || r.before(bestRank) {
 			best, bestRank = a, r
 		}
 	}
@@ -112,18 +112,18 @@
 
 // rank holds the sort keys of an agent for one flow, the most significant first.
 type rank struct {
-	suspect    bool
-	remote     bool
-	completion time.Duration
-	load       float64
-	tie        uint64
+	suspect        bool
+	remote         bool
+	completionTime time.Duration
+	load           float64
+	tie            uint64
 }
 
 func (r rank) before(o rank) bool {
 	return cmp.Or(
 		compareTrue(o.suspect, r.suspect),
 		compareTrue(o.remote, r.remote),
-		cmp.Compare(r.completion, o.completion),
+		cmp.Compare(r.completionTime, o.completionTime),
 		cmp.Compare(r.load, o.load),
 		cmp.Compare(r.tie, o.tie),
 	) < 0
@@ -131,15 +131,15 @@
 
 // rank prefers free targets in the balancer's data centre, then those with the lowest load. Busy targets are ranked by
 // estimated completion time wherever they are.
-func (b *Balancer) rank(now time.Time, a *agent, hash uint64, free bool, typical time.Duration) rank {
+func (b *Balancer) rank(now time.Time, a *agent, hash uint64, hasFreeSlot bool, typical time.Duration) rank {
 	r := rank{
 		suspect: a.suspect,
-		remote:  free && a.dataCentre != b.cfg.DataCentre && !b.cfg.Without.NearFirst,
+		remote:  hasFreeSlot && a.dataCentre != b.cfg.DataCentre && !b.cfg.Without.NearFirst,
 		load:    a.load(now),
 		tie:     tieBreak(hash, a.addr),
 	}
-	if !free {
-		r.completion = a.completionTime(now, typical)
+	if !hasFreeSlot {
+		r.completionTime = a.completionTime(now, typical)
 	}
 	return r
 }
--- a/pkg/dsr/dispatch/config.go
+++ b/pkg/dsr/dispatch/config.go
@@ -93,8 +93,8 @@
 	RefusedLinger = time.Second
 	// ClosedLinger is how long the owner of a flow is kept after its caller has closed it.
 	ClosedLinger = 5 * time.Second
-	// InitialWorkTime is the assumed time per request until an agent reports that of its target.
-	InitialWorkTime = 30 * time.Millisecond
+	// DefaultWorkTime is the assumed time per request until an agent reports that of its target.
+	DefaultWorkTime = 30 * time.Millisecond
 	// SlowFactor is the multiple of the service's typical work time above which a free slot does not count as free:
 	// another target answers earlier even if the request has to wait there for one or two others.
 	SlowFactor = 3
--- a/pkg/dsr/dispatch/estimates.go
+++ b/pkg/dsr/dispatch/estimates.go
@@ -22,9 +22,9 @@
 // typicalWorkTime returns the mean work time of a service's requests.
 func (b *Balancer) typicalWorkTime(service string) time.Duration {
 	if m := b.workTimes[service]; m != nil {
-		return m.ValueOr(InitialWorkTime)
+		return m.ValueOr(DefaultWorkTime)
 	}
-	return InitialWorkTime
+	return DefaultWorkTime
 }
 
 // isSlow reports whether the target takes more than SlowFactor times the typical work time of its service.
--- a/pkg/dsr/dispatch/evacuation_test.go
+++ b/pkg/dsr/dispatch/evacuation_test.go
@@ -24,10 +24,10 @@
 	f.announceReady(2, "dc-2", 9)
 	f.evacuate(10, "dc-1")
 	f.open(1)
-	require.Equal(t, agentAt(2), f.onlySent().to, "a busy target elsewhere comes before a free evacuated one")
+	require.Equal(t, agentAt(2), f.asked().to, "a busy target elsewhere comes before a free evacuated one")
 	f.evacuate(11)
 	f.open(2)
-	require.Equal(t, agentAt(1), f.onlySent().to, "the data centre is used again once the evacuation is withdrawn")
+	require.Equal(t, agentAt(1), f.asked().to, "the data centre is used again once the evacuation is withdrawn")
 }
 
 func TestOlderEvacuationSetIsIgnored(t *testing.T) {
@@ -37,7 +37,7 @@
 	require.True(t, f.evacuate(12))
 	require.False(t, f.evacuate(11, "dc-1"), "an older set that arrives late")
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 }
 
 func TestOpenFlowsStayInAnEvacuatedDataCentre(t *testing.T) {
@@ -49,7 +49,7 @@
 	f.evacuate(10, "dc-1")
 	f.takeSent()
 	f.data(1, 1001, "GET")
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 }
 
 func TestFlowDeclinedByAnEvacuatedAgentGoesElsewhere(t *testing.T) {
@@ -57,11 +57,11 @@
 	f.announceReady(1, "dc-1", 0)
 	f.announceReady(2, "dc-2", 9)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 	f.decline(1, 1, dsrpb.Verdict_VERDICT_EVACUATED)
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.onlySent().to, "the agent's state overrides the balancer's set of evacuations")
+	require.Equal(t, agentAt(2), f.asked().to, "the agent's state overrides the balancer's set of evacuations")
 }
 
 func TestFlowsAreRefusedWhenAllTargetsAreEvacuated(t *testing.T) {
@@ -108,7 +108,7 @@
 			}))
 			for port := range 20 {
 				f.open(port + 1)
-				require.Equal(t, agentAt(c.want), f.onlySent().to)
+				require.Equal(t, agentAt(c.want), f.asked().to)
 			}
 		})
 	}
@@ -155,9 +155,9 @@
 	f.announceCold(1, "dc-1", 1)
 	f.announceReady(2, "dc-2", 0)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 	f.open(2)
-	require.Equal(t, agentAt(2), f.onlySent().to, "the cold target has no room left")
+	require.Equal(t, agentAt(2), f.asked().to, "the cold target has no room left")
 }
 
 // Between two reports the room of a cold target grows at its rate, up to one second's worth of flows.
@@ -175,7 +175,7 @@
 		{1900 * time.Millisecond, 10, false},
 		{2 * time.Second, 10, true},
 	} {
-		a.offered = c.asked
+		a.asked = c.asked
 		require.Equal(t, c.want, a.hasFreeSlot(start.Add(c.after)), "%s, %d", c.after, c.asked)
 	}
 }
@@ -185,5 +185,5 @@
 	f.announceCold(1, "dc-1", 0)
 	f.announceReady(2, "dc-2", 4)
 	f.open(1)
-	require.Equal(t, agentAt(2), f.onlySent().to, "two requests ahead at the warm target take less time than 100 ms at the cold one")
+	require.Equal(t, agentAt(2), f.asked().to, "two requests ahead at the warm target take less time than 100 ms at the cold one")
 }
--- a/pkg/dsr/dispatch/failing_test.go
+++ b/pkg/dsr/dispatch/failing_test.go
@@ -22,9 +22,9 @@
 	f.announceReady(2, "dc-2", 9)
 	f.announceReady(3, "dc-2", 9)
 	f.open(1)
-	asked := f.onlySent()
+	asked := f.asked()
 	require.NotEqual(t, agentAt(1), asked.to, "busy targets elsewhere come before a free failing one")
-	require.Equal(t, dsrpb.Patience_PATIENCE_QUEUE, asked.queueMode)
+	require.Equal(t, dsrpb.Patience_PATIENCE_QUEUE, asked.patience)
 }
 
 // When most targets of a service seem to fail, the cause is unlikely to be in the targets: they stay in use.
@@ -34,13 +34,13 @@
 	f.announceFailing(2)
 	f.announceReady(3, "dc-1", 9)
 	f.open(1)
-	require.NotEqual(t, agentAt(3), f.onlySent().to)
+	require.NotEqual(t, agentAt(3), f.asked().to)
 }
 
 func TestLastTargetIsNeverExcluded(t *testing.T) {
 	f := newFixture(t)
 	f.announceFailing(1)
 	f.open(1)
-	require.Equal(t, agentAt(1), f.onlySent().to)
+	require.Equal(t, agentAt(1), f.asked().to)
 	require.Empty(t, f.out.refusals)
 }
--- a/pkg/dsr/dispatch/flow_state.go
+++ b/pkg/dsr/dispatch/flow_state.go
@@ -52,14 +52,15 @@
 	since   time.Time
 	touched time.Time
 	// packet is the opening packet until the flow is open or refused; sequence is its sequence number.
-	packet    []byte
-	sequence  uint32
-	queueMode dsrpb.Patience
-	// tried are the agents asked in this queueing mode; failed are those that must not be asked again.
-	tried  []netip.AddrPort
-	failed []netip.AddrPort
-	asked  netip.AddrPort
-	tries  int
+	packet   []byte
+	sequence uint32
+	// patience says whether the next agent may queue the flow. tried are the agents asked with it, failed are those that
+	// must not be asked again, asked is the last one.
+	patience dsrpb.Patience
+	tried    []netip.AddrPort
+	failed   []netip.AddrPort
+	asked    netip.AddrPort
+	tries    int
 	// hedgeAt is when the flow is offered to the next agent unless the last one has answered.
 	hedgeAt time.Time
 	// stale is set while the flow waits for a newer configuration.
@@ -90,8 +91,8 @@
 	lastProbe time.Time
 	// retried is set once the held packets were kept for a second search.
 	retried bool
-	// probedAgents are all agents that were sent a probe.
-	probedAgents []netip.AddrPort
+	// probed are all agents that were sent a probe.
+	probed []netip.AddrPort
 }
 
 // ownerOf returns the owner whose sequence number the caller acknowledges: when several targets answered the opening
--- a/pkg/dsr/dispatch/median.go
+++ b/pkg/dsr/dispatch/median.go
@@ -17,42 +17,42 @@
 	medianMaxAge = time.Second
 )
 
-// medianResponse is the cached median of the targets' minimum responses for one address.
-type medianResponse struct {
-	response outlier.Response
-	known    bool
-	at       time.Time
+// medianAnswer is the cached median of the targets' minimum answers for one address.
+type medianAnswer struct {
+	answer outlier.Answer
+	known  bool
+	at     time.Time
 }
 
-// responseKey is a service with the hash of an address.
-type responseKey struct {
+// answerKey is a service with the hash of an address.
+type answerKey struct {
 	service string
 	address uint32
 }
 
-// responsesOf reads the minimum response times and sizes that an agent reported.
-func responsesOf(list []*dsrpb.Answer) map[uint32]outlier.Response {
-	out := make(map[uint32]outlier.Response, len(list))
+// answersOf reads the minimum answer times and sizes that an agent reported.
+func answersOf(list []*dsrpb.Answer) map[uint32]outlier.Answer {
+	out := make(map[uint32]outlier.Answer, len(list))
 	for _, a := range list {
-		out[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
+		out[a.Address] = outlier.Answer{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
 	}
 	return out
 }
 
-// MedianResponses returns the medians over the targets of an agent's service of the minimum response time and size, for
-// the addresses that the agent has reported. Addresses with fewer than minMedianTargets reports are left out.
-func (b *Balancer) MedianResponses(now time.Time, agent netip.AddrPort) []*dsrpb.Answer {
+// Usual returns the median answers of an agent's service: the medians over its targets of the minimum answer time and
+// size, for the addresses that the agent has reported. Addresses with fewer than minMedianTargets reports are omitted.
+func (b *Balancer) Usual(now time.Time, agent netip.AddrPort) []*dsrpb.Answer {
 	a := b.agents[agent]
 	if a == nil {
 		return nil
 	}
 	var out []*dsrpb.Answer
-	for address := range a.responses {
-		if u := b.medianResponse(now, responseKey{service: a.service, address: address}); u.known {
+	for address := range a.answers {
+		if u := b.medianAnswer(now, answerKey{service: a.service, address: address}); u.known {
 			out = append(out, &dsrpb.Answer{
 				Address:    address,
-				LeastUs:    uint32(u.response.Time / time.Microsecond),
-				LeastBytes: u.response.Bytes,
+				LeastUs:    uint32(u.answer.Time / time.Microsecond),
+				LeastBytes: u.answer.Bytes,
 			})
 		}
 	}
@@ -60,22 +60,22 @@
 	return out
 }
 
-// medianResponse returns the median over the service's living targets, from the cache unless it is too old.
-func (b *Balancer) medianResponse(now time.Time, k responseKey) medianResponse {
+// medianAnswer returns the median answer over the service's living targets, from the cache unless it is too old.
+func (b *Balancer) medianAnswer(now time.Time, k answerKey) medianAnswer {
 	if u, found := b.medians[k]; found && now.Sub(u.at) < medianMaxAge {
 		return u
 	}
 	var times []time.Duration
 	var sizes []uint32
 	for _, a := range b.services[k.service] {
-		if response, found := a.responses[k.address]; found && a.isAlive(now) {
-			times = append(times, response.Time)
-			sizes = append(sizes, response.Bytes)
+		if answer, reported := a.answers[k.address]; reported && a.isAlive(now) {
+			times = append(times, answer.Time)
+			sizes = append(sizes, answer.Bytes)
 		}
 	}
-	u := medianResponse{at: now, known: len(times) >= minMedianTargets}
+	u := medianAnswer{at: now, known: len(times) >= minMedianTargets}
 	if u.known {
-		u.response = outlier.Response{Time: median(times), Bytes: median(sizes)}
+		u.answer = outlier.Answer{Time: median(times), Bytes: median(sizes)}
 	}
 	b.medians[k] = u
 	return u
--- a/pkg/dsr/dispatch/median_test.go
+++ b/pkg/dsr/dispatch/median_test.go
@@ -9,8 +9,8 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/dsrpb"
 )
 
-// reportResponses delivers an announcement of agent i with the minimum response time and size for address hash 7.
-func (f *fixture) reportResponses(i int, leastMs, leastBytes uint32) {
+// reportAnswers delivers an announcement of agent i with the minimum answer time and size for address hash 7.
+func (f *fixture) reportAnswers(i int, leastMs, leastBytes uint32) {
 	f.b.FromAgent(f.now, agentAt(i), &dsrpb.Message{
 		Kind: dsrpb.Kind_KIND_ANNOUNCE, Service: "route-svc",
 		Announcement: &dsrpb.Announcement{
@@ -20,18 +20,18 @@
 	})
 }
 
-func TestMedianResponses(t *testing.T) {
+func TestMedianAnswers(t *testing.T) {
 	f := newFixture(t)
-	f.reportResponses(1, 16, 500)
-	f.reportResponses(2, 1, 171)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(1)), "either of two targets could be the failing one")
-	f.reportResponses(3, 18, 520)
+	f.reportAnswers(1, 16, 500)
+	f.reportAnswers(2, 1, 171)
+	require.Empty(t, f.b.Usual(f.now, agentAt(1)), "either of two targets could be the failing one")
+	f.reportAnswers(3, 18, 520)
 	f.pass(medianMaxAge)
-	medians := f.b.MedianResponses(f.now, agentAt(2))
+	medians := f.b.Usual(f.now, agentAt(2))
 	require.Len(t, medians, 1)
 	require.Equal(t, uint32(16_000), medians[0].LeastUs)
 	require.Equal(t, uint32(500), medians[0].LeastBytes)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(9)), "an unknown agent")
+	require.Empty(t, f.b.Usual(f.now, agentAt(9)), "an unknown agent")
 	f.pass(time.Minute)
-	require.Empty(t, f.b.MedianResponses(f.now, agentAt(2)), "targets of silent agents do not count")
+	require.Empty(t, f.b.Usual(f.now, agentAt(2)), "targets of silent agents do not count")
 }
--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -104,8 +104,8 @@
 	b.hedges = append(b.hedges, due{flow: f, at: f.hedgeAt})
 }
 
-// openingTimeout is how long a caller waits for an answer to its opening packet.
-func openingTimeout(timeout time.Duration) time.Duration {
+// patience is how long a caller waits for an answer to its opening packet.
+func patience(timeout time.Duration) time.Duration {
 	if timeout == 0 {
 		return OpeningTimeout
 	}
@@ -126,16 +126,16 @@
 	f.service = routing.Service(route, f.hash)
 	f.opening = dsrpb.Opening{
 		AimMs:      uint32(route.Aim / time.Millisecond),
-		PatienceMs: uint32(openingTimeout(route.Timeout) / time.Millisecond),
+		PatienceMs: uint32(patience(route.Timeout) / time.Millisecond),
 		Priority:   uint32(max(0, route.Priority)),
 	}
 	if declared := b.routes.Declared(f.service); declared.ColdPerSecond > 0 {
 		f.opening.ColdPerSecond = float32(declared.ColdPerSecond)
 		f.opening.WarmUpMs = uint32(declared.WarmUp / time.Millisecond)
 	}
-	f.queueMode = dsrpb.Patience_PATIENCE_FREE_SLOT
+	f.patience = dsrpb.Patience_PATIENCE_FREE_SLOT
 	if b.cfg.Without.FreeFirst {
-		f.queueMode = dsrpb.Patience_PATIENCE_QUEUE
+		f.patience = dsrpb.Patience_PATIENCE_QUEUE
 	}
 	f.tried, f.failed = f.tried[:0], f.failed[:0]
 	b.offerNext(now, f)
@@ -151,10 +151,10 @@
 	f.asked = c.agent.addr
 	f.tried = append(f.tried, c.agent.addr)
 	f.tries++
-	c.agent.offered++
+	c.agent.asked++
 	b.hedgeBudget.Deposit()
 	b.scheduleHedge(now, f)
-	b.forward(now, f, c.agent.addr, f.packet, false, c.queueMode)
+	b.forward(now, f, c.agent.addr, f.packet, false, c.patience)
 }
 
 // noAgentLeft refuses or parks a new flow that no eligible agent has accepted.
--- a/pkg/dsr/dispatch/search.go
+++ b/pkg/dsr/dispatch/search.go
@@ -192,7 +192,7 @@
 		}
 	}
 	latest := func(a netip.AddrPort) bool { return newest.Sub(b.incarnationStart(a)) <= StartedTogetherWindow }
-	probed := func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }
+	probed := func(a netip.AddrPort) bool { return slices.Contains(f.probed, a) }
 	slices.SortFunc(f.undetermined, func(x, y netip.AddrPort) int {
 		return cmp.Or(
 			compareTrue(!probed(x), !probed(y)),
@@ -207,12 +207,12 @@
 // the owner. While balancers and agents restart repeatedly, the order by likelihood alone would always name the same
 // few and the flow of a living target would get no answer.
 func (b *Balancer) randomizeSecond(f *flowState) {
-	if len(f.probedAgents) == 0 || len(f.undetermined) <= MaxProbes {
+	if len(f.probed) == 0 || len(f.undetermined) <= MaxProbes {
 		return
 	}
 	rest := f.undetermined[1:]
 	fresh := len(rest)
-	if i := slices.IndexFunc(rest, func(a netip.AddrPort) bool { return slices.Contains(f.probedAgents, a) }); i > 0 {
+	if i := slices.IndexFunc(rest, func(a netip.AddrPort) bool { return slices.Contains(f.probed, a) }); i > 0 {
 		fresh = i
 	}
 	i := int(flow.Mix(f.hash^uint64(b.started.UnixNano())) % uint64(fresh))
@@ -274,7 +274,7 @@
 		return
 	}
 	f.asked = f.undetermined[0]
-	f.probedAgents = append(f.probedAgents, f.asked)
+	f.probed = append(f.probed, f.asked)
 	f.undetermined = f.undetermined[1:]
 	f.probes++
 	f.phase, f.since, f.lastProbe = probing, now, now
--- a/pkg/dsr/dispatch/search_test.go
+++ b/pkg/dsr/dispatch/search_test.go
@@ -38,7 +38,7 @@
 	}
 	for port := 1; port <= 200; port++ {
 		f.packet(dsrtest.Packet{Source: caller(port), Destination: service, Flags: segment.SYN, Attempt: 2})
-		m := f.onlySent()
+		m := f.asked()
 		require.Equal(t, dsrpb.Kind_KIND_FORWARD, m.kind)
 		require.True(t, m.opens)
 		f.accept(int(m.to.Addr().As4()[3]), port, 1000)
@@ -55,7 +55,7 @@
 	f.located(1, 1, dsrpb.Verdict_VERDICT_NOT_HELD)
 	require.Empty(t, f.takeSent())
 	f.located(2, 1, dsrpb.Verdict_VERDICT_HELD)
-	require.Equal(t, agentAt(2), f.onlySent().to)
+	require.Equal(t, agentAt(2), f.asked().to)
 }
 
 func TestFlowOpenedUnderAnOlderRouteIsFound(t *testing.T) {
@@ -68,7 +68,7 @@
 	f.located(1, 1, dsrpb.Verdict_VERDICT_NOT_HELD)
 	require.Equal(t, []netip.AddrPort{agentAt(2), agentAt(3)}, targets(f.takeSent()), "the other agents are asked when those of the route do not hold the flow")
 	f.located(3, 1, dsrpb.Verdict_VERDICT_HELD)
-	m := f.onlySent()
+	m := f.asked()
 	require.Equal(t, agentAt(3), m.to)
 	require.Equal(t, "tail", m.packet)
 }
@@ -86,7 +86,7 @@
 	asked := f.takeSent()
 	require.Equal(t, []netip.AddrPort{agentAt(1), agentAt(2)}, targets(asked[len(asked)-2:]))
 	f.located(1, 1, dsrpb.Verdict_VERDICT_HELD)
-	require.Equal(t, "tail", f.onlySent().packet)
+	require.Equal(t, "tail", f.asked().packet)
 }
 
 // The budget counts messages: with many agents there are correspondingly fewer searches.
@@ -128,7 +128,7 @@
 		require.Contains(t, targets(asked), owner.addr)
 		i := int(owner.addr.Addr().As4()[3])
 		f.located(i, port, dsrpb.Verdict_VERDICT_HELD)
-		require.Equal(t, owner.addr, f.onlySent().to)
+		require.Equal(t, owner.addr, f.asked().to)
 	}
 }
 
@@ -235,9 +235,9 @@
 	f.located(1, 1, dsrpb.Verdict_VERDICT_UNKNOWN)
 	require.Empty(t, f.takeSent(), "not every agent may be known yet")
 	f.pass(SettleTime)
-	require.Equal(t, dsrpb.Kind_KIND_LOCATE, f.onlySent().kind)
+	require.Equal(t, dsrpb.Kind_KIND_LOCATE, f.asked().kind)
 	f.located(1, 1, dsrpb.Verdict_VERDICT_UNKNOWN)
-	probe := f.onlySent()
+	probe := f.asked()
 	require.Equal(t, dsrpb.Kind_KIND_FORWARD, probe.kind)
 	require.Equal(t, "tail", probe.packet)
 	for range 5 {
--- a/pkg/dsr/dispatch/spread_test.go
+++ b/pkg/dsr/dispatch/spread_test.go
@@ -21,7 +21,7 @@
 	out := map[int]int{}
 	for port := 1; port <= n; port++ {
 		f.open(port)
-		out[int(f.onlySent().to.Addr().As4()[3])]++
+		out[int(f.asked().to.Addr().As4()[3])]++
 	}
 	return out
 }
--- a/pkg/dsr/estimate/estimate.go
+++ b/pkg/dsr/estimate/estimate.go
@@ -34,14 +34,14 @@
 	return m.value
 }
 
-// Latency estimates how long answers take. The zero value has no sample.
-type Latency struct {
+// Answer estimates the time of an answer, its mean and deviation. The zero value has no sample.
+type Answer struct {
 	mean      Mean
 	deviation time.Duration
 }
 
 // Add adds the time that an answer took.
-func (a *Latency) Add(sample time.Duration) {
+func (a *Answer) Add(sample time.Duration) {
 	if !a.mean.HasSample() {
 		a.deviation = sample / 2
 	} else {
@@ -52,10 +52,10 @@
 }
 
 // Mean returns the mean, or the start value when there is no sample.
-func (a *Latency) Mean(start time.Duration) time.Duration { return a.mean.ValueOr(start) }
+func (a *Answer) Mean(start time.Duration) time.Duration { return a.mean.ValueOr(start) }
 
 // Timeout returns the time after which an answer is overdue, or the start value when there is no sample.
-func (a *Latency) Timeout(start time.Duration) time.Duration {
+func (a *Answer) Timeout(start time.Duration) time.Duration {
 	if !a.mean.HasSample() {
 		return start
 	}
--- a/pkg/dsr/estimate/estimate_test.go
+++ b/pkg/dsr/estimate/estimate_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestTimeoutIsBeyondTheSampleRange(t *testing.T) {
-	var a Latency
+	var a Answer
 	require.Equal(t, 25*ms, a.Timeout(25*ms))
 	for i := range 200 {
 		a.Add(time.Duration(20+i%5) * ms)
@@ -47,7 +47,7 @@
 	require.Zero(t, r.PerSecond(now))
 	for range 2000 {
 		now = now.Add(20 * time.Millisecond)
-		r.Add(now)
+		r.Record(now)
 		if now.Sub(time.Unix(1000, 0)) == 2*time.Second {
 			require.InDelta(t, 50, r.PerSecond(now), 3, "soon after the start")
 		}
--- a/pkg/dsr/estimate/rate.go
+++ b/pkg/dsr/estimate/rate.go
@@ -15,8 +15,8 @@
 	at, since time.Time
 }
 
-// Add counts an event.
-func (r *Rate) Add(now time.Time) {
+// Record counts an event.
+func (r *Rate) Record(now time.Time) {
 	if r.since.IsZero() {
 		r.since = now
 	}
--- a/pkg/dsr/outlier/detector.go
+++ b/pkg/dsr/outlier/detector.go
@@ -13,12 +13,12 @@
 
 // Limits of the detector.
 const (
-	// Window is the number of recent requests that are considered, FailureThreshold the number of failures among them
-	// that ejects a target. A target that fails all is ejected after 8 requests, one that fails 40 of 100 after about
+	// Window is the number of recent requests that are considered, Failures the number of failures among them that
+	// ejects a target. A target that fails all is ejected after 8 requests, one that fails 40 of 100 after about
 	// 20; one of which 5 of 100 requests end without an answer, since they are for something that it does not serve,
 	// hardly ever.
-	Window           = 20
-	FailureThreshold = 8
+	Window   = 20
+	Failures = 8
 	// BaseEjection is how long a target is ejected at first; each further ejection in a row doubles it up to
 	// MaxEjection. Each probe may cost one request, and a target that has recovered stays unused until the ejection
 	// ends.
@@ -31,8 +31,8 @@
 
 // Detector tracks one target. The zero value is healthy.
 type Detector struct {
-	// outcomes are the last Window outcomes, the newest in the lowest bit; a set bit is a failure.
-	outcomes uint32
+	// failed holds the last Window outcomes, the newest in the lowest bit; a set bit is a failure.
+	failed uint32
 	// until is the end of the last ejection, ejection its duration; both are zero when the target is healthy.
 	until    time.Time
 	ejection time.Duration
@@ -75,10 +75,10 @@
 }
 
 // FailureCount returns the number of failures among the last Window requests.
-func (d *Detector) FailureCount() int { return bits.OnesCount32(d.outcomes) }
+func (d *Detector) FailureCount() int { return bits.OnesCount32(d.failed) }
 
 // record adds an outcome to the window.
-func (d *Detector) record(failed uint32) { d.outcomes = (d.outcomes<<1 | failed) & (1<<Window - 1) }
+func (d *Detector) record(failed uint32) { d.failed = (d.failed<<1 | failed) & (1<<Window - 1) }
 
 // RecordSuccess records an answered request. It reports whether the state has changed.
 func (d *Detector) RecordSuccess(now time.Time) bool {
@@ -102,7 +102,7 @@
 	case Ejected:
 		return false
 	case Healthy:
-		if d.FailureCount() < FailureThreshold {
+		if d.FailureCount() < Failures {
 			return false
 		}
 	}
--- a/pkg/dsr/outlier/detector_test.go
+++ b/pkg/dsr/outlier/detector_test.go
@@ -12,7 +12,7 @@
 
 func TestTargetThatFailsAllIsEjected(t *testing.T) {
 	var d Detector
-	for range FailureThreshold - 1 {
+	for range Failures - 1 {
 		require.False(t, d.RecordFailure(now))
 	}
 	require.Equal(t, Healthy, d.State(now))
@@ -24,7 +24,7 @@
 
 func TestTargetRecoversAfterProbes(t *testing.T) {
 	var d Detector
-	for range FailureThreshold {
+	for range Failures {
 		d.RecordFailure(now)
 	}
 	at := now.Add(BaseEjection)
@@ -38,7 +38,7 @@
 
 func TestFailedProbeDoublesTheEjection(t *testing.T) {
 	var d Detector
-	for range FailureThreshold {
+	for range Failures {
 		d.RecordFailure(now)
 	}
 	at := now
--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -54,11 +54,11 @@
 	if !e.reply.pending {
 		return
 	}
-	a := outlier.Response{Time: e.reply.took, Bytes: e.reply.end - e.reply.begin}
+	a := outlier.Answer{Time: e.reply.took, Bytes: e.reply.end - e.reply.begin}
 	e.reply.pending = false
 	address := flow.AddrHash(key.Destination)
 	t.recordAnswer(address, a)
-	median := t.medianAnswers[address]
+	median := t.median[address]
 	failed := a.LooksFailed(median) && !t.cfg.Without.FailedAnswers
 	if t.recordOutcome(now, failed) {
 		t.reportHealthChange(now, HealthChange{LooksFailed: failed, Answer: a, Median: median})
@@ -73,25 +73,25 @@
 	return t.outcomes.RecordSuccess(now)
 }
 
-func (t *Table) recordAnswer(address uint32, a outlier.Response) {
+func (t *Table) recordAnswer(address uint32, a outlier.Answer) {
 	l := t.minAnswers[address]
 	if l == nil {
 		if len(t.minAnswers) >= maxAnswers {
 			clear(t.minAnswers)
 		}
-		l = new(outlier.ResponseWindow)
+		l = new(outlier.AnswerWindow)
 		t.minAnswers[address] = l
 	}
 	l.Add(a)
 }
 
-// SetMedianAnswers sets the minimum answers of the median target, as a balancer reports them.
-func (t *Table) SetMedianAnswers(answers []*dsrpb.Answer) {
-	if len(t.medianAnswers) > maxAnswers {
-		clear(t.medianAnswers)
+// Usual sets the median answers: the minimum answers of the median target, as a balancer reports them.
+func (t *Table) Usual(answers []*dsrpb.Answer) {
+	if len(t.median) > maxAnswers {
+		clear(t.median)
 	}
 	for _, a := range answers {
-		t.medianAnswers[a.Address] = outlier.Response{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
+		t.median[a.Address] = outlier.Answer{Time: time.Duration(a.LeastUs) * time.Microsecond, Bytes: a.LeastBytes}
 	}
 }
 
--- a/pkg/dsr/ownership/answers_test.go
+++ b/pkg/dsr/ownership/answers_test.go
@@ -16,7 +16,7 @@
 
 // setMedianAnswers sets the minimum answers of the service's other targets: 16 ms and 500 bytes.
 func (f *fixture) setMedianAnswers() {
-	f.table.SetMedianAnswers([]*dsrpb.Answer{{Address: flow.AddrHash(service), LeastUs: 16_000, LeastBytes: 500}})
+	f.table.Usual([]*dsrpb.Answer{{Address: flow.AddrHash(service), LeastUs: 16_000, LeastBytes: 500}})
 }
 
 // answerAfter makes the target answer a request after a time, and the caller close the flow.
@@ -36,7 +36,7 @@
 		f.answerAfter(port, 40*time.Millisecond, 1000)
 	}
 	require.False(t, f.announcedFailing())
-	for port := 200; port < 200+outlier.FailureThreshold; port++ {
+	for port := 200; port < 200+outlier.Failures; port++ {
 		f.answerAfter(port, 2*time.Millisecond, 171)
 	}
 	require.True(t, f.announcedFailing())
@@ -75,7 +75,7 @@
 
 func TestAnnouncementsReportTheMinimumAnswers(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.ResponseWindowSize; port++ {
+	for port := 1; port <= outlier.AnswerWindowSize; port++ {
 		require.Empty(t, f.table.Announcement(f.now, true, 0).Announcement.Answers)
 		f.answerAfter(port, time.Duration(20+port)*time.Millisecond, 400+port)
 	}
@@ -89,7 +89,7 @@
 // Packets of an answer may overtake each other, and the target's FIN may overtake them all.
 func TestTheSizeOfAnAnswerIsThatOfAllItsPackets(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.ResponseWindowSize; port++ {
+	for port := 1; port <= outlier.AnswerWindowSize; port++ {
 		f.request(port)
 		f.pass(20 * time.Millisecond)
 		f.target(port, segment.ACK|segment.FIN, uint32(port)*1000+1+600, strings.Repeat("x", 50))
--- a/pkg/dsr/ownership/cold.go
+++ b/pkg/dsr/ownership/cold.go
@@ -50,7 +50,7 @@
 
 // recordNewFlow counts a new flow that is passed to the target.
 func (t *Table) recordNewFlow(now time.Time) {
-	t.rate.Add(now)
+	t.rate.Record(now)
 	t.cold.window.Record(now)
 	t.cold.learner.RecordFlows(t.cold.window.Count())
 }
--- a/pkg/dsr/ownership/from_balancer.go
+++ b/pkg/dsr/ownership/from_balancer.go
@@ -48,7 +48,7 @@
 	if e.recordNewData(s) {
 		t.finishReply(now, key, e)
 		e.request = append(e.request[:0], s.Raw...)
-		t.startRequest(now, e)
+		t.request(now, e)
 	}
 	t.checkCallerClose(now, key, e, s)
 	switch {
@@ -68,7 +68,7 @@
 	t.applyDeclaredLimits(m)
 	if e != nil && e.phase == queued {
 		e.origin = balancer
-		t.queue.RecordRetransmission(key, s.Age, s.NextRetransmission)
+		t.queue.RecordSent(key, s.Age, s.NextRetransmission)
 		t.sendReturned(now, balancer, m, key, dsrpb.Verdict_VERDICT_QUEUED, nil)
 		return
 	}
--- a/pkg/dsr/ownership/from_target.go
+++ b/pkg/dsr/ownership/from_target.go
@@ -52,7 +52,7 @@
 	t.checkTargetClose(now, key, e, s)
 	if s.Length > 0 {
 		e.answered = true
-		t.requestAnswered(now, key, e, s)
+		t.answered(now, key, e, s)
 	}
 	e.reply.extend(s)
 	switch {
@@ -85,10 +85,10 @@
 		return
 	}
 	defer t.offerQueued(now)
-	lost := e.wasOpenAtTarget()
+	wasOpenAtTarget := e.wasOpenAtTarget()
 	t.drop(key, e)
 	t.recordNotHeld(now, key)
-	if lost {
+	if wasOpenAtTarget {
 		t.out.Reset(key, e.callerAck)
 		t.reportDecision(now, EventReset, key, origin, t.configuration, dsrpb.Verdict_VERDICT_RESET)
 		t.notifyReset(now, origin, key)
--- a/pkg/dsr/ownership/lifetime.go
+++ b/pkg/dsr/ownership/lifetime.go
@@ -18,8 +18,8 @@
 	t.busy++
 }
 
-// startRequest marks that the target has a request to work on.
-func (t *Table) startRequest(now time.Time, e *entry) {
+// request marks that the target has a request to work on.
+func (t *Table) request(now time.Time, e *entry) {
 	t.markBusy(now, e)
 	if e.working {
 		return
--- a/pkg/dsr/ownership/outcome.go
+++ b/pkg/dsr/ownership/outcome.go
@@ -90,5 +90,5 @@
 	// LooksFailed is set when the last request was answered, but much faster and smaller than expected; Answer is
 	// that answer, Median the minimum answer of the median target.
 	LooksFailed    bool
-	Answer, Median outlier.Response
+	Answer, Median outlier.Answer
 }
--- a/pkg/dsr/ownership/outcome_test.go
+++ b/pkg/dsr/ownership/outcome_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, Config{})
-			for port := 1; port <= outlier.FailureThreshold; port++ {
+			for port := 1; port <= outlier.Failures; port++ {
 				require.False(t, f.announcedFailing())
 				f.request(port)
 				fail(f, port)
@@ -56,7 +56,7 @@
 			require.True(t, f.announcedFailing())
 			require.Len(t, f.out.judgements, 1)
 			require.Equal(t, outlier.Ejected, f.out.judgements[0].State)
-			require.Equal(t, outlier.FailureThreshold, f.out.judgements[0].Failures)
+			require.Equal(t, outlier.Failures, f.out.judgements[0].Failures)
 		})
 	}
 }
@@ -65,7 +65,7 @@
 // a time after its ejection.
 func TestAnEjectedTargetIsRetried(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.FailureThreshold; port++ {
+	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -131,7 +131,7 @@
 	}
 	require.Empty(t, f.out.judgements)
 	service = served
-	for port := 20; port < 20+outlier.FailureThreshold; port++ {
+	for port := 20; port < 20+outlier.Failures; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -140,7 +140,7 @@
 
 func TestOutlierStateEndsWithTheIncarnation(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.FailureThreshold; port++ {
+	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
@@ -153,7 +153,7 @@
 // keeps a slot busy nor counts as a request without an answer.
 func TestARetransmittedRequestIsNotANewOne(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= outlier.FailureThreshold; port++ {
+	for port := 1; port <= outlier.Failures; port++ {
 		f.request(port)
 		f.target(port, segment.ACK, uint32(port)*1000+1, "200")
 		f.data(port, uint32(port)*1000+1, true)
@@ -190,7 +190,7 @@
 // flows when their timeout is over, and close at once.
 func TestATargetThatClosesAfterItsCallerDoesNotFail(t *testing.T) {
 	f := newFixture(t, Config{})
-	for port := 1; port <= 3*outlier.FailureThreshold; port++ {
+	for port := 1; port <= 3*outlier.Failures; port++ {
 		f.request(port)
 		f.forward(closing(port), &dsrpb.Message{Owner: true})
 		f.target(port, segment.FIN|segment.ACK, uint32(port)*1000+1, "")
--- a/pkg/dsr/ownership/queueing.go
+++ b/pkg/dsr/ownership/queueing.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// requestAnswered records that the target has answered, and samples the work time of a request that had a slot at
+// answered records that the target has answered, and samples the work time of a request that had a slot at
 // once.
-func (t *Table) requestAnswered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
+func (t *Table) answered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if e.working {
 		t.recordServed(key.Destination)
 		e.startReply(now, s)
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -35,17 +35,17 @@
 	queue       admission.Queue
 	meanWork    estimate.Mean
 	workUpdated time.Time
-	roundTrip   estimate.Latency
+	roundTrip   estimate.Answer
 	// due are the pending timers, sorted by time.
 	due []timer
 	// outcomes detects a failing target by the results of its requests.
 	outcomes outlier.Detector
 	// served are the addresses for which the target has answered a request.
 	served map[netip.AddrPort]bool
-	// minAnswers are the target's minimum answers by the hash of the address, medianAnswers those of the median
+	// minAnswers are the target's minimum answers by the hash of the address, median those of the median
 	// target of the service.
-	minAnswers    map[uint32]*outlier.ResponseWindow
-	medianAnswers map[uint32]outlier.Response
+	minAnswers map[uint32]*outlier.AnswerWindow
+	median     map[uint32]outlier.Answer
 	// notHeld are flows that the target has returned, by the time when it did.
 	notHeld map[flow.Key]time.Time
 	// silentSince is when the target first left an opening packet unanswered, zero while it answers. lastSilentOffer
@@ -70,17 +70,17 @@
 
 func NewTable(cfg Config, codec segment.Codec, out Output, now time.Time) *Table {
 	return &Table{
-		cfg:           cfg,
-		codec:         codec,
-		out:           out,
-		started:       now,
-		flows:         make(map[flow.Key]*entry),
-		notHeld:       make(map[flow.Key]time.Time),
-		served:        make(map[netip.AddrPort]bool),
-		minAnswers:    make(map[uint32]*outlier.ResponseWindow),
-		medianAnswers: make(map[uint32]outlier.Response),
-		queue:         admission.Queue{Without: cfg.Without},
-		swept:         now,
+		cfg:        cfg,
+		codec:      codec,
+		out:        out,
+		started:    now,
+		flows:      make(map[flow.Key]*entry),
+		notHeld:    make(map[flow.Key]time.Time),
+		served:     make(map[netip.AddrPort]bool),
+		minAnswers: make(map[uint32]*outlier.AnswerWindow),
+		median:     make(map[uint32]outlier.Answer),
+		queue:      admission.Queue{Without: cfg.Without},
+		swept:      now,
 	}
 }
 
--- a/pkg/dsr/ownership/work_time.go
+++ b/pkg/dsr/ownership/work_time.go
@@ -36,8 +36,8 @@
 	if e.phase != open || e.requested || !e.hasSequence || s.Length == 0 {
 		return
 	}
-	if sample := now.Sub(e.since); sample <= maxRoundTrip {
-		t.roundTrip.Add(sample)
+	if roundTrip := now.Sub(e.since); roundTrip <= maxRoundTrip {
+		t.roundTrip.Add(roundTrip)
 		t.queue.RoundTrips = 2 * t.roundTrip.Mean(0)
 	}
 }
--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -270,7 +270,7 @@
 		// The balancer has lost its state, for example in a restart too short for this agent to notice.
 		a.announceTo(now, from)
 	}
-	a.table.SetMedianAnswers(r.Usual)
+	a.table.Usual(r.Usual)
 	a.balancers.SetRequestedInterval(from, milliseconds(r.IntervalMs))
 	a.balancers.SetSendInterval(from, answeredAnnouncements*a.balancers.IntervalTo(from))
 	if a.addBalancers(now, decodeAddresses(r.Balancers)) {
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -214,7 +214,7 @@
 	if a.State != dsrpb.State_STATE_ABSENT {
 		m.Roster.HealthPath = ""
 	}
-	m.Roster.Usual = b.core.MedianResponses(now, from)
+	m.Roster.Usual = b.core.Usual(now, from)
 	b.send(from, m)
 }
 
