--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -98,7 +98,7 @@
 
 // Run runs the agent. When ctx ends it takes no new flows, forwards until the open ones have ended, and returns.
 func (a *Agent) Run(ctx context.Context) error {
-	g, run := errgroup.WithContext(a.ctx)
+	g, run := errgroup.WithContext(a.runCtx)
 	defer a.cancel()
 	g.Go(func() error { return a.packets.read(run, a.fromDaemon) })
 	g.Go(func() error { return a.outbound.read(run, a.fromTarget) })
@@ -283,7 +283,7 @@
 	}
 	a.probing = true
 	path := strings.Clone(r.HealthPath)
-	go a.probe(a.ctx, path)
+	go a.probe(a.runCtx, path)
 }
 
 // receiveEvacuations applies the evacuations that a balancer reports. When they concern the agent's own data centre,
--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -102,10 +102,10 @@
 type agentStatus struct {
 	Ready  string `json:"ready"`
 	Target string `json:"target"`
-	// TargetName, Born (Unix milliseconds), Since and Sequence identify the target's current incarnation.
+	// TargetName, StartedMs (Unix milliseconds), FirstSeen and Sequence identify the target's current incarnation.
 	TargetName string    `json:"targetName"`
-	Born       uint64    `json:"born"`
-	Since      time.Time `json:"since"`
+	StartedMs  uint64    `json:"born"`
+	FirstSeen  time.Time `json:"since"`
 	Sequence   uint64    `json:"lastSequence"`
 	// Rejected counts the rejected reports by reason.
 	Rejected        map[announcement.Reason]uint64 `json:"rejectedReports"`
@@ -131,8 +131,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.Target = a.table.State(now).String()
-	life := a.table.TargetIncarnation()
-	s.TargetName, s.Born, s.Since, s.Sequence = life.ID, life.StartedMs, life.FirstSeen, life.Sequence
+	incarnation := a.table.TargetIncarnation()
+	s.TargetName, s.StartedMs, s.FirstSeen, s.Sequence = incarnation.ID, incarnation.StartedMs, incarnation.FirstSeen, incarnation.Sequence
 	s.Rejected = maps.Clone(a.rejections)
 	s.Busy, s.Flows, s.Configuration = a.table.Busy(), a.table.Flows(), configuration.DisplayVersion(a.table.Configuration())
 	s.LivingBalancers = len(a.balancers.Living(now))
--- a/pkg/dsrd/balancer.go
+++ b/pkg/dsrd/balancer.go
@@ -62,10 +62,10 @@
 	// until one of them has sent the agents that it knows.
 	readCapacity  map[netip.AddrPort]uint32
 	requestAgents bool
-	// evacuations reads the evacuations; pendingRoutes is the configuration that is applied once they are known.
-	evacuations   *evacuationReader
-	pendingRoutes *routing.Table
-	message       dsrpb.Message
+	// evacuationReader reads the evacuations; pendingRoutes is the configuration that is applied once they are known.
+	evacuationReader *evacuationReader
+	pendingRoutes    *routing.Table
+	message          dsrpb.Message
 	// reportedEras are the eras of the object API that other balancers report. A reported era only triggers a call;
 	// the answer to that confirms it.
 	reportedEras *objectapi.Eras
@@ -98,19 +98,19 @@
 	b.core = dispatch.NewBalancer(dispatch.Config{DataCentre: cfg.DataCentre}, p.Codec, b.out, n.started)
 	b.configSync = newConfigSync(p, env.Log)
 	b.configSync.adopt = b.adopt
-	b.configSync.checkersBefore = b.checkersBefore
+	b.configSync.before = b.checkersBefore
 	b.configSync.propagation = b.propagation
 	b.configSync.onChecked = b.gossipNow
-	b.evacuations = &evacuationReader{
-		store:  p.Store,
-		kind:   cmp.Or(p.EvacuationKind, evacuation.Kind),
-		log:    env.Log,
-		wanted: b.readsEvacuations,
-		known:  b.knownEvacuations,
-		adopt:  b.applyReadEvacuations,
+	b.evacuationReader = &evacuationReader{
+		store:      p.Store,
+		kind:       cmp.Or(p.EvacuationKind, evacuation.Kind),
+		log:        env.Log,
+		shouldRead: b.readsEvacuations,
+		known:      b.knownEvacuations,
+		adopt:      b.applyReadEvacuations,
 	}
 	if p.EvacuationStore != nil {
-		b.evacuations.store = p.EvacuationStore
+		b.evacuationReader.store = p.EvacuationStore
 	}
 	b.agents.Seed = uint64(n.started.UnixNano())
 	b.reportedEras = objectapi.NewEras()
@@ -120,13 +120,13 @@
 
 // Run runs the balancer. When ctx ends it leaves the rotation, forwards until its flows have moved, and returns.
 func (b *Balancer) Run(ctx context.Context) error {
-	g, run := errgroup.WithContext(b.ctx)
+	g, run := errgroup.WithContext(b.runCtx)
 	defer b.cancel()
 	g.Go(func() error { return b.packets.read(run, b.fromCaller) })
 	g.Go(func() error { return b.messages.read(run, b.fromDaemon) })
 	g.Go(func() error { return b.alarm.run(run, b.tick) })
 	g.Go(func() error { return b.configSync.run(run) })
-	g.Go(func() error { return b.evacuations.run(run) })
+	g.Go(func() error { return b.evacuationReader.run(run) })
 	g.Go(func() error { return b.serveConfiguration(run) })
 	g.Go(func() error { return every(run, sendInterval, b.gossip) })
 	g.Go(func() error { return b.join(run) })
--- a/pkg/dsrd/config_sync.go
+++ b/pkg/dsrd/config_sync.go
@@ -69,10 +69,10 @@
 	// onChecked is called after each successful check and after each change, so that the other balancers need not
 	// check.
 	onChecked func()
-	// checkersBefore is the number of living balancers that check before this one; propagation is how long the result
+	// before is the number of living balancers that check before this one; propagation is how long the result
 	// of a check may take to arrive.
-	checkersBefore func() int
-	propagation    func() time.Duration
+	before      func() int
+	propagation func() time.Duration
 
 	// adoptMu serialises the adoption of configurations, encodeMu their encoding; both are locked before mu.
 	adoptMu  sync.Mutex
@@ -132,8 +132,8 @@
 	return k.inForce.Version, now.Sub(k.checked), !k.checked.IsZero()
 }
 
-// notifyNewer records that a newer version exists. Source is the balancer that has it, or the zero value.
-func (k *configSync) notifyNewer(version uint64, source netip.AddrPort) {
+// notifyNewer records that a newer version exists. NewerSource is the balancer that has it, or the zero value.
+func (k *configSync) notifyNewer(version uint64, newerSource netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version <= k.inForce.Version {
@@ -143,8 +143,8 @@
 		k.newerSince = time.Now()
 	}
 	k.newerVersion = max(k.newerVersion, version)
-	if source.IsValid() {
-		k.newerSource = source
+	if newerSource.IsValid() {
+		k.newerSource = newerSource
 	}
 	signal(k.wake)
 }
@@ -204,7 +204,7 @@
 // due reports whether the configuration is to be compared with the object API. The balancer that comes first always
 // watches; the others take over when it does not report that it does.
 func (k *configSync) due(now time.Time) bool {
-	before, spread := k.checkersBefore(), k.propagation()
+	before, propagation := k.before(), k.propagation()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now.Before(k.pauseUntil) {
@@ -221,7 +221,7 @@
 	if k.adopted.After(last) {
 		last = k.adopted
 	}
-	return now.Sub(last) >= checkInterval+spread+min(time.Duration(before)*checkStagger, maxStagger)
+	return now.Sub(last) >= checkInterval+propagation+min(time.Duration(before)*checkStagger, maxStagger)
 }
 
 // check queries the object API whether the configuration in force is the newest, and adopts a newer one. It returns
--- a/pkg/dsrd/config_sync_test.go
+++ b/pkg/dsrd/config_sync_test.go
@@ -144,7 +144,7 @@
 		},
 	}, zerolog.Nop())
 	f.adopt = func(c configuration.Configuration) { f.adopted = append(f.adopted, c.Version) }
-	f.checkersBefore = func() int { return f.ahead }
+	f.before = func() int { return f.ahead }
 	f.propagation = func() time.Duration { return f.maxPropagation }
 	f.onChecked = func() {}
 	return f
--- a/pkg/dsrd/evacuation_reader.go
+++ b/pkg/dsrd/evacuation_reader.go
@@ -22,8 +22,8 @@
 	store objectapi.Store
 	kind  objectapi.Kind
 	log   zerolog.Logger
-	// wanted reports whether this balancer has to read: no other has reported them yet, or it watches for others.
-	wanted func() bool
+	// shouldRead reports whether this balancer has to read: no other has reported them yet, or it watches for others.
+	shouldRead func() bool
 	// known returns the set in force, adopt applies one that was read.
 	known func() evacuation.Set
 	adopt func(evacuation.Set)
@@ -41,7 +41,7 @@
 
 func (e *evacuationReader) run(ctx context.Context) error {
 	return every(ctx, syncInterval, func(now time.Time) {
-		if !e.wanted() {
+		if !e.shouldRead() {
 			// Changes until this balancer watches again are missed.
 			e.revision = 0
 			return
--- a/pkg/dsrd/node.go
+++ b/pkg/dsrd/node.go
@@ -39,8 +39,8 @@
 	alarm    *alarm
 	// eras are those of the object API.
 	eras *objectapi.Eras
-	// ctx ends when Run returns or Close is called.
-	ctx    context.Context
+	// runCtx ends when Run returns or Close is called.
+	runCtx context.Context
 	cancel context.CancelFunc
 
 	// mu guards everything below and the decisions of the daemon.
@@ -75,7 +75,7 @@
 		n.eras = objectapi.NewEras()
 	}
 	n.balancers.Seed = uint64(n.started.UnixNano())
-	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.runCtx, n.cancel = context.WithCancel(context.Background())
 	return n, nil
 }
 
