--- a/pkg/dsr/admission/queue.go
+++ b/pkg/dsr/admission/queue.go
@@ -27,9 +27,9 @@
 	// exceed. A request counts as timely only when there is time for that much: those closest to their promised time
 	// go first, so that under an overload every request is offered with just the time that is set aside.
 	LongWork = 2.5
-	// MinWork is the least margin, as a multiple of the typical work. It applies where half of the promised
-	// time is less than a long request takes: a target that is slow after its start would otherwise count every
-	// request that has waited as late.
+	// MinWork is the least margin, as a multiple of the typical work. It applies where half of the promised time is
+	// less than a long request takes: a target that is slow after its start would otherwise count every request that
+	// has waited as late.
 	MinWork = 1.5
 	// RetransmissionSlack is how late a retransmission of an opening packet may be until its caller counts as gone:
 	// the delay of a busy balancer.
@@ -149,7 +149,7 @@
 	return Opening{}, false
 }
 
-// RecordSent records a retransmission of the opening packet of a queued flow.
+// RecordSent records a transmission of the opening packet of a queued flow, as Opening.RecordSent does.
 func (q *Queue) RecordSent(key flow.Key, age, next time.Duration) {
 	for i := range q.waiting {
 		if q.waiting[i].Key == key {
--- a/pkg/dsr/configuration/configuration.go
+++ b/pkg/dsr/configuration/configuration.go
@@ -32,8 +32,8 @@
 	Name string
 	// HealthPath is the path of its targets' health check; empty when there is none.
 	HealthPath string
-	// WarmUp is how long a target is cold after its start, ColdPerSecond the number of new flows that it takes in any second until
-	// then; 0 for no limit.
+	// WarmUp is how long a target is cold after its start, ColdPerSecond the number of new flows that it takes in any
+	// second until then; 0 for no limit.
 	WarmUp        time.Duration
 	ColdPerSecond float64
 	// Regions are those that flows of the service may reach; empty means all.
--- a/pkg/dsr/dispatch/agents.go
+++ b/pkg/dsr/dispatch/agents.go
@@ -87,8 +87,8 @@
 		b.agents[from] = a
 		b.order = append(b.order, a)
 	}
-	// Incarnations have no order, since the wall clock may jump: one that differs is taken for the current one. A late
-	// datagram of an earlier incarnation is corrected by the next announcement.
+	// Incarnations have no order, since the wall clock may jump: one that differs is assumed to be the current one. A
+	// late datagram of an earlier incarnation is corrected by the next announcement.
 	if n.Incarnation != a.incarnation {
 		a.started = now
 	}
--- a/pkg/dsr/dispatch/balancer_test.go
+++ b/pkg/dsr/dispatch/balancer_test.go
@@ -417,7 +417,7 @@
 	require.Len(t, f.out.resets, 1, "an address without a route is refused")
 }
 
-// An agent takes a caller for gone when it sees none of its retransmissions.
+// An agent assumes that a caller is gone when it sees none of its retransmissions.
 func TestParkedFlowIsOfferedWithItsLastRetransmission(t *testing.T) {
 	f := newFixture(t)
 	f.b.started = f.now
--- a/pkg/dsr/dispatch/choose.go
+++ b/pkg/dsr/dispatch/choose.go
@@ -61,11 +61,11 @@
 // eligibleAgents returns the untried agents that a flow may be offered to, in a slice that is valid until the next
 // call.
 func (b *Balancer) eligibleAgents(now time.Time, f *flowState) []*agent {
-	leaveOut := b.excludesFailing(now, f.service)
+	excludeFailing := b.excludesFailing(now, f.service)
 	regions := b.routes.Regions(b.routes.Route(f.key.Destination), f.service)
 	b.candidates = b.candidates[:0]
 	for _, a := range b.services[f.service] {
-		if !b.isUsable(now, a) || a.failing && leaveOut || !regions.Allow(a.region) || slices.Contains(f.tried, a.addr) {
+		if !b.isUsable(now, a) || a.failing && excludeFailing || !regions.Allow(a.region) || slices.Contains(f.tried, a.addr) {
 			continue
 		}
 		b.candidates = append(b.candidates, a)
--- a/pkg/dsr/dispatch/config.go
+++ b/pkg/dsr/dispatch/config.go
@@ -24,8 +24,8 @@
 	// bear, the burst covers the open flows that a balancer takes over from one that left.
 	SearchMessagesPerSecond = 500
 	SearchBurst             = 2000
-	// SettleTime is how long a balancer that has started may not know every agent, and every balancer an agent that has
-	// joined: two announcement intervals and a margin for a lost one. Until then no target is probed.
+	// SettleTime is the time until a balancer that has started knows every agent, and until every balancer knows an
+	// agent that has joined: two announcement intervals and a margin for a lost one. Until then no target is probed.
 	SettleTime = 600 * time.Millisecond
 	// SearchInitialAgents is the number of agents that a search asks first: those to which the flow is offered first
 	// when all targets are free. Each further step asks SearchGrowth times as many others. Asking all agents of a large
--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -104,7 +104,8 @@
 	b.hedges = append(b.hedges, due{flow: f, at: f.hedgeAt})
 }
 
-// patience is how long a caller waits for an answer to its opening packet.
+// patience is how long a caller waits for an answer to its opening packet, given the timeout of its route, 0 when there
+// is none.
 func patience(timeout time.Duration) time.Duration {
 	if timeout == 0 {
 		return OpeningTimeout
--- a/pkg/dsr/dispatch/output.go
+++ b/pkg/dsr/dispatch/output.go
@@ -32,7 +32,7 @@
 	// Run says whether a target may have done work for the flow.
 	Run refusal.Run
 	// Notified is set when the caller was sent a reset at once. It is not set when the flow may be open elsewhere: the
-	// caller then goes on waiting, and its next retransmission is a new try.
+	// caller then keeps waiting, and its next retransmission is a new try.
 	Notified bool
 	// Tried is the number of offers made, Waited the time since the opening packet arrived.
 	Tried         int
--- a/pkg/dsr/evacuation/set.go
+++ b/pkg/dsr/evacuation/set.go
@@ -1,5 +1,5 @@
-// Package evacuation holds the data centres that operators have evacuated: their targets take no new flows until the evacuation is
-// withdrawn. It does no input or output.
+// Package evacuation holds the data centres that operators have evacuated: their targets take no new flows until the
+// evacuation is withdrawn. It does no input or output.
 package evacuation
 
 import (
--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -28,7 +28,7 @@
 	begin, end uint32
 }
 
-// startReply records the first packet of an answer. Packets may overtake each other, so the first byte is taken to
+// startReply records the first packet of an answer. Packets may overtake each other, so the first byte is assumed to
 // follow the last answer, or the answer to the opening packet where that was seen.
 func (e *entry) startReply(now time.Time, s segment.Segment) {
 	begin := s.Sequence
--- a/pkg/dsr/ownership/answers_test.go
+++ b/pkg/dsr/ownership/answers_test.go
@@ -40,7 +40,7 @@
 		f.answerAfter(port, 2*time.Millisecond, 171)
 	}
 	require.True(t, f.announcedFailing())
-	last := f.out.judgements[len(f.out.judgements)-1]
+	last := f.out.healthChanges[len(f.out.healthChanges)-1]
 	require.True(t, last.LooksFailed)
 	require.Equal(t, uint32(171), last.Answer.Bytes)
 	require.Equal(t, uint32(500), last.Median.Bytes)
@@ -68,7 +68,7 @@
 				}
 				f.answerAfter(port, c.work, c.size)
 			}
-			require.Empty(t, f.out.judgements)
+			require.Empty(t, f.out.healthChanges)
 		})
 	}
 }
--- a/pkg/dsr/ownership/incarnation.go
+++ b/pkg/dsr/ownership/incarnation.go
@@ -22,7 +22,7 @@
 	}
 	before := t.State(now)
 	last := t.target
-	n, err := t.target.receive(now, a, t.silence())
+	n, err := t.target.receive(now, a, t.silenceTimeout())
 	if err != nil || n == outdated {
 		return false, err
 	}
@@ -34,8 +34,8 @@
 	return n == newIncarnation || before != t.State(now), nil
 }
 
-// silence is how long a target may send no heartbeat until it counts as absent.
-func (t *Table) silence() time.Duration { return MissedHeartbeats * t.cfg.HeartbeatInterval }
+// silenceTimeout is how long a target may send no heartbeat until it counts as absent.
+func (t *Table) silenceTimeout() time.Duration { return MissedHeartbeats * t.cfg.HeartbeatInterval }
 
 // Probed records a target's answer to a health check that it is ready, when the agent has not received its heartbeat
 // yet. The number of slots is then assumed. It reports whether the balancers should be notified.
@@ -102,7 +102,7 @@
 	t.offerQueued(now)
 }
 
-// notifyReset tells the balancer that a flow was reset, for its records.
+// notifyReset notifies the balancer that a flow was reset, for its records.
 func (t *Table) notifyReset(now time.Time, origin netip.AddrPort, key flow.Key) {
 	if origin.IsValid() {
 		t.sendReturned(now, origin, &dsrpb.Message{Flow: key.Hash()}, key, dsrpb.Verdict_VERDICT_RESET, nil)
--- a/pkg/dsr/ownership/incarnation_test.go
+++ b/pkg/dsr/ownership/incarnation_test.go
@@ -173,7 +173,7 @@
 		f.open(3)
 		f.open(4)
 		require.Equal(t, 4, f.table.Busy(), "two are open, one is offered, one is queued")
-		f.table.recordWork(f.now, time.Second)
+		f.table.recordWorkTime(f.now, time.Second)
 		f.out.target, f.out.messages = nil, nil
 
 		require.True(t, f.apply(report("i-2", startedMs, 1, ready)))
--- a/pkg/dsr/ownership/lifetime.go
+++ b/pkg/dsr/ownership/lifetime.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// expire applies a flow's timer: a half-open flow stops counting as work, an offer fails, or a probed flow is taken
-// as held.
+// expire applies a flow's timer: a half-open flow stops counting as work, an offer fails, or a probed flow is assumed
+// to be held.
 func (t *Table) expire(now time.Time, key flow.Key) {
 	e := t.flows[key]
 	if e == nil {
--- a/pkg/dsr/ownership/messages.go
+++ b/pkg/dsr/ownership/messages.go
@@ -8,8 +8,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Announcement describes the agent and its target for the balancers; it is valid until the next call. Joined tells
-// the receiver that the agent has received messages from it lately, next is the time until the next announcement.
+// Announcement describes the agent and its target for the balancers; it is valid until the next call. Joined reports
+// to the receiver that the agent has received messages from it lately, next is the time until the next announcement.
 func (t *Table) Announcement(now time.Time, joined bool, next time.Duration) *dsrpb.Message {
 	t.announcementMsg = dsrpb.Announcement{
 		DataCentre:  t.cfg.DataCentre,
@@ -35,7 +35,7 @@
 		Service:        t.cfg.Service,
 		Configuration:  t.configuration,
 		Busy:           uint32(t.Busy()),
-		WorkUs:         t.reportedWork(now),
+		WorkUs:         t.reportedWorkTime(now),
 		Cold:           t.reportedCold(now),
 		FlowsPerSecond: float32(t.rate.PerSecond(now)),
 	}
@@ -76,7 +76,7 @@
 	t.out.ToBalancer(balancer, &t.msg)
 }
 
-// sendAccepted tells the balancer that the target holds the flow.
+// sendAccepted notifies the balancer that the target holds the flow.
 func (t *Table) sendAccepted(now time.Time, key flow.Key, e *entry) {
 	if !e.origin.IsValid() {
 		return
--- a/pkg/dsr/ownership/outcome_test.go
+++ b/pkg/dsr/ownership/outcome_test.go
@@ -54,9 +54,9 @@
 				f.announce(0)
 			}
 			require.True(t, f.announcedFailing())
-			require.Len(t, f.out.judgements, 1)
-			require.Equal(t, outlier.Ejected, f.out.judgements[0].State)
-			require.Equal(t, outlier.Failures, f.out.judgements[0].Failures)
+			require.Len(t, f.out.healthChanges, 1)
+			require.Equal(t, outlier.Ejected, f.out.healthChanges[0].State)
+			require.Equal(t, outlier.Failures, f.out.healthChanges[0].Failures)
 		})
 	}
 }
@@ -91,7 +91,7 @@
 		f.request(port)
 		f.target(port, segment.ACK|segment.FIN, uint32(port)*1000+1, "200")
 	}
-	require.Equal(t, outlier.Healthy, f.out.judgements[len(f.out.judgements)-1].State)
+	require.Equal(t, outlier.Healthy, f.out.healthChanges[len(f.out.healthChanges)-1].State)
 }
 
 // Callers that leave early, targets that close after their answer, and slow but answered requests are no failures.
@@ -114,7 +114,7 @@
 		f.announce(0)
 		f.out.messages = nil
 	}
-	require.Empty(t, f.out.judgements)
+	require.Empty(t, f.out.healthChanges)
 }
 
 // Failures at an address that the target does not serve do not count.
@@ -129,13 +129,13 @@
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
-	require.Empty(t, f.out.judgements)
+	require.Empty(t, f.out.healthChanges)
 	service = served
 	for port := 20; port < 20+outlier.Failures; port++ {
 		f.request(port)
 		f.target(port, segment.RST, uint32(port)*1000+1, "")
 	}
-	require.Len(t, f.out.judgements, 1)
+	require.Len(t, f.out.healthChanges, 1)
 }
 
 func TestOutlierStateEndsWithTheIncarnation(t *testing.T) {
@@ -162,7 +162,7 @@
 		f.pass(sweepInterval)
 		f.announce(0)
 	}
-	require.Empty(t, f.out.judgements)
+	require.Empty(t, f.out.healthChanges)
 	require.Equal(t, "GET", string(dsrtest.Data(f.out.target[len(f.out.target)-1])), "it is passed on nevertheless")
 }
 
@@ -196,5 +196,5 @@
 		f.target(port, segment.FIN|segment.ACK, uint32(port)*1000+1, "")
 		f.announce(0)
 	}
-	require.Empty(t, f.out.judgements)
+	require.Empty(t, f.out.healthChanges)
 }
--- a/pkg/dsr/ownership/output.go
+++ b/pkg/dsr/ownership/output.go
@@ -19,7 +19,7 @@
 	ToBalancer(balancer netip.AddrPort, m *dsrpb.Message)
 	// Decided reports a decision, for logs and counters.
 	Decided(d Decision)
-	// HealthChanged reports that the target was ejected since it fails, or is in use again. The balancers are to be
+	// HealthChanged reports that the target was ejected because it fails, or is in use again. The balancers are to be
 	// notified.
 	HealthChanged(j HealthChange)
 }
@@ -57,6 +57,6 @@
 	EventDeclined Event = "declined"
 	// EventRecovered: a flow that is older than the agent was found at the target.
 	EventRecovered Event = "recovered"
-	// EventReset: an open flow was reset since its target has lost it.
+	// EventReset: an open flow was reset because its target has lost it.
 	EventReset Event = "reset"
 )
--- a/pkg/dsr/ownership/queueing.go
+++ b/pkg/dsr/ownership/queueing.go
@@ -105,15 +105,14 @@
 	}
 }
 
-// answered records that the target has answered, and samples the work time of a request that had a slot at
-// once.
+// answered records that the target has answered, and samples the work time of a request that had a slot at once.
 func (t *Table) answered(now time.Time, key flow.Key, e *entry, s segment.Segment) {
 	if e.working {
 		t.recordServed(key.Destination)
 		e.startReply(now, s)
 	}
 	if e.working && e.hadFreeSlot {
-		t.recordWork(now, now.Sub(e.busySince))
+		t.recordWorkTime(now, now.Sub(e.busySince))
 	}
 	t.clearBusy(e)
 }
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -42,8 +42,8 @@
 	outcomes outlier.Detector
 	// served are the addresses for which the target has answered a request.
 	served map[netip.AddrPort]bool
-	// minAnswers are the target's minimum answers by the hash of the address, median those of the median
-	// target of the service.
+	// minAnswers are the target's minimum answers by the hash of the address, median those of the median target of the
+	// service.
 	minAnswers map[uint32]*outlier.AnswerWindow
 	median     map[uint32]outlier.Answer
 	// notHeld are flows that the target has returned, by the time when it did.
@@ -112,7 +112,7 @@
 	if t.leaving || t.evacuated && t.target.known {
 		return dsrpb.State_STATE_LEAVING
 	}
-	return t.target.state(now, t.silence())
+	return t.target.state(now, t.silenceTimeout())
 }
 
 // TargetKnown reports whether a running incarnation of the target is known.
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -37,7 +37,7 @@
 	resets         []flow.Key
 	messages       []sent
 	decisions      []Decision
-	judgements     []HealthChange
+	healthChanges  []HealthChange
 }
 
 func (r *recorder) ToTarget(raw []byte) { r.target = append(r.target, append([]byte(nil), raw...)) }
@@ -46,7 +46,7 @@
 }
 func (r *recorder) Reset(key flow.Key, _ uint32) { r.resets = append(r.resets, key) }
 func (r *recorder) Decided(d Decision)           { r.decisions = append(r.decisions, d) }
-func (r *recorder) HealthChanged(j HealthChange) { r.judgements = append(r.judgements, j) }
+func (r *recorder) HealthChanged(j HealthChange) { r.healthChanges = append(r.healthChanges, j) }
 func (r *recorder) ToBalancer(to netip.AddrPort, m *dsrpb.Message) {
 	r.messages = append(r.messages, sent{
 		to: to, kind: m.Kind, verdict: m.Verdict, packet: append([]byte(nil), m.Packet...), busy: m.Busy,
--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -24,7 +24,7 @@
 
 // target is the agent's view of its target.
 type target struct {
-	// known is set while an incarnation is taken to be running; last is its last announcement, or that of one that
+	// known is set while an incarnation is assumed to be running; last is its last announcement, or that of one that
 	// has ended.
 	known    bool
 	last     announcement.Announcement
@@ -53,8 +53,8 @@
 }
 
 // receive applies an announcement. A rejected one returns an *announcement.Rejection and changes nothing.
-func (t *target) receive(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
-	n, err := t.classify(now, a, silence)
+func (t *target) receive(now time.Time, a announcement.Announcement, silenceTimeout time.Duration) (announcementEffect, error) {
+	n, err := t.classify(now, a, silenceTimeout)
 	if err != nil || n == outdated {
 		return outdated, err
 	}
@@ -84,7 +84,7 @@
 // classify determines what an announcement means. Incarnations are ordered by their start time, whatever the target's
 // name, and announcements within one by their sequence. A target that never reports its start never reuses a name
 // either: then a new name is a new incarnation.
-func (t *target) classify(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
+func (t *target) classify(now time.Time, a announcement.Announcement, silenceTimeout time.Duration) (announcementEffect, error) {
 	switch {
 	case t.last.ID == "":
 		return newIncarnation, nil
@@ -98,7 +98,7 @@
 	case a.StartedMs != 0:
 		return newIncarnation, nil
 	}
-	return t.classifyByName(now, a, silence)
+	return t.classifyByName(now, a, silenceTimeout)
 }
 
 // classifyByStart orders two incarnations that both report their start.
@@ -116,11 +116,11 @@
 
 // classifyByName orders incarnations that do not report their start. A replaced name stays rejected, since its
 // announcements may be delayed; it is accepted again only when its successor is silent and its sequence continues.
-func (t *target) classifyByName(now time.Time, a announcement.Announcement, silence time.Duration) (announcementEffect, error) {
+func (t *target) classifyByName(now time.Time, a announcement.Announcement, silenceTimeout time.Duration) (announcementEffect, error) {
 	if t.known && t.last.ID == a.ID {
 		return t.classifyBySequence(a), nil
 	}
-	silent := now.Sub(t.lastSeen) > silence
+	silent := now.Sub(t.lastSeen) > silenceTimeout
 	for _, r := range t.retired {
 		if r.id == a.ID && (r.left || !silent || a.Sequence <= r.sequence) {
 			return outdated, &announcement.Rejection{Reason: announcement.EarlierIncarnation}
@@ -180,13 +180,13 @@
 }
 
 // state is the target's state as announced to the balancers.
-func (t *target) state(now time.Time, silence time.Duration) dsrpb.State {
+func (t *target) state(now time.Time, silenceTimeout time.Duration) dsrpb.State {
 	switch {
 	case !t.known:
 		return dsrpb.State_STATE_ABSENT
 	case t.last.State == announcement.Draining:
 		return dsrpb.State_STATE_LEAVING
-	case now.Sub(t.lastSeen) > silence:
+	case now.Sub(t.lastSeen) > silenceTimeout:
 		return dsrpb.State_STATE_ABSENT
 	}
 	return dsrpb.State_STATE_READY
--- a/pkg/dsr/ownership/work_time.go
+++ b/pkg/dsr/ownership/work_time.go
@@ -12,8 +12,8 @@
 // workTime is the target's time for one request.
 func (t *Table) workTime() time.Duration { return t.meanWork.ValueOr(DefaultWorkTime) }
 
-// recordWork adds a sample of the work time, from a request that had a slot at once.
-func (t *Table) recordWork(now time.Time, work time.Duration) {
+// recordWorkTime adds a sample of the work time, from a request that had a slot at once.
+func (t *Table) recordWorkTime(now time.Time, work time.Duration) {
 	if now.Sub(t.workUpdated) > WorkTimeMaxAge {
 		t.meanWork = estimate.Mean{}
 	}
@@ -21,9 +21,9 @@
 	t.workUpdated = now
 }
 
-// reportedWork is the target's time for one request as reported to balancers, in microseconds; 0 when it is not
+// reportedWorkTime is the target's time for one request as reported to balancers, in microseconds; 0 when it is not
 // known.
-func (t *Table) reportedWork(now time.Time) uint32 {
+func (t *Table) reportedWorkTime(now time.Time) uint32 {
 	if !t.meanWork.HasSample() || now.Sub(t.workUpdated) > WorkTimeMaxAge {
 		return 0
 	}
