--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -35,7 +35,7 @@
 	// not gets a few dozen probes, whatever the number of balancers.
 	minProbeInterval = 20 * time.Millisecond
 	probeSlowdown    = 10
-	// isolatedAfter is how long an agent may receive nothing from any balancer until it counts itself as cut off:
+	// isolatedAfter is how long an agent may receive nothing from any balancer until it counts itself as isolated:
 	// balancers answer four times a second or more, a single one every 0.75 s. A false positive costs an announcement
 	// to each balancer.
 	isolatedAfter = 2 * time.Second
@@ -250,13 +250,13 @@
 // recordSeen records a message of a balancer. One that is new, or was silent, gets an announcement at once; after a
 // time without any message all of them do, since they may have evicted the agent. a.mu is held.
 func (a *Agent) recordSeen(now time.Time, from netip.AddrPort) {
-	cutOff := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
+	isolated := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
 	a.lastSeen = now
 	if a.balancers.MarkSeen(now, from) {
 		a.recordRegained(from)
 		a.announceTo(now, from)
 	}
-	if cutOff {
+	if isolated {
 		a.announceNow(now)
 	}
 }
@@ -318,9 +318,9 @@
 		}
 		now := time.Now()
 		a.mu.Lock()
-		goOn := a.mayProbe(now)
+		mayProbe := a.mayProbe(now)
 		a.mu.Unlock()
-		if !goOn || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
+		if !mayProbe || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
 			break
 		}
 	}
--- a/pkg/dsrd/balancer.go
+++ b/pkg/dsrd/balancer.go
@@ -195,7 +195,7 @@
 	if b.core.Routes() == nil {
 		return errors.New("no configuration yet")
 	}
-	// Callers of a cut-off balancer are better served by another.
+	// Callers of an isolated balancer are better served by another.
 	if now.Sub(b.core.LastSeen()) > dispatch.IsolatedAfter && now.Sub(b.started) >= readyWithoutAgents {
 		return errors.New("no agent is reachable")
 	}
@@ -306,8 +306,8 @@
 	}
 }
 
-// awaitEra returns when an era after the given one is known, or when others report one after both that and the one
-// reported before. It returns the context's error when that ends.
+// awaitEra returns when an era after the given one is known, or when others report one that is later than both that one
+// and reported, the last one that they had reported. It returns the context's error when that ends.
 func (b *Balancer) awaitEra(ctx context.Context, era, reported uint64) error {
 	for {
 		newest, known := b.eras.Changed()
--- a/pkg/dsrd/balancer_output.go
+++ b/pkg/dsrd/balancer_output.go
@@ -58,7 +58,7 @@
 
 // Outdated implements dispatch.Output.
 func (o *balancerOutput) Outdated(version uint64) {
-	o.b.configSync.notifyNewer(version, netip.AddrPort{})
+	o.b.configSync.recordNewer(version, netip.AddrPort{})
 }
 
 // Refused implements dispatch.Output.
--- a/pkg/dsrd/config_sync.go
+++ b/pkg/dsrd/config_sync.go
@@ -132,8 +132,8 @@
 	return k.inForce.Version, now.Sub(k.checked), !k.checked.IsZero()
 }
 
-// notifyNewer records that a newer version exists. NewerSource is the balancer that has it, or the zero value.
-func (k *configSync) notifyNewer(version uint64, newerSource netip.AddrPort) {
+// recordNewer records that a newer version exists. NewerSource is the balancer that has it, or the zero value.
+func (k *configSync) recordNewer(version uint64, newerSource netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if version <= k.inForce.Version {
--- a/pkg/dsrd/config_sync_test.go
+++ b/pkg/dsrd/config_sync_test.go
@@ -314,7 +314,7 @@
 		f.ahead = 3
 		f.runFor(t, 50*time.Millisecond)
 		f.store.calls()
-		f.notifyNewer(6, netip.AddrPort{})
+		f.recordNewer(6, netip.AddrPort{})
 		f.store.write(6, "")
 		f.runFor(t, fetchTimeout-50*time.Millisecond)
 		reads, _ := f.store.calls()
@@ -376,7 +376,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- f.run(ctx) }()
-	f.notifyNewer(9, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
+	f.recordNewer(9, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	require.Eventually(t, func() bool {
 		version, _, _ := f.state(time.Now())
 		return version == 9
@@ -465,7 +465,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := numberedFixture("18")
 		f.runFor(t, 2*time.Second)
-		f.notifyNewer(900, firstAddress)
+		f.recordNewer(900, firstAddress)
 		_, behind := f.behind()
 		require.False(t, behind, "its versions are below all numbers")
 		old := newConfigSyncFixture()
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -157,7 +157,7 @@
 
 // compareConfiguration applies what another balancer reports of the configuration. b.mu is held.
 func (b *Balancer) compareConfiguration(now time.Time, from netip.AddrPort, m *dsrpb.Message) {
-	b.configSync.notifyNewer(m.Configuration, from)
+	b.configSync.recordNewer(m.Configuration, from)
 	if m.Roster.Checked {
 		b.configSync.confirm(m.Configuration, now.Add(-milliseconds(m.Roster.CheckedMs)-hopTime))
 	}
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -178,8 +178,8 @@
 	gossip.Evacuations = evacuated
 	gossip.Roster.IntervalMs = uint32(roster.MaxInterval / time.Millisecond)
 	gossip.Roster.Balancers = welcome.Roster.Balancers
-	// Messages come up to a quarter of the interval early, an eighth on average. One of seven agents is in the balancer's data
-	// centre.
+	// Messages come up to a quarter of the interval early, an eighth on average. One of seven agents is in the
+	// balancer's data centre.
 	const (
 		early = 1 - 0.25/2
 		near  = 1.0 / 7
