--- a/pkg/dsr/ownership/cold_test.go
+++ b/pkg/dsr/ownership/cold_test.go
@@ -98,7 +98,7 @@
 }
 
 // An agent that starts beside a running target cannot know how many flows an earlier agent gave it.
-func TestARestartedAgentHandsAColdTargetNothingForASecond(t *testing.T) {
+func TestARestartedAgentOffersAColdTargetNothingForASecond(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.apply(announcement.Announcement{ID: "i-1", Service: "route-svc", Slots: 4, WarmUp: warmTime - 300*time.Millisecond, Sequence: 9})
 	require.False(t, f.serve(1, dsrpb.Patience_PATIENCE_FREE_SLOT))
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -277,7 +277,7 @@
 	require.Len(t, f.out.target, 2)
 }
 
-func TestAFlowThatTheTargetReturnsIsNeverHandedToItAgain(t *testing.T) {
+func TestAFlowThatTheTargetReturnsIsNeverPassedToItAgain(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.data(1, 1001, true)
 	f.returnPacket(1, segment.ACK)
@@ -292,7 +292,7 @@
 	require.Len(t, f.out.target, 1)
 }
 
-func TestAForeignOpenFlowIsNotHandedToTheTarget(t *testing.T) {
+func TestAForeignOpenFlowIsNotPassedToTheTarget(t *testing.T) {
 	f := newFixture(t, Config{First: true})
 	f.data(1, 1001, true)
 	m := f.out.last(t)
@@ -331,7 +331,7 @@
 	require.Len(t, f.out.resets, 1, "a flow that may have opened elsewhere is not reset")
 }
 
-func TestWaitingFlowsAreHandedOverWhenSlotsBecomeFree(t *testing.T) {
+func TestQueuedFlowsAreOfferedWhenSlotsBecomeFree(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := range 6 {
 		f.open(port + 1)
--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -318,9 +318,9 @@
 		}
 		now := time.Now()
 		a.mu.Lock()
-		mayProbe := a.mayProbe(now)
+		keepProbing := a.mayProbe(now)
 		a.mu.Unlock()
-		if !mayProbe || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
+		if !keepProbing || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
 			break
 		}
 	}
--- a/pkg/dsrd/config_sync_test.go
+++ b/pkg/dsrd/config_sync_test.go
@@ -289,7 +289,7 @@
 }
 
 // The others notice late that the first balancer is gone; meanwhile one of them watches without a gap.
-func TestABalancerThatHasSteppedInGoesOnUntilTheFirstOneChecks(t *testing.T) {
+func TestABalancerThatTookOverWatchesUntilTheFirstOneChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigSyncFixture()
 		f.ahead = 1
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -185,9 +185,9 @@
 		near  = 1.0 / 7
 	)
 	agents := float64(b.agents.Len())
-	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
+	received := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
 	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(unreachable(1)[0]).Seconds() / early
-	perSecond := heard*size(announced) + heard/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
+	perSecond := received*size(announced) + received/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
 	require.LessOrEqual(t, perSecond, 12_000.0)
 	t.Logf("%.0f bytes a second: announcements of %.0f bytes, answers of %.0f, gossip of %.0f", perSecond, size(announced), size(welcome), size(gossip))
 }
