--- a/pkg/dsr/dispatch/agents.go
+++ b/pkg/dsr/dispatch/agents.go
@@ -87,8 +87,8 @@
 		b.agents[from] = a
 		b.order = append(b.order, a)
 	}
-	// Incarnations have no order, since the wall clock may jump: one that differs is taken for the current one. A late
-	// datagram of an earlier incarnation is corrected by the next announcement.
+	// Incarnations have no order, since the wall clock may jump: one that differs is assumed to be the current one. A
+	// late datagram of an earlier incarnation is corrected by the next announcement.
 	if n.Incarnation != a.incarnation {
 		a.started = now
 	}
@@ -97,7 +97,7 @@
 	a.dataCentre, a.region = strings.Clone(n.DataCentre), strings.Clone(n.Region)
 	b.addToService(a, strings.Clone(m.Service))
 	a.state, a.slots, a.incarnation, a.failing = n.State, int(n.Slots), n.Incarnation, n.Failing
-	a.responses = responsesOf(n.Answers)
+	a.answers = answersOf(n.Answers)
 	a.interval = min(time.Duration(n.IntervalMs)*time.Millisecond, MaxAnnounceInterval)
 	b.recordReport(now, a, m)
 	if a.state == dsrpb.State_STATE_READY && before != a.state {
--- a/pkg/dsr/dispatch/config.go
+++ b/pkg/dsr/dispatch/config.go
@@ -24,8 +24,8 @@
 	// bear, the burst covers the open flows that a balancer takes over from one that left.
 	SearchMessagesPerSecond = 500
 	SearchBurst             = 2000
-	// SettleTime is how long a balancer that has started may not know every agent, and every balancer an agent that has
-	// joined: two announcement intervals and a margin for a lost one. Until then no target is probed.
+	// SettleTime is the time until a balancer that has started knows every agent, and until every balancer knows an
+	// agent that has joined: two announcement intervals and a margin for a lost one. Until then no target is probed.
 	SettleTime = 600 * time.Millisecond
 	// SearchInitialAgents is the number of agents that a search asks first: those to which the flow is offered first
 	// when all targets are free. Each further step asks SearchGrowth times as many others. Asking all agents of a large
@@ -93,8 +93,8 @@
 	RefusedLinger = time.Second
 	// ClosedLinger is how long the owner of a flow is kept after its caller has closed it.
 	ClosedLinger = 5 * time.Second
-	// InitialWorkTime is the assumed time per request until an agent reports that of its target.
-	InitialWorkTime = 30 * time.Millisecond
+	// DefaultWorkTime is the assumed time per request until an agent reports that of its target.
+	DefaultWorkTime = 30 * time.Millisecond
 	// SlowFactor is the multiple of the service's typical work time above which a free slot does not count as free:
 	// another target answers earlier even if the request has to wait there for one or two others.
 	SlowFactor = 3
--- a/pkg/dsr/ownership/table_test.go
+++ b/pkg/dsr/ownership/table_test.go
@@ -37,7 +37,7 @@
 	resets         []flow.Key
 	messages       []sent
 	decisions      []Decision
-	judgements     []HealthChange
+	healthChanges  []HealthChange
 }
 
 func (r *recorder) ToTarget(raw []byte) { r.target = append(r.target, append([]byte(nil), raw...)) }
@@ -46,7 +46,7 @@
 }
 func (r *recorder) Reset(key flow.Key, _ uint32) { r.resets = append(r.resets, key) }
 func (r *recorder) Decided(d Decision)           { r.decisions = append(r.decisions, d) }
-func (r *recorder) HealthChanged(j HealthChange) { r.judgements = append(r.judgements, j) }
+func (r *recorder) HealthChanged(j HealthChange) { r.healthChanges = append(r.healthChanges, j) }
 func (r *recorder) ToBalancer(to netip.AddrPort, m *dsrpb.Message) {
 	r.messages = append(r.messages, sent{
 		to: to, kind: m.Kind, verdict: m.Verdict, packet: append([]byte(nil), m.Packet...), busy: m.Busy,
@@ -277,7 +277,7 @@
 	require.Len(t, f.out.target, 2)
 }
 
-func TestAFlowThatTheTargetReturnsIsNeverHandedToItAgain(t *testing.T) {
+func TestAFlowThatTheTargetReturnsIsNeverPassedToItAgain(t *testing.T) {
 	f := newFixture(t, Config{})
 	f.data(1, 1001, true)
 	f.returnPacket(1, segment.ACK)
@@ -292,7 +292,7 @@
 	require.Len(t, f.out.target, 1)
 }
 
-func TestAForeignOpenFlowIsNotHandedToTheTarget(t *testing.T) {
+func TestAForeignOpenFlowIsNotPassedToTheTarget(t *testing.T) {
 	f := newFixture(t, Config{First: true})
 	f.data(1, 1001, true)
 	m := f.out.last(t)
@@ -331,7 +331,7 @@
 	require.Len(t, f.out.resets, 1, "a flow that may have opened elsewhere is not reset")
 }
 
-func TestWaitingFlowsAreHandedOverWhenSlotsBecomeFree(t *testing.T) {
+func TestQueuedFlowsAreOfferedWhenSlotsBecomeFree(t *testing.T) {
 	f := newFixture(t, Config{})
 	for port := range 6 {
 		f.open(port + 1)
--- a/pkg/dsrd/agent.go
+++ b/pkg/dsrd/agent.go
@@ -35,7 +35,7 @@
 	// not gets a few dozen probes, whatever the number of balancers.
 	minProbeInterval = 20 * time.Millisecond
 	probeSlowdown    = 10
-	// isolatedAfter is how long an agent may receive nothing from any balancer until it counts itself as cut off:
+	// isolatedAfter is how long an agent may receive nothing from any balancer until it counts itself as isolated:
 	// balancers answer four times a second or more, a single one every 0.75 s. A false positive costs an announcement
 	// to each balancer.
 	isolatedAfter = 2 * time.Second
@@ -98,7 +98,7 @@
 
 // Run runs the agent. When ctx ends it takes no new flows, forwards until the open ones have ended, and returns.
 func (a *Agent) Run(ctx context.Context) error {
-	g, run := errgroup.WithContext(a.ctx)
+	g, run := errgroup.WithContext(a.runCtx)
 	defer a.cancel()
 	g.Go(func() error { return a.packets.read(run, a.fromDaemon) })
 	g.Go(func() error { return a.outbound.read(run, a.fromTarget) })
@@ -250,13 +250,13 @@
 // recordSeen records a message of a balancer. One that is new, or was silent, gets an announcement at once; after a
 // time without any message all of them do, since they may have evicted the agent. a.mu is held.
 func (a *Agent) recordSeen(now time.Time, from netip.AddrPort) {
-	cutOff := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
+	isolated := !a.lastSeen.IsZero() && now.Sub(a.lastSeen) > isolatedAfter
 	a.lastSeen = now
 	if a.balancers.MarkSeen(now, from) {
 		a.recordRegained(from)
 		a.announceTo(now, from)
 	}
-	if cutOff {
+	if isolated {
 		a.announceNow(now)
 	}
 }
@@ -270,7 +270,7 @@
 		// The balancer has lost its state, for example in a restart too short for this agent to notice.
 		a.announceTo(now, from)
 	}
-	a.table.SetMedianAnswers(r.Usual)
+	a.table.Usual(r.Usual)
 	a.balancers.SetRequestedInterval(from, milliseconds(r.IntervalMs))
 	a.balancers.SetSendInterval(from, answeredAnnouncements*a.balancers.IntervalTo(from))
 	if a.addBalancers(now, decodeAddresses(r.Balancers)) {
@@ -283,7 +283,7 @@
 	}
 	a.probing = true
 	path := strings.Clone(r.HealthPath)
-	go a.probe(a.ctx, path)
+	go a.probe(a.runCtx, path)
 }
 
 // receiveEvacuations applies the evacuations that a balancer reports. When they concern the agent's own data centre,
@@ -318,9 +318,9 @@
 		}
 		now := time.Now()
 		a.mu.Lock()
-		goOn := a.mayProbe(now)
+		keepProbing := a.mayProbe(now)
 		a.mu.Unlock()
-		if !goOn || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
+		if !keepProbing || wait.For(ctx, max(minProbeInterval, now.Sub(a.started)/probeSlowdown)) != nil {
 			break
 		}
 	}
--- a/pkg/dsrd/messages_test.go
+++ b/pkg/dsrd/messages_test.go
@@ -178,16 +178,16 @@
 	gossip.Evacuations = evacuated
 	gossip.Roster.IntervalMs = uint32(roster.MaxInterval / time.Millisecond)
 	gossip.Roster.Balancers = welcome.Roster.Balancers
-	// Messages come up to a quarter of the interval early, an eighth on average. One of seven agents is in the balancer's data
-	// centre.
+	// Messages come up to a quarter of the interval early, an eighth on average. One of seven agents is in the
+	// balancer's data centre.
 	const (
 		early = 1 - 0.25/2
 		near  = 1.0 / 7
 	)
 	agents := float64(b.agents.Len())
-	heard := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
+	received := (near*agents/roster.IntervalFor(b.agents.Len()).Seconds() + (1-near)*agents/roster.RemoteIntervalFor(b.agents.Len()).Seconds()) / early
 	sent := float64(b.balancers.Len()) / b.balancers.IntervalTo(unreachable(1)[0]).Seconds() / early
-	perSecond := heard*size(announced) + heard/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
+	perSecond := received*size(announced) + received/answeredAnnouncements*size(welcome) + 2*sent*size(gossip)
 	require.LessOrEqual(t, perSecond, 12_000.0)
 	t.Logf("%.0f bytes a second: announcements of %.0f bytes, answers of %.0f, gossip of %.0f", perSecond, size(announced), size(welcome), size(gossip))
 }
