--- a/pkg/dsr/dispatch/opening.go
+++ b/pkg/dsr/dispatch/opening.go
@@ -15,7 +15,7 @@
 // openingPacket handles a packet that asks to open a flow: the first one of a new flow, or a retransmission.
 func (b *Balancer) openingPacket(now time.Time, key flow.Key, f *flowState, s segment.Segment) {
 	if f != nil && f.sequence == s.Sequence && f.phase != lost {
-		b.retransmission(now, f, s)
+		b.copy(now, f, s)
 		return
 	}
 	b.detectStall(now)
@@ -41,8 +41,8 @@
 	b.place(now, f)
 }
 
-// retransmission handles a retransmitted opening packet.
-func (b *Balancer) retransmission(now time.Time, f *flowState, s segment.Segment) {
+// copy handles a retransmitted opening packet.
+func (b *Balancer) copy(now time.Time, f *flowState, s segment.Segment) {
 	f.touched = now
 	if f.packet != nil {
 		// The age of the last retransmission shows agents that the caller is still there.
