--- a/internal/lab/control/truth.go
+++ b/internal/lab/control/truth.go
@@ -123,7 +123,7 @@
 	}
 	cutNow := t.record(o, began)
 	if !cutNow && t.random.Float64() < t.loseShare {
-		return objectapi.Object{}, objectapi.Fail(objectapi.OpUpdate, o.Kind, o.Name, "lab", objectapi.ErrOutcomeUnknown, nil)
+		return objectapi.Object{}, objectapi.NewCallError(objectapi.OpUpdate, o.Kind, o.Name, "lab", objectapi.ErrOutcomeUnknown, nil)
 	}
 	return o, nil
 }
@@ -195,7 +195,7 @@
 	if o, ok := p.parts[name]; ok {
 		return o, nil
 	}
-	return objectapi.Object{}, objectapi.Fail(objectapi.OpGet, k, name, "lab", objectapi.ErrNotFound, nil)
+	return objectapi.Object{}, objectapi.NewCallError(objectapi.OpGet, k, name, "lab", objectapi.ErrNotFound, nil)
 }
 
 // stored reports whether a change was stored.
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -290,5 +290,5 @@
 }
 
 func fail(op objectapi.Op, kind objectapi.Kind, name string, err, cause error) error {
-	return objectapi.Fail(op, kind, name, peerName, err, cause)
+	return objectapi.NewCallError(op, kind, name, peerName, err, cause)
 }
--- a/pkg/dsrd/evacuations.go
+++ b/pkg/dsrd/evacuations.go
@@ -84,7 +84,7 @@
 func (e *evacuations) adoptMembers() {
 	read, known := evacuation.FromMembers(e.revision, e.members), e.known()
 	if known.Known() && objectapi.EraOf(known.Version) < objectapi.EraOf(e.revision) {
-		e.lostUntil = time.Now().Add(objectapi.RestoredWait)
+		e.lostUntil = time.Now().Add(objectapi.RestoreGracePeriod)
 	}
 	both := read.Union(known)
 	if e.lostUntil.IsZero() || both.Same(read) {
--- a/pkg/dsrd/evacuations_test.go
+++ b/pkg/dsrd/evacuations_test.go
@@ -225,7 +225,7 @@
 
 func TestABalancerReadsEvacuationsWhileAnOlderReleaseWatchesThem(t *testing.T) {
 	b := testBalancer(t)
-	b.eras.See(1)
+	b.eras.Observe(1)
 	b.evacuate(evacuation.NewSet(store.Version(1, 9), nil))
 	require.False(t, b.readsEvacuations(), "another balancer watches")
 	now := time.Now()
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -143,7 +143,7 @@
 	}
 	b.know(now, decodeAddresses(r.Balancers))
 	b.compare(now, from, m)
-	b.namedEras.See(r.Era)
+	b.namedEras.Observe(r.Era)
 	b.hearEvacuations(now, m.Evacuations)
 	if agents := decodeAddresses(r.Agents); len(agents) > 0 {
 		b.asking = false
--- a/pkg/dsrd/keeper_test.go
+++ b/pkg/dsrd/keeper_test.go
@@ -59,7 +59,7 @@
 func (s *fakeStore) answer(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
-		return objectapi.Fail(objectapi.OpGet, "config", "main", "test", objectapi.ErrUnavailable, ctx.Err())
+		return objectapi.NewCallError(objectapi.OpGet, "config", "main", "test", objectapi.ErrUnavailable, ctx.Err())
 	case <-time.After(d):
 	}
 	s.mu.Lock()
--- a/pkg/lease/create.go
+++ b/pkg/lease/create.go
@@ -7,9 +7,9 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// CreateSame creates an object, or finds it with the same value as after a lost answer. Another value gives
+// CreateIdempotent creates an object, or finds it with the same value as after a lost answer. Another value gives
 // objectapi.ErrConflict.
-func CreateSame(ctx context.Context, s objectapi.Store, kind objectapi.Kind, name string, value []byte) error {
+func CreateIdempotent(ctx context.Context, s objectapi.Store, kind objectapi.Kind, name string, value []byte) error {
 	o := objectapi.Object{Kind: kind, Name: name, Value: value}
 	_, err := Put(ctx, s, o)
 	if !errors.Is(err, objectapi.ErrConflict) {
--- a/pkg/objectapi/budget.go
+++ b/pkg/objectapi/budget.go
@@ -176,7 +176,7 @@
 func (b *Budgeted) once(ctx context.Context, op Op, kind Kind, name string, f func() error) error {
 	if err := b.turn(ctx); err != nil {
 		b.counts.refused(op)
-		return Fail(op, kind, name, "budget", ErrUnavailable, err)
+		return NewCallError(op, kind, name, "budget", ErrUnavailable, err)
 	}
 	b.earn()
 	err := f()
--- a/pkg/objectapi/call_error.go
+++ b/pkg/objectapi/call_error.go
@@ -56,7 +56,7 @@
 	return []error{e.Err, e.Cause}
 }
 
-// Fail builds a CallError with its place in the code.
-func Fail(op Op, kind Kind, name, peer string, err, cause error) error {
+// NewCallError builds a CallError with its place in the code.
+func NewCallError(op Op, kind Kind, name, peer string, err, cause error) error {
 	return trace.Wrap(&CallError{Op: op, Kind: kind, Name: name, Peer: peer, Err: err, Cause: cause})
 }
--- a/pkg/objectapi/client.go
+++ b/pkg/objectapi/client.go
@@ -171,7 +171,7 @@
 		return Object{}, err
 	}
 	if o.Version, err = MakeVersion(era, o.Version); err != nil {
-		return Object{}, c.fail(k, Unanswered(k.op, true), err)
+		return Object{}, c.fail(k, ErrorWithoutResponse(k.op, true), err)
 	}
 	return o, nil
 }
@@ -230,13 +230,13 @@
 		limit = maxListSize
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(k.answer); err != nil {
-		return c.fail(k, Unanswered(k.op, true), err)
+		return c.fail(k, ErrorWithoutResponse(k.op, true), err)
 	}
 	return nil
 }
 
 func (c *Client) fail(k call, kind, cause error) error {
-	return c.request(k).Fail(kind, cause)
+	return c.request(k).NewCallError(kind, cause)
 }
 
 func (c *Client) timeout(op Op) time.Duration {
@@ -246,9 +246,9 @@
 	return c.callTimeout
 }
 
-// Unanswered is the typed error of a call without a whole answer; sent is set when the store may have got it. A write may
+// ErrorWithoutResponse is the typed error of a call without a whole answer; sent is set when the store may have got it. A write may
 // then have been done, or may still be.
-func Unanswered(op Op, sent bool) error {
+func ErrorWithoutResponse(op Op, sent bool) error {
 	if sent && op.Writes() {
 		return ErrOutcomeUnknown
 	}
--- a/pkg/objectapi/era_source.go
+++ b/pkg/objectapi/era_source.go
@@ -20,8 +20,8 @@
 	return 0
 }
 
-// NameEra writes the header with a store's era into an answer, if it has one.
-func NameEra(h http.Header, s Store) {
+// SetEraHeader writes the header with a store's era into an answer, if it has one.
+func SetEraHeader(h http.Header, s Store) {
 	if era := CurrentEra(s); era > 0 {
 		h.Set(EraHeader, FormatEra(era))
 	}
--- a/pkg/objectapi/eras.go
+++ b/pkg/objectapi/eras.go
@@ -14,9 +14,9 @@
 	errEarlierEra = errors.New("the answer is from an earlier era of the object API")
 )
 
-// RestoredWait is how long what operators wrote may take to be written again after the object API came back from an older copy. What is in force
+// RestoreGracePeriod is how long what operators wrote may take to be written again after the object API came back from an older copy. What is in force
 // stays until then.
-const RestoredWait = 2 * time.Second
+const RestoreGracePeriod = 2 * time.Second
 
 // Eras is the newest era of the object API that a process has seen named. It is safe for concurrent use.
 type Eras struct {
@@ -42,8 +42,8 @@
 	return e.newest, e.changed
 }
 
-// See notes an era. It reports whether no newer one is known.
-func (e *Eras) See(era uint64) bool {
+// Observe notes an era. It reports whether no newer one is known.
+func (e *Eras) Observe(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era > e.newest {
@@ -54,9 +54,9 @@
 	return era == e.newest
 }
 
-// OfAnswer returns the era that an answer's header names. An answer without the header is taken for one of the newest era. It returns an error
+// FromResponse returns the era that an answer's header names. An answer without the header is taken for one of the newest era. It returns an error
 // when the header cannot be read, or names an earlier era than one seen before.
-func (e *Eras) OfAnswer(h http.Header) (uint64, error) {
+func (e *Eras) FromResponse(h http.Header) (uint64, error) {
 	text := h.Get(EraHeader)
 	if text == "" {
 		return e.Newest(), nil
@@ -65,7 +65,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !e.See(era) {
+	if !e.Observe(era) {
 		return 0, errEarlierEra
 	}
 	return era, nil
--- a/pkg/objectapi/eras_test.go
+++ b/pkg/objectapi/eras_test.go
@@ -48,12 +48,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := objectapi.NewEras()
-			e.See(c.seen)
+			e.Observe(c.seen)
 			h := http.Header{}
 			if c.text != "" {
 				h.Set(objectapi.EraHeader, c.text)
 			}
-			era, err := e.OfAnswer(h)
+			era, err := e.FromResponse(h)
 			require.Equal(t, c.fails, err != nil)
 			require.Equal(t, c.era, era)
 			require.Equal(t, max(c.seen, c.era), e.Newest())
--- a/pkg/objectapi/handler.go
+++ b/pkg/objectapi/handler.go
@@ -154,13 +154,13 @@
 		h.answerError(w, err)
 		return
 	}
-	NameEra(w.Header(), h.store)
+	SetEraHeader(w.Header(), h.store)
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(b) // The client sees a broken answer by itself.
 }
 
 func (h *handler) answerError(w http.ResponseWriter, err error) {
-	NameEra(w.Header(), h.store)
+	SetEraHeader(w.Header(), h.store)
 	status := statusOf(err)
 	b, _ := json.Marshal(problem{Status: status, Title: http.StatusText(status), Detail: err.Error()})
 	w.Header().Set("Content-Type", "application/problem+json")
--- a/pkg/objectapi/informer.go
+++ b/pkg/objectapi/informer.go
@@ -17,10 +17,10 @@
 // whose events then come in batches.
 const DefaultMinInterval = 100 * time.Millisecond
 
-// Batch takes the changes of a kind. The first call follows the first list and has its objects; later ones have
+// BatchFunc takes the changes of a kind. The first call follows the first list and has its objects; later ones have
 // changes. Events are in order of version, which never falls between calls. version is the store version that the
 // state after the batch stands for.
-type Batch func(events []Event, version uint64)
+type BatchFunc func(events []Event, version uint64)
 
 // InformerConfig holds the settings of an Informer; zero values mean the defaults.
 type InformerConfig struct {
@@ -38,8 +38,8 @@
 	Lists uint64
 	// Errors is the number of failed calls.
 	Errors uint64
-	// Repeats is the number of events that were left out since they were handed over before.
-	Repeats uint64
+	// Duplicates is the number of events that were left out since they were handed over before.
+	Duplicates uint64
 	// Regressions is the number of answers that were left out since their version was below one seen before.
 	Regressions uint64
 	// Version is the version reached.
@@ -51,7 +51,7 @@
 	store Store
 	kind  Kind
 	cfg   InformerConfig
-	batch Batch
+	batch BatchFunc
 
 	synced  bool
 	version uint64
@@ -63,7 +63,7 @@
 }
 
 // NewInformer returns an Informer that calls batch from Run's goroutine only.
-func NewInformer(store Store, kind Kind, cfg InformerConfig, batch Batch) *Informer {
+func NewInformer(store Store, kind Kind, cfg InformerConfig, batch BatchFunc) *Informer {
 	if cfg.MinInterval == 0 {
 		cfg.MinInterval = DefaultMinInterval
 	}
@@ -71,7 +71,7 @@
 }
 
 // WatchKind follows a kind until the context ends and returns the context's error.
-func WatchKind(ctx context.Context, store Store, kind Kind, cfg InformerConfig, batch Batch) error {
+func WatchKind(ctx context.Context, store Store, kind Kind, cfg InformerConfig, batch BatchFunc) error {
 	return NewInformer(store, kind, cfg, batch).Run(ctx)
 }
 
@@ -178,7 +178,7 @@
 	var fresh []Event
 	for _, e := range events {
 		if e.Object.Version <= reached {
-			i.count(func(s *InformerStats) { s.Repeats++ })
+			i.count(func(s *InformerStats) { s.Duplicates++ })
 			continue
 		}
 		reached = e.Object.Version
@@ -212,7 +212,7 @@
 	i.count(func(s *InformerStats) { s.Regressions++ })
 	i.cfg.Logger.Warn().Str("op", "inform").Str("kind", string(i.kind)).
 		Uint64("version", version).Uint64("reached", i.version).Msg("the object API answered with an older version")
-	return Fail(op, i.kind, "", "informer", ErrUnavailable, errors.New("answer is older than the version reached"))
+	return NewCallError(op, i.kind, "", "informer", ErrUnavailable, errors.New("answer is older than the version reached"))
 }
 
 func (i *Informer) count(f func(*InformerStats)) {
--- a/pkg/objectapi/request.go
+++ b/pkg/objectapi/request.go
@@ -28,21 +28,21 @@
 // may have done it. The caller closes the body, and reads it within the context.
 func (r Request) Send(ctx context.Context, client *http.Client, eras *Eras) (*http.Response, uint64, error) {
 	if err := r.checkKey(); err != nil {
-		return nil, 0, r.Fail(ErrInvalid, err)
+		return nil, 0, r.NewCallError(ErrInvalid, err)
 	}
 	if err := eras.checkSent(r.Op, r.Version); err != nil {
-		return nil, 0, r.Fail(err, nil)
+		return nil, 0, r.NewCallError(err, nil)
 	}
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
-		return nil, 0, r.Fail(ErrInvalid, err)
+		return nil, 0, r.NewCallError(ErrInvalid, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, 0, r.Fail(Unanswered(r.Op, sent.Load()), err)
+		return nil, 0, r.NewCallError(ErrorWithoutResponse(r.Op, sent.Load()), err)
 	}
 	era, err := r.eraOf(resp, eras)
 	if err != nil {
@@ -54,15 +54,15 @@
 
 // eraOf returns the era of an answer, or the error of one that is left out.
 func (r Request) eraOf(resp *http.Response, eras *Eras) (uint64, error) {
-	era, err := eras.OfAnswer(resp.Header)
+	era, err := eras.FromResponse(resp.Header)
 	if err != nil {
-		return 0, r.Fail(Unanswered(r.Op, true), err)
+		return 0, r.NewCallError(ErrorWithoutResponse(r.Op, true), err)
 	}
 	if resp.StatusCode/100 != 2 {
 		return era, nil
 	}
 	if err := checkAnswered(r.Op, r.Version, era); err != nil {
-		return 0, r.Fail(err, nil)
+		return 0, r.NewCallError(err, nil)
 	}
 	return era, nil
 }
@@ -75,7 +75,7 @@
 	return CheckKey(r.Kind, r.Name)
 }
 
-// Fail returns the error of this call.
-func (r Request) Fail(kind, cause error) error {
-	return Fail(r.Op, r.Kind, r.Name, r.Peer, kind, cause)
+// NewCallError returns the error of this call.
+func (r Request) NewCallError(kind, cause error) error {
+	return NewCallError(r.Op, r.Kind, r.Name, r.Peer, kind, cause)
 }
--- a/pkg/objectapi/resolve.go
+++ b/pkg/objectapi/resolve.go
@@ -151,5 +151,5 @@
 }
 
 func (w *resolver) fail(err, cause error) error {
-	return Fail(w.op, w.in.Kind, w.in.Name, "resolve", err, cause)
+	return NewCallError(w.op, w.in.Kind, w.in.Name, "resolve", err, cause)
 }
--- a/pkg/objectapi/typed.go
+++ b/pkg/objectapi/typed.go
@@ -38,7 +38,7 @@
 func Encode[T any](t Typed[T]) (Object, error) {
 	b, err := json.Marshal(t.Value)
 	if err != nil {
-		return Object{}, Fail(OpUpdate, t.Kind, t.Name, "value", ErrInvalid, err)
+		return Object{}, NewCallError(OpUpdate, t.Kind, t.Name, "value", ErrInvalid, err)
 	}
 	return Object{Kind: t.Kind, Name: t.Name, Version: t.Version, Value: b}, nil
 }
--- a/pkg/peer/node_fetch.go
+++ b/pkg/peer/node_fetch.go
@@ -37,7 +37,7 @@
 	n.metrics.fetches.Inc(1)
 	r, err := n.fetchFrom(ctx, addr)
 	if err != nil {
-		n.cfg.Adopter.Missing(revision.SourcePeer, err.Error())
+		n.cfg.Adopter.RecordMissing(revision.SourcePeer, err.Error())
 		n.cfg.Log.Warn().Err(err).Str("op", "fetch revision").Str("peer", addr).Send()
 		return
 	}
--- a/pkg/refusal/log_write.go
+++ b/pkg/refusal/log_write.go
@@ -97,7 +97,7 @@
 	if err != nil || bytes.Equal(got.Value, o.Value) {
 		return got, err
 	}
-	return objectapi.Object{}, objectapi.Fail(objectapi.OpCreate, o.Kind, o.Name, l.origin, objectapi.ErrConflict,
+	return objectapi.Object{}, objectapi.NewCallError(objectapi.OpCreate, o.Kind, o.Name, l.origin, objectapi.ErrConflict,
 		errors.New("another batch stands under this name; two processes share an incarnation"))
 }
 
--- a/pkg/refusal/restored_test.go
+++ b/pkg/refusal/restored_test.go
@@ -28,7 +28,7 @@
 // newRestoredLog returns a log whose records of two objects are written, and a copy of the store before the second one.
 func newRestoredLog(t *testing.T) (*Log, *store.Store, store.Copy, *objectapi.Eras) {
 	s, eras := store.New(store.Config{Era: 1}), objectapi.NewEras()
-	eras.See(1)
+	eras.Observe(1)
 	l := NewLog(Config{Process: "p", Incarnation: 1, Store: s, Eras: eras})
 	l.Record(Record{Reason: ReasonAllFull})
 	require.NoError(t, l.Drain(t.Context()))
@@ -49,7 +49,7 @@
 		}()
 		go func() { _ = l.Run(ctx) }()
 		s.Restore(older)
-		eras.See(s.Era())
+		eras.Observe(s.Era())
 		time.Sleep(2 * DefaultMinInterval * 3 / 2)
 		require.Equal(t, 2, recordsIn(t, s))
 		before := s.Counts()
@@ -61,7 +61,7 @@
 func TestAProcessThatStopsWritesLostRecordsAgainFirst(t *testing.T) {
 	l, s, older, eras := newRestoredLog(t)
 	s.Restore(older)
-	eras.See(s.Era())
+	eras.Observe(s.Era())
 	require.NoError(t, l.Drain(t.Context()))
 	require.Equal(t, 2, recordsIn(t, s))
 }
--- a/pkg/revision/adopter.go
+++ b/pkg/revision/adopter.go
@@ -104,8 +104,8 @@
 	return "not asked yet"
 }
 
-// Missing records why a source gave no revision.
-func (a *Adopter) Missing(s Source, reason string) {
+// RecordMissing records why a source gave no revision.
+func (a *Adopter) RecordMissing(s Source, reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.missing[s] = reason
--- a/pkg/revision/archive.go
+++ b/pkg/revision/archive.go
@@ -61,7 +61,7 @@
 	}
 	name := objectName(r.Number, sum)
 	for i, v := range values {
-		if err := lease.CreateSame(ctx, s, resource.KindRevision, partName(name, i), v); err != nil {
+		if err := lease.CreateIdempotent(ctx, s, resource.KindRevision, partName(name, i), v); err != nil {
 			return "", trace.Wrap(err, "store revision %d", r.Number)
 		}
 	}
--- a/pkg/revision/follower.go
+++ b/pkg/revision/follower.go
@@ -61,7 +61,7 @@
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		f.Adopter.Missing(SourceHead, err.Error())
+		f.Adopter.RecordMissing(SourceHead, err.Error())
 		f.Log.Debug().Err(err).Str("op", "follow-head").Send()
 		_ = f.clock().Sleep(ctx, followRetry)
 	}
@@ -78,7 +78,7 @@
 	case objectapi.EraOf(from) == 0:
 		f.Adopter.Offer(resource.Revision{}, SourceHead)
 	default:
-		f.Adopter.Missing(SourceHead, errNoHeadOfEra.Error())
+		f.Adopter.RecordMissing(SourceHead, errNoHeadOfEra.Error())
 	}
 	for _, o := range list {
 		if err := f.takeHead(ctx, o); err != nil {
@@ -127,7 +127,7 @@
 		return nil
 	}
 	if !known && objectapi.EraOf(h.Revision) < objectapi.EraOf(o.Version) {
-		f.Adopter.Missing(SourceHead, errNoHeadOfEra.Error())
+		f.Adopter.RecordMissing(SourceHead, errNoHeadOfEra.Error())
 		return nil
 	}
 	r, err := Load(ctx, f.Store, h)
@@ -158,7 +158,7 @@
 func (f *Follower) askPeers(ctx context.Context) {
 	list, err := f.Peers.Highest(ctx, f.Adopter.Number())
 	if err != nil {
-		f.Adopter.Missing(SourcePeer, err.Error())
+		f.Adopter.RecordMissing(SourcePeer, err.Error())
 		return
 	}
 	var best resource.Revision
@@ -168,11 +168,11 @@
 		}
 	}
 	if best.Number == 0 {
-		f.Adopter.Missing(SourcePeer, "no peer knows a revision")
+		f.Adopter.RecordMissing(SourcePeer, "no peer knows a revision")
 		return
 	}
 	if _, known := f.Adopter.Current(); !known && len(list) < f.MinPeers {
-		f.Adopter.Missing(SourcePeer, fmt.Sprintf("%d of %d peers needed have answered", len(list), f.MinPeers))
+		f.Adopter.RecordMissing(SourcePeer, fmt.Sprintf("%d of %d peers needed have answered", len(list), f.MinPeers))
 		return
 	}
 	if best.Number > f.Adopter.Number() {
--- a/pkg/revision/session.go
+++ b/pkg/revision/session.go
@@ -76,7 +76,7 @@
 func (s *session) run(ctx context.Context) error {
 	if s.restored() {
 		// Operators write again what was lost, and peers hand over the last revision before.
-		_ = s.cfg.Clock.Sleep(ctx, objectapi.RestoredWait)
+		_ = s.cfg.Clock.Sleep(ctx, objectapi.RestoreGracePeriod)
 		s.keepAdopted()
 	}
 	for ctx.Err() == nil {
