--- a/pkg/revision/acks.go
+++ b/pkg/revision/acks.go
@@ -1,7 +1,7 @@
 package revision
 
-// Acks counts the balancers that have a revision in force.
+// Acks counts the balancers that have adopted a revision.
 type Acks interface {
-	// InForce returns how many of the m known balancers have adopted the revision or a higher one.
+	// InForce returns the number n of the m known balancers that have adopted the revision or a higher one.
 	InForce(revision uint64) (n, m int)
 }
--- a/pkg/revision/adopter.go
+++ b/pkg/revision/adopter.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// Source says where a revision was learned.
+// Source is where a revision was obtained.
 type Source string
 
 // Sources of a revision.
@@ -20,8 +20,9 @@
 	SourcePeer Source = "peer"
 )
 
-// Adopter holds the highest accepted revision of one balancer. It takes only higher ones, so nothing reverts.
-// Callers offer only revisions that the head names or that a peer has adopted. It is safe for concurrent use.
+// Adopter holds the highest accepted revision of one balancer. It adopts only higher revisions, so that no service
+// reverts. Callers must offer only revisions that the head names or that a peer has adopted. It is safe for concurrent
+// use.
 type Adopter struct {
 	log zerolog.Logger
 
@@ -29,7 +30,7 @@
 	known    bool
 	current  resource.Revision
 	missing  map[Source]string
-	adopted  []func(resource.Revision)
+	onAdopt  []func(resource.Revision)
 	notifyMu sync.Mutex
 }
 
@@ -38,20 +39,20 @@
 	return &Adopter{log: log, missing: make(map[Source]string)}
 }
 
-// OnAdopt registers a function that is called with each adopted revision, in rising order and one at a time.
-// Register before the first offer.
+// OnAdopt registers a callback for each adopted revision. Callbacks run in ascending order of revisions, one at a time.
+// Register them before the first offer.
 func (a *Adopter) OnAdopt(f func(resource.Revision)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.adopted = append(a.adopted, f)
+	a.onAdopt = append(a.onAdopt, f)
 }
 
-// Offer adopts r when it is higher than the current revision, and reports whether it did. Revision 0 stands for a head
-// that names none yet.
+// Offer adopts r when it is higher than the current revision, and reports whether it did. Revision 0 represents a head
+// that names no revision yet.
 func (a *Adopter) Offer(r resource.Revision, from Source) bool {
 	a.notifyMu.Lock()
 	defer a.notifyMu.Unlock()
-	list, ok := a.take(r)
+	list, ok := a.adopt(r)
 	if !ok {
 		return false
 	}
@@ -63,7 +64,7 @@
 	return true
 }
 
-func (a *Adopter) take(r resource.Revision) ([]func(resource.Revision), bool) {
+func (a *Adopter) adopt(r resource.Revision) ([]func(resource.Revision), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known && r.Number <= a.current.Number {
@@ -71,7 +72,7 @@
 	}
 	a.known = true
 	a.current = r
-	return a.adopted, true
+	return a.onAdopt, true
 }
 
 // Current returns the adopted revision, and false when none is known.
@@ -87,24 +88,24 @@
 	return r.Number
 }
 
-// Ready returns nil once a revision is known, or an error that says why none is.
+// Ready returns nil once a revision is known, or an error with the reason why each source gave none.
 func (a *Adopter) Ready() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known {
 		return nil
 	}
-	return trace.NotFound("no revision known: store: %s; peers: %s", a.why(SourceHead), a.why(SourcePeer))
+	return trace.NotFound("no revision known: store: %s; peers: %s", a.missingReason(SourceHead), a.missingReason(SourcePeer))
 }
 
-func (a *Adopter) why(s Source) string {
+func (a *Adopter) missingReason(s Source) string {
 	if w, ok := a.missing[s]; ok {
 		return w
 	}
-	return "not asked yet"
+	return "not queried yet"
 }
 
-// RecordMissing records why a source gave no revision.
+// RecordMissing records the reason why a source gave no revision, for Ready.
 func (a *Adopter) RecordMissing(s Source, reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/revision/adopter_test.go
+++ b/pkg/revision/adopter_test.go
@@ -45,8 +45,8 @@
 	}{
 		{"highest of several", fakePeers{list: []resource.Revision{{Number: 4}, {Number: 9}, {Number: 7}}}, 0, 9, ""},
 		{"no peer answers", fakePeers{err: errors.New("connection refused")}, 0, 0, "connection refused"},
-		{"peers know none", fakePeers{list: []resource.Revision{{}}}, 0, 0, "no peer knows a revision"},
-		{"too few answer", fakePeers{list: []resource.Revision{{Number: 4}}}, 2, 0, "1 of 2 peers needed"},
+		{"peers know none", fakePeers{list: []resource.Revision{{}}}, 0, 0, "no peer has a revision"},
+		{"too few answer", fakePeers{list: []resource.Revision{{Number: 4}}}, 2, 0, "1 of 2 required peers"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// An accepted revision reaches balancers that never saw the head, and stays when the store comes back.
+// During a store outage an accepted revision must reach balancers through peers, and later changes must follow it.
 func TestAcceptedRevisionSpreadsDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
--- a/pkg/revision/archive.go
+++ b/pkg/revision/archive.go
@@ -12,7 +12,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// Load reads the revision that a head names. A head without a revision gives the empty revision.
+// Load reads the revision that a head names, and verifies its checksum and number. For a head without a revision it
+// returns the empty revision.
 func Load(ctx context.Context, s objectapi.Store, h resource.Head) (resource.Revision, error) {
 	if h.Revision == 0 {
 		return resource.Revision{}, nil
@@ -47,8 +48,8 @@
 	return readPart(o, h.Revision)
 }
 
-// save stores a revision for the head to name, and returns the name. Each value is created once; after a lost answer
-// the same value is found again.
+// save stores the parts of a revision and returns the object name for the head. Creating the parts is idempotent, so
+// that a save can be repeated after a lost response.
 func save(ctx context.Context, s objectapi.Store, r resource.Revision, partSize int) (string, error) {
 	b, err := Encode(r)
 	if err != nil {
@@ -68,8 +69,8 @@
 	return name, nil
 }
 
-// collect deletes the objects of revisions below number. The head only rises, so a former holder deletes nothing that
-// is still needed.
+// collect deletes the objects of revisions lower than below and returns the number deleted. The head only rises, so a
+// former lease holder cannot delete a revision that is still needed.
 func collect(ctx context.Context, s objectapi.Store, below uint64) (int, error) {
 	list, _, err := s.List(ctx, resource.KindRevision)
 	if err != nil {
--- a/pkg/revision/cachedacks.go
+++ b/pkg/revision/cachedacks.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnwood/auburnwood/pkg/resource"
 
-// cachedAcks counts each revision once, for one pass over the statuses.
+// cachedAcks caches the counts of an Acks by revision during one pass over the statuses.
 type cachedAcks struct {
 	acks   Acks
 	counts map[uint64]resource.InForce
--- a/pkg/revision/compile.go
+++ b/pkg/revision/compile.go
@@ -11,16 +11,16 @@
 
 // Inputs are the stored objects that a revision is compiled from.
 type Inputs struct {
-	// Services are all stored services, unreadable ones included.
+	// Services are all stored services, including unreadable ones.
 	Services []resource.VersionedService
 	// Rollouts are the states of the rollouts, by service.
 	Rollouts map[string]resource.RolloutStatus
-	// Evacuated are the data centres that take no new work, sorted.
+	// Evacuated are the data centres that accept no new flows, sorted.
 	Evacuated []string
-	// EraStart is the number below all revisions of the object API's era, so that they are above those of earlier eras, of which the API may have lost
-	// the last; 0 when it names none, and nothing is lost.
+	// EraStart is a lower bound, exclusive, for the numbers of revisions in the object API's current era. It keeps them
+	// above the revisions of earlier eras, of which the API may have lost the last; 0 when the API has no eras.
 	EraStart uint64
-	// Republish asks for a new revision although nothing changed: the head in the object API names another one than the previous.
+	// Republish requests a new revision even without a change: the stored head does not name the previous revision.
 	Republish bool
 }
 
@@ -28,15 +28,15 @@
 type Compiled struct {
 	// Revision is the next revision, or the previous one when nothing changed.
 	Revision resource.Revision
-	// Changed says that Revision is new.
+	// Changed is set when Revision is new.
 	Changed bool
-	// Results hold the judgement on each service, in the order of the inputs.
+	// Results has one result for each service, in the order of the inputs.
 	Results []Result
 }
 
-// Compile returns the revision that follows previous. A service that is not valid, or claims an address of another,
-// keeps its configuration in force. A service whose specification did not change keeps its version, so that inputs
-// without a difference give no new revision.
+// Compile returns the revision that follows previous. A service that is invalid, or that claims an address of another
+// service, keeps its configuration in force. A service whose specification did not change keeps its version, so that
+// unchanged inputs give no new revision.
 func Compile(previous resource.Revision, in Inputs) Compiled {
 	o := resource.ValidateAll(in.Services, previous.Services)
 	configs := make([]resource.ServiceConfig, 0, len(o.Services))
@@ -58,7 +58,7 @@
 	if changed {
 		out.Revision = resource.Revision{Number: next, Services: configs}
 	}
-	out.Results = judge(in.Services, o.Rejected, old, out.Revision)
+	out.Results = buildResults(in.Services, o.Rejected, old, out.Revision)
 	return out
 }
 
@@ -70,7 +70,8 @@
 	return m
 }
 
-// shares returns the shares that a service's rollout has reached. While the rollout's state is not known in a later era, the shares in force stay.
+// shares returns the shares that a service's rollout has reached. The shares in force stay while the rollout's state is
+// not known after an era change.
 func (in Inputs) shares(c, inForce resource.ServiceConfig) []resource.Share {
 	r := c.Spec.Rollout
 	if r == nil {
@@ -86,7 +87,7 @@
 	return rollout.Shares(c.Spec, rollout.Initial(*r))
 }
 
-// sameSpec compares the stored forms, in which empty and absent lists are equal.
+// sameSpec compares the JSON forms, in which empty and absent lists are equal.
 func sameSpec(a, b resource.ServiceSpec) bool {
 	if reflect.DeepEqual(a, b) {
 		return true
--- a/pkg/revision/compile_test.go
+++ b/pkg/revision/compile_test.go
@@ -30,7 +30,7 @@
 	return resource.VersionedService{Service: resource.Service{Name: name, Spec: testSpec(ip)}, Version: version}
 }
 
-// manyServices returns n services, as at the size to design for.
+// manyServices returns n services with distinct addresses.
 func manyServices(n int) []resource.VersionedService {
 	list := make([]resource.VersionedService, 0, n)
 	for i := range n {
@@ -51,7 +51,7 @@
 	require.False(t, Compile(previous, in).Changed)
 	in.Services[2].Version = 99
 	again := Compile(previous, in)
-	require.False(t, again.Changed, "written again without a difference")
+	require.False(t, again.Changed, "rewritten without a change")
 	require.EqualValues(t, 99, again.Results[2].AcceptedVersion)
 }
 
@@ -119,7 +119,7 @@
 	require.NoError(t, err)
 	require.Equal(t, r, got)
 	same, err := save(t.Context(), s, r, 1000)
-	require.NoError(t, err, "the same revision again, as after a lost answer")
+	require.NoError(t, err, "repeated save, as after a lost response")
 	require.Equal(t, name, same)
 	require.NoError(t, s.Delete(t.Context(), resource.KindRevision, list[3].Name, list[3].Version))
 	_, err = Load(t.Context(), s, head)
@@ -172,7 +172,7 @@
 	}
 }
 
-// fixedAcks counts the same for every revision.
+// fixedAcks returns the same count for every revision.
 type fixedAcks resource.InForce
 
 func (f fixedAcks) InForce(uint64) (n, m int) { return f.Adopted, f.Known }
@@ -182,7 +182,7 @@
 	c := Compiler{Store: store.New(store.Config{Now: clock.Now}), Acks: acks, Clock: clock, StatusRate: 1 << 20}
 	cfg := c.withDefaults()
 	w := newStatusWriter(cfg, lease.Grant{Holder: "a", Term: 1}, cfg.Metrics.Counter("writes"))
-	w.set(Compile(resource.Revision{}, Inputs{Services: manyServices(680)}), nil)
+	w.setResults(Compile(resource.Revision{}, Inputs{Services: manyServices(680)}), nil)
 	for range 3 {
 		require.NoError(b, w.write(b.Context()))
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-// steppedClock stands still between steps.
+// steppedClock is a clock that the test advances.
 type steppedClock struct{ now time.Time }
 
 func (c *steppedClock) Now() time.Time { return c.now }
@@ -205,7 +205,7 @@
 
 func BenchmarkStatusPass680Spreading(b *testing.B) { benchmarkStatusPass(b, fixedAcks{489, 490}) }
 
-func TestARevisionOfALaterEraIsAboveAllEarlierOnes(t *testing.T) {
+func TestRevisionOfLaterEraIsHigher(t *testing.T) {
 	previous := Compile(resource.Revision{}, Inputs{Services: manyServices(2)}).Revision
 	previous.Number = 45
 	next := Compile(previous, Inputs{Services: manyServices(2), EraStart: store.Version(1, 0), Republish: true})
@@ -216,7 +216,7 @@
 	require.Equal(t, next.Revision.Number+1, after.Revision.Number)
 }
 
-func TestSharesInForceStayWhileTheStateOfTheRolloutIsLost(t *testing.T) {
+func TestSharesInForceStayWhileRolloutStateIsLost(t *testing.T) {
 	s := testService("a", "10.0.0.1", 1)
 	s.Spec.Shares = nil
 	s.Spec.Rollout = &resource.Rollout{
--- a/pkg/revision/compiler.go
+++ b/pkg/revision/compiler.go
@@ -20,41 +20,41 @@
 
 // Defaults of a Compiler.
 const (
-	// DefaultWindow is the time for which changes are gathered into one revision.
+	// DefaultWindow is the time during which changes are batched into one revision.
 	DefaultWindow = 50 * time.Millisecond
-	// DefaultInterval is the shortest time between two revisions. A revision takes each balancer some 3 KB of control
-	// traffic (auburnwood-lab control), and each may spend 12 KB a second; changes that come faster share a revision.
+	// DefaultInterval is the minimum time between two revisions. It bounds control traffic: a revision costs each
+	// balancer about 3 KB (auburnwood-lab control) of its budget of 12 KB a second.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultResync is the time between two compilations without a signal, against gaps in a watch.
+	// DefaultResync is the maximum time between two compilations; it covers events that a watch has missed.
 	DefaultResync = 10 * time.Second
-	// DefaultKeep is the number of revisions below the head that stay stored.
+	// DefaultKeep is the number of revisions below the head that are retained.
 	DefaultKeep = 5
-	// DefaultReadRate is the number of reads a second that all balancers together may spend on fetching revisions.
+	// DefaultReadRate is the number of reads a second that all balancers together may use to fetch revisions.
 	DefaultReadRate = 1000
 	// DefaultStatusRate is the number of status writes a second.
 	DefaultStatusRate = 50
-	// DefaultStatusInterval is the shortest time between two writes of one service's unfinished count in force.
+	// DefaultStatusInterval is the minimum time between two writes of a service's in-force count while it is incomplete.
 	DefaultStatusInterval = time.Second
 
 	statusTick = 100 * time.Millisecond
 	retryPause = 200 * time.Millisecond
 )
 
-// Compiler is the duty that compiles revisions and writes the status of services.
+// Compiler is the duty that compiles revisions and writes the statuses of services.
 type Compiler struct {
-	// Store keeps the services, revisions, head and statuses.
+	// Store holds the services, revisions, head and statuses.
 	Store objectapi.Store
-	// Acks counts the balancers that adopted a revision; nil means that none are known.
+	// Acks counts the balancers that have adopted a revision; nil means that none are known.
 	Acks Acks
-	// Adopter is this process's own adopter, which takes each accepted revision at once; it may be nil.
+	// Adopter is this process's own adopter, which is offered each accepted revision directly; it may be nil.
 	Adopter *Adopter
 	// Clock is the local clock; nil means lease.SystemClock.
 	Clock lease.Clock
-	// Log takes a line for each accepted revision and each rejected service.
+	// Log records accepted revisions, changed statuses and failures.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil means none.
+	// Metrics receives the counters; nil means none.
 	Metrics tally.Scope
-	// Window, Interval, Resync, Keep, ReadRate, StatusRate and StatusInterval replace the defaults unless they are 0.
+	// Window, Interval, Resync, Keep, ReadRate, StatusRate and StatusInterval override the defaults; 0 means the default.
 	Window         time.Duration
 	Interval       time.Duration
 	Resync         time.Duration
@@ -64,7 +64,7 @@
 	StatusInterval time.Duration
 }
 
-// Duty runs until ctx ends or a later term has claimed the head. It is a lease.Duty.
+// Duty compiles revisions until ctx ends or a later term has claimed the head. It is a lease.Duty.
 func (c *Compiler) Duty(ctx context.Context, g lease.Grant) error {
 	s, err := newSession(ctx, c.withDefaults(), g)
 	if err != nil {
--- a/pkg/revision/describe.go
+++ b/pkg/revision/describe.go
@@ -7,17 +7,17 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// judgement is what is known of one service when its status is described.
-type judgement struct {
+// evaluation is the input for the status of one service.
+type evaluation struct {
 	result  Result
 	rollout *resource.RolloutStatus
-	// current is the number of the accepted revision.
+	// current is the number of the last accepted revision.
 	current uint64
 }
 
-// follows reports whether the judgement is the same as an earlier one. The earlier one may know the revision that
-// brought the accepted version, which a later compilation no longer tells.
-func (j judgement) follows(old *judgement) bool {
+// matches reports whether the evaluation is the same as an earlier one. Only the earlier one may have the revision that
+// introduced the accepted version: later compilations leave it 0.
+func (j evaluation) matches(old *evaluation) bool {
 	r := j.result
 	if r.Revision == 0 && r.ConfigVersion == old.result.ConfigVersion {
 		r.Revision = old.result.Revision
@@ -32,9 +32,9 @@
 	return *a == *b
 }
 
-// acceptedRevision returns the revision that brought the accepted version. When it is not known, the current one is
-// returned: what is in force on a balancer with the current revision is in force with it too.
-func (j judgement) acceptedRevision(stored resource.ServiceStatus) uint64 {
+// acceptedRevision returns the revision that introduced the accepted version. When that is not known, it returns the
+// current revision, which contains the version too.
+func (j evaluation) acceptedRevision(stored resource.ServiceStatus) uint64 {
 	r := j.result
 	if r.AcceptedVersion == 0 {
 		return 0
@@ -49,8 +49,8 @@
 	return j.current
 }
 
-// describe returns the status that follows the stored one.
-func (j judgement) describe(stored resource.ServiceStatus, acks Acks, now time.Time) resource.ServiceStatus {
+// describe returns the new status, based on the stored one.
+func (j evaluation) describe(stored resource.ServiceStatus, acks Acks, now time.Time) resource.ServiceStatus {
 	r := j.result
 	next := stored
 	next.Conditions = append([]resource.Condition(nil), stored.Conditions...)
@@ -68,7 +68,8 @@
 	return next
 }
 
-// count keeps a complete count, so that balancers which join later cause no writes for services in force.
+// count returns the in-force count of a revision. A complete count is kept, so that balancers which join later cause no
+// writes for services in force.
 func count(revision uint64, stored resource.ServiceStatus, acks Acks) resource.InForce {
 	if revision == stored.AcceptedRevision && stored.InForce.Complete() {
 		return stored.InForce
--- a/pkg/revision/encode.go
+++ b/pkg/revision/encode.go
@@ -11,7 +11,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// maxDecoded bounds the bytes of a decompressed revision, against a value that was not written by Encode.
+// maxDecoded is the maximum size of a decompressed revision in bytes. It guards against a malformed value.
 const maxDecoded = 64 << 20
 
 // Encode returns the compressed form of a revision. Equal revisions give equal bytes.
--- a/pkg/revision/era.go
+++ b/pkg/revision/era.go
@@ -10,7 +10,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// stampedEra is the description of the era as a fenced object.
+// stampedEra is the era record as a fenced object.
 type stampedEra struct {
 	resource.Era
 }
@@ -21,27 +21,28 @@
 // SetGrant implements lease.Stamp.
 func (e *stampedEra) SetGrant(g lease.Grant) { e.Holder, e.Term = g.Holder, g.Term }
 
-// describeEra tells all processes since when the object API is in its era, unless an earlier holder has.
-func (s *session) describeEra(ctx context.Context) error {
+// recordEra stores the start of the object API's current era for all processes, unless an earlier holder has done so.
+func (s *session) recordEra(ctx context.Context) error {
 	era := s.grant.Era()
-	if era == 0 || s.described {
+	if era == 0 || s.eraRecorded {
 		return nil
 	}
 	object, err := lease.Claim[stampedEra](ctx, s.cfg.Store, resource.KindEra, resource.EraName, s.grant)
 	if err != nil {
-		return trace.Wrap(err, "claim the era")
+		return trace.Wrap(err, "claim era object")
 	}
 	if object.Value().Era.Era < era {
-		if err := object.Write(ctx, stampedEra{resource.Era{Era: era, Since: s.restoredAt()}}); err != nil {
-			return trace.Wrap(err, "describe era %d", era)
+		if err := object.Write(ctx, stampedEra{resource.Era{Era: era, Since: s.eraSince()}}); err != nil {
+			return trace.Wrap(err, "record era %d", era)
 		}
 	}
-	s.described = true
+	s.eraRecorded = true
 	return nil
 }
 
-// restoredAt returns the time from which on nothing is lost any more; zero when nothing was accepted before that could be.
-func (s *session) restoredAt() time.Time {
+// eraSince returns the time from which accepted changes are retained again. It is zero when no revision was accepted
+// before, so that none can have been lost.
+func (s *session) eraSince() time.Time {
 	if s.current.Number == 0 {
 		return time.Time{}
 	}
--- a/pkg/revision/evacuation_test.go
+++ b/pkg/revision/evacuation_test.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-func TestAnEvacuationIsARevisionOfItsOwn(t *testing.T) {
+func TestEvacuationMakesRevision(t *testing.T) {
 	in := Inputs{Services: manyServices(3)}
 	first := Compile(resource.Revision{}, in)
 	in.Evacuated = []string{"marka"}
@@ -21,6 +21,6 @@
 	require.False(t, Compile(second.Revision, in).Changed)
 	in.Evacuated = nil
 	third := Compile(second.Revision, in)
-	require.True(t, third.Changed, "a withdrawn one is a later revision, and no earlier one comes back")
+	require.True(t, third.Changed, "withdrawing an evacuation makes a later revision")
 	require.Empty(t, third.Revision.Services[0].Spec.Evacuated)
 }
--- a/pkg/revision/follower.go
+++ b/pkg/revision/follower.go
@@ -18,28 +18,28 @@
 
 // Defaults of a Follower.
 const (
-	// DefaultPeerInterval is the time between two questions to the peers.
+	// DefaultPeerInterval is the time between two queries of the peers.
 	DefaultPeerInterval = 500 * time.Millisecond
-	// followRetry is the pause after a failed call to the store.
+	// followRetry is the delay after a failed call to the store.
 	followRetry = 250 * time.Millisecond
 )
 
-// Follower brings an Adopter to the highest accepted revision, from the head and from peers at the same time.
+// Follower keeps an Adopter at the highest accepted revision, from the head and from peers concurrently.
 type Follower struct {
-	// Store keeps the head and the revisions.
+	// Store holds the head and the revisions.
 	Store objectapi.Store
-	// Peers asks other balancers; nil means that there are none.
+	// Peers queries other balancers; nil means that there are none.
 	Peers Peers
-	// Adopter takes the revisions.
+	// Adopter is offered the revisions.
 	Adopter *Adopter
 	// Clock is the local clock; nil means lease.SystemClock.
 	Clock lease.Clock
-	// PeerInterval is the time between two questions to the peers; 0 means DefaultPeerInterval.
+	// PeerInterval is the time between two queries of the peers; 0 means DefaultPeerInterval.
 	PeerInterval time.Duration
-	// MinPeers is the number of peers that have to answer before the first revision is taken from them; 0 means 1. All
-	// known peers are asked, so that a process which lost its memory does not come back with less than its peers hold.
+	// MinPeers is the minimum number of peers that must answer before the first revision is adopted from them; 0 means 1.
+	// It keeps a restarted process from starting with an older revision than its peers hold.
 	MinPeers int
-	// Log takes failures.
+	// Log records failures.
 	Log zerolog.Logger
 }
 
@@ -53,8 +53,8 @@
 	return g.Wait()
 }
 
-// followHead reads the head, waits for changes, and reads it again at the end of every wait, so that a gap in the
-// watch delays a revision by one wait at most.
+// followHead reads the head, watches it for changes, and reads it again when a watch ends without one, so that a missed
+// event delays a revision by at most one watch.
 func (f *Follower) followHead(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.watchHead(ctx)
@@ -81,15 +81,15 @@
 		f.Adopter.RecordMissing(SourceHead, errNoHeadOfEra.Error())
 	}
 	for _, o := range list {
-		if err := f.takeHead(ctx, o); err != nil {
+		if err := f.adoptHead(ctx, o); err != nil {
 			return err
 		}
 	}
-	return f.waitHead(ctx, from)
+	return f.watchChanges(ctx, from)
 }
 
-// waitHead takes changes of the head until a wait brings none.
-func (f *Follower) waitHead(ctx context.Context, from uint64) error {
+// watchChanges adopts changes of the head until a watch returns none or has expired.
+func (f *Follower) watchChanges(ctx context.Context, from uint64) error {
 	for {
 		events, next, err := f.Store.Watch(ctx, resource.KindHead, from)
 		if errors.Is(err, objectapi.ErrExpired) {
@@ -102,22 +102,22 @@
 			return nil
 		}
 		from = next
-		// The last event is the head of now. The revisions before it are not read: when they come faster than this
-		// process may call the store, reading each would fall behind more and more.
-		if err := f.takeEvent(ctx, events[len(events)-1]); err != nil {
+		// Only the last event is the current head. Earlier revisions are skipped: when they arrive faster than this
+		// process may call the store, reading each of them would make it fall further and further behind.
+		if err := f.adoptEvent(ctx, events[len(events)-1]); err != nil {
 			return err
 		}
 	}
 }
 
-func (f *Follower) takeEvent(ctx context.Context, e objectapi.Event) error {
+func (f *Follower) adoptEvent(ctx context.Context, e objectapi.Event) error {
 	if e.Type != objectapi.EventPut {
 		return nil
 	}
-	return f.takeHead(ctx, e.Object)
+	return f.adoptHead(ctx, e.Object)
 }
 
-func (f *Follower) takeHead(ctx context.Context, o objectapi.Object) error {
+func (f *Follower) adoptHead(ctx context.Context, o objectapi.Object) error {
 	var h resource.Head
 	if err := json.Unmarshal(o.Value, &h); err != nil {
 		return trace.Wrap(err, "decode head")
@@ -132,8 +132,8 @@
 	}
 	r, err := Load(ctx, f.Store, h)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		// The head has moved on and the old revision is deleted; the next read of the head brings the newer one.
-		return trace.Wrap(err, "head moved on")
+		// The head has advanced and the old revision was deleted; the next read of the head gives the newer one.
+		return trace.Wrap(err, "revision deleted after the head advanced")
 	}
 	if err != nil {
 		return err
@@ -142,20 +142,20 @@
 	return nil
 }
 
-// errNoHeadOfEra is why a process that knows no revision does not take the one of the head: the object API may have lost a later one, which peers
-// know. The holder of the compile lease writes the head again.
-var errNoHeadOfEra = errors.New("no revision was accepted in this era of the object API yet")
+// errNoHeadOfEra is the reason why a process without a revision does not adopt that of a head from an earlier era: the
+// object API may have lost a later revision that peers still have. The holder of the compile lease rewrites the head.
+var errNoHeadOfEra = errors.New("no revision has been accepted in the current era of the object API")
 
 func (f *Follower) followPeers(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f.askPeers(ctx)
+		f.queryPeers(ctx)
 		_ = f.clock().Sleep(ctx, f.peerInterval())
 	}
 	return ctx.Err()
 }
 
-// askPeers adopts the highest revision of the peers that answer.
-func (f *Follower) askPeers(ctx context.Context) {
+// queryPeers adopts the highest revision among the peers that answer, if at least MinPeers do or one is known already.
+func (f *Follower) queryPeers(ctx context.Context) {
 	list, err := f.Peers.Highest(ctx, f.Adopter.Number())
 	if err != nil {
 		f.Adopter.RecordMissing(SourcePeer, err.Error())
@@ -168,11 +168,11 @@
 		}
 	}
 	if best.Number == 0 {
-		f.Adopter.RecordMissing(SourcePeer, "no peer knows a revision")
+		f.Adopter.RecordMissing(SourcePeer, "no peer has a revision")
 		return
 	}
 	if _, known := f.Adopter.Current(); !known && len(list) < f.MinPeers {
-		f.Adopter.RecordMissing(SourcePeer, fmt.Sprintf("%d of %d peers needed have answered", len(list), f.MinPeers))
+		f.Adopter.RecordMissing(SourcePeer, fmt.Sprintf("%d of %d required peers answered", len(list), f.MinPeers))
 		return
 	}
 	if best.Number > f.Adopter.Number() {
--- a/pkg/revision/follower_test.go
+++ b/pkg/revision/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// pacedStore makes a process wait for each call, as a call budget does, and counts the reads of revisions.
+// pacedStore delays each get and watch, as a call budget does, and counts the reads of revisions.
 type pacedStore struct {
 	objectapi.Store
 	pause time.Duration
@@ -35,8 +35,8 @@
 	return s.Store.Watch(ctx, k, from)
 }
 
-// Revisions that come faster than a balancer may read them must not queue up: it goes on to the last one.
-func TestFollowerSkipsRevisionsThatItHasNoCallsFor(t *testing.T) {
+// Revisions that arrive faster than a balancer may read them must not queue up: it reads the last one.
+func TestFollowerSkipsRevisionsAboveItsCallRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Config{})
 		c := startSession(t, s, lease.Grant{Holder: "a", Term: 1})
--- a/pkg/revision/head.go
+++ b/pkg/revision/head.go
@@ -10,7 +10,6 @@
 	resource.Head
 }
 
-// fencedHead is the head under a grant.
 type fencedHead = lease.Fenced[stampedHead, *stampedHead]
 
 // Grant implements lease.Stamp.
--- a/pkg/revision/history_model_test.go
+++ b/pkg/revision/history_model_test.go
@@ -25,11 +25,11 @@
 	number  uint64
 	// sum is the checksum of the revision's content.
 	sum uint64
-	// unknown says that the writer did not learn the outcome.
+	// unknown is set when the writer did not learn the outcome.
 	unknown bool
 }
 
-// headState is the state of the model: the contents of all accepted revisions, and the revision of each balancer.
+// headState is the state of the model: the checksums of all accepted revisions, and the revision of each balancer.
 type headState struct {
 	sums    string
 	adopted [maxProcesses]uint64
@@ -41,8 +41,8 @@
 	return binary.BigEndian.Uint64([]byte(s.sums[(number-1)*8 : number*8]))
 }
 
-// write returns the state after the head was written, and false when the head may not become so: it stays on its
-// revision, as with a claim, or rises by one.
+// write returns the state after a write of the head, and false when the write is not allowed. The head may keep its
+// revision, as with a claim, or rise by one.
 func (s headState) write(o historyOp) (headState, bool) {
 	switch {
 	case o.number == s.last():
@@ -69,16 +69,16 @@
 
 func (s headState) step(o historyOp) []any {
 	if o.adopt {
-		return only(s.adopt(o))
+		return asStates(s.adopt(o))
 	}
-	next := only(s.write(o))
+	next := asStates(s.write(o))
 	if o.unknown {
 		next = append(next, s)
 	}
 	return next
 }
 
-func only(s headState, ok bool) []any {
+func asStates(s headState, ok bool) []any {
 	if !ok {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	mu   sync.Mutex
 	ops  []porcupine.Operation
 	last [maxProcesses]int64
-	// accepted are the contents that were written to the head, by number.
+	// accepted are the revisions that balancers adopted, by number.
 	accepted map[uint64]resource.Revision
 	// holders are the holders of each term.
 	holders map[uint64]string
@@ -112,7 +112,7 @@
 	return &history{accepted: make(map[uint64]resource.Revision), holders: make(map[uint64]string)}
 }
 
-func (h *history) granted(g lease.Grant) {
+func (h *history) recordGrant(g lease.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if other, ok := h.holders[g.Term]; ok && other != g.Holder {
@@ -123,7 +123,7 @@
 
 func (h *history) tick() int64 { return h.clock.Add(1) }
 
-func (h *history) wrote(o historyOp, call int64) {
+func (h *history) recordWrite(o historyOp, call int64) {
 	end := h.tick()
 	if o.unknown {
 		end = math.MaxInt64
@@ -133,8 +133,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: o.process, Input: o, Call: call, Return: end})
 }
 
-// adopted records an adoption, which began after the same balancer's adoption before.
-func (h *history) adopted(process int, r resource.Revision) {
+// recordAdoption records an adoption, which began after the same balancer's previous adoption.
+func (h *history) recordAdoption(process int, r resource.Revision) {
 	o := historyOp{adopt: true, process: process, number: r.Number, sum: contentSum(r)}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +144,7 @@
 	h.accepted[r.Number] = r
 }
 
-// check returns what is wrong with the history, or an empty text.
+// check returns the first violation in the history, or an empty string.
 func (h *history) check() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,7 +165,7 @@
 	}
 }
 
-// reverted names a service whose accepted version falls.
+// reverted describes a service whose accepted version decreases, or returns an empty string.
 func reverted(before, now resource.Revision) string {
 	old := byName(before.Services)
 	for _, c := range now.Services {
--- a/pkg/revision/history_world_test.go
+++ b/pkg/revision/history_simulation_test.go
@@ -19,19 +19,19 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// variant selects a deliberately broken system, to show that the checks catch it.
+// variant selects a deliberately broken system that the checks must catch.
 type variant uint8
 
 const (
 	correct variant = iota
 	// unfenced replaces conditional writes of the head by unconditional ones.
 	unfenced
-	// lowering adopts whatever a peer answers.
-	lowering
+	// adoptsLower adopts any revision that a peer has, including lower ones.
+	adoptsLower
 )
 
-// world is one run: a store, processes and operators.
-type world struct {
+// simulation is one run of a store with processes and operators.
+type simulation struct {
 	store   *store.Store
 	history *history
 	variant variant
@@ -43,15 +43,15 @@
 	processes []*process
 	sums      map[string]uint64
 	log       bytes.Buffer
-	// late is the probability that a write takes effect seconds after its answer was given up.
+	// late is the probability that a write takes effect two seconds after its caller got ErrOutcomeUnknown.
 	late float64
-	// pauseAtHead is how long the process that writes the head next is paused just before; 0 means not at all.
+	// pauseAtHead is how long the next process to write the head is paused just before; 0 means not at all.
 	pauseAtHead time.Duration
 }
 
-func newWorld(seed uint64, v variant) *world {
+func newSimulation(seed uint64, v variant) *simulation {
 	ctx, stop := context.WithCancel(context.Background())
-	return &world{
+	return &simulation{
 		store:   store.New(store.Config{Seed: seed, WatchWait: 5 * time.Second}),
 		history: newHistory(),
 		variant: v,
@@ -63,27 +63,27 @@
 }
 
 // Write implements io.Writer for the log that is printed with a failure.
-func (w *world) Write(b []byte) (int, error) {
+func (w *simulation) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, _ = fmt.Fprintf(&w.log, "%s ", time.Now().Format("05.000"))
 	return w.log.Write(b)
 }
 
-func (w *world) tail(lines int) string {
+func (w *simulation) tail(lines int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	all := strings.Split(w.log.String(), "\n")
 	return strings.Join(all[max(0, len(all)-lines):], "\n")
 }
 
-func (w *world) isLate() bool {
+func (w *simulation) isLate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64() < w.late
 }
 
-func (w *world) live() []*process {
+func (w *simulation) live() []*process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []*process
@@ -96,7 +96,7 @@
 }
 
 // InForce implements Acks.
-func (w *world) InForce(number uint64) (n, m int) {
+func (w *simulation) InForce(number uint64) (n, m int) {
 	for _, p := range w.live() {
 		m++
 		if p.adopter.Number() >= number {
@@ -107,61 +107,61 @@
 }
 
 // join starts a process: a balancer that is a candidate for the compile lease.
-func (w *world) join() {
+func (w *simulation) join() {
 	w.mu.Lock()
 	id := len(w.processes)
 	if id == maxProcesses {
 		w.mu.Unlock()
 		return
 	}
-	p := &process{world: w, id: id, adopter: NewAdopter(zerolog.Nop())}
+	p := &process{simulation: w, id: id, adopter: NewAdopter(zerolog.Nop())}
 	p.ctx, p.kill = context.WithCancel(w.ctx)
 	w.processes = append(w.processes, p)
 	w.mu.Unlock()
 	p.start()
 }
 
-// process is one balancer. It stands still while it is paused, at each call and each timer.
+// process is one balancer. While paused, it blocks at each call and each timer.
 type process struct {
-	world   *world
-	id      int
-	ctx     context.Context
-	kill    context.CancelFunc
-	adopter *Adopter
+	simulation *simulation
+	id         int
+	ctx        context.Context
+	kill       context.CancelFunc
+	adopter    *Adopter
 
 	mu     sync.Mutex
 	resume chan struct{}
 }
 
 func (p *process) start() {
-	if p.world.variant == lowering {
-		go p.adoptAnything()
+	if p.simulation.variant == adoptsLower {
+		go p.adoptLower()
 	} else {
-		p.adopter.OnAdopt(func(r resource.Revision) { p.world.history.adopted(p.id, r) })
+		p.adopter.OnAdopt(func(r resource.Revision) { p.simulation.history.recordAdoption(p.id, r) })
 	}
 	f := &Follower{Store: p, Peers: p, Adopter: p.adopter, Clock: p, Log: zerolog.Nop()}
 	go func() { _ = f.Run(p.ctx) }()
-	log := zerolog.New(p.world).With().Int("process", p.id).Logger()
-	c := &Compiler{Store: p, Acks: p.world, Adopter: p.adopter, Clock: p, Log: log, Keep: 3}
+	log := zerolog.New(p.simulation).With().Int("process", p.id).Logger()
+	c := &Compiler{Store: p, Acks: p.simulation, Adopter: p.adopter, Clock: p, Log: log, Keep: 3}
 	r := &lease.Runner{Store: p, Clock: p, Log: log, Config: lease.Config{
 		Name: LeaseName, Holder: fmt.Sprintf("p%d", p.id), Duration: 3 * time.Second}}
 	go func() {
 		_ = r.Run(p.ctx, func(ctx context.Context, g lease.Grant) error {
-			p.world.history.granted(g)
+			p.simulation.history.recordGrant(g)
 			return c.Duty(ctx, g)
 		})
 	}()
 }
 
-// adoptAnything is the broken balancer of the variant lowering.
-func (p *process) adoptAnything() {
+// adoptLower is the broken balancer of the adoptsLower variant.
+func (p *process) adoptLower() {
 	var last uint64
 	for p.Sleep(p.ctx, 300*time.Millisecond) == nil {
-		for _, other := range p.world.live() {
+		for _, other := range p.simulation.live() {
 			r, ok := other.adopter.Current()
 			if ok && r.Number != last {
 				last = r.Number
-				p.world.history.adopted(p.id, r)
+				p.simulation.history.recordAdoption(p.id, r)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 	})
 }
 
-func (p *process) gate() {
+func (p *process) waitWhilePaused() {
 	p.mu.Lock()
 	c := p.resume
 	p.mu.Unlock()
@@ -198,14 +198,14 @@
 // Sleep implements lease.Clock.
 func (p *process) Sleep(ctx context.Context, d time.Duration) error {
 	err := lease.SystemClock{}.Sleep(ctx, d)
-	p.gate()
+	p.waitWhilePaused()
 	return err
 }
 
 // Highest implements Peers.
 func (p *process) Highest(_ context.Context, above uint64) ([]resource.Revision, error) {
 	var list []resource.Revision
-	for _, o := range p.world.live() {
+	for _, o := range p.simulation.live() {
 		r, ok := o.adopter.Current()
 		if o == p || !ok {
 			continue
@@ -215,7 +215,7 @@
 		}
 		list = append(list, r)
 	}
-	p.gate()
+	p.waitWhilePaused()
 	if len(list) == 0 {
 		return nil, errors.New("no peer answers")
 	}
@@ -224,82 +224,82 @@
 
 // Get implements objectapi.Store, as the methods that follow.
 func (p *process) Get(ctx context.Context, k objectapi.Kind, name string) (objectapi.Object, error) {
-	defer p.gate()
-	return p.world.store.Get(ctx, k, name)
+	defer p.waitWhilePaused()
+	return p.simulation.store.Get(ctx, k, name)
 }
 
 func (p *process) List(ctx context.Context, k objectapi.Kind) ([]objectapi.Object, uint64, error) {
-	defer p.gate()
-	return p.world.store.List(ctx, k)
+	defer p.waitWhilePaused()
+	return p.simulation.store.List(ctx, k)
 }
 
 func (p *process) Watch(ctx context.Context, k objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
-	defer p.gate()
-	return p.world.store.Watch(ctx, k, from)
+	defer p.waitWhilePaused()
+	return p.simulation.store.Watch(ctx, k, from)
 }
 
 func (p *process) Create(ctx context.Context, k objectapi.Kind, name string, v []byte) (objectapi.Object, error) {
 	o := objectapi.Object{Kind: k, Name: name, Value: v}
 	return p.write(ctx, o, func(ctx context.Context) (objectapi.Object, error) {
-		return p.world.store.Create(ctx, k, name, v)
+		return p.simulation.store.Create(ctx, k, name, v)
 	})
 }
 
 func (p *process) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	return p.write(ctx, o, func(ctx context.Context) (objectapi.Object, error) {
-		if p.world.variant == unfenced && o.Kind == resource.KindHead {
-			now, err := p.world.store.Get(ctx, o.Kind, o.Name)
+		if p.simulation.variant == unfenced && o.Kind == resource.KindHead {
+			now, err := p.simulation.store.Get(ctx, o.Kind, o.Name)
 			if err != nil {
 				return o, err
 			}
 			o.Version = now.Version
 		}
-		return p.world.store.Update(ctx, o)
+		return p.simulation.store.Update(ctx, o)
 	})
 }
 
 func (p *process) Delete(ctx context.Context, k objectapi.Kind, name string, version uint64) error {
 	_, err := p.write(ctx, objectapi.Object{Kind: k, Name: name}, func(ctx context.Context) (objectapi.Object, error) {
-		return objectapi.Object{}, p.world.store.Delete(ctx, k, name, version)
+		return objectapi.Object{}, p.simulation.store.Delete(ctx, k, name, version)
 	})
 	return err
 }
 
-// write sends one write, late when the run says so, and records writes of the head.
+// write sends one write, delayed when the run draws so, and records writes of the head.
 func (p *process) write(ctx context.Context, o objectapi.Object, send func(context.Context) (objectapi.Object, error)) (objectapi.Object, error) {
 	if p.beforeWrite(o) {
-		// The call was on its way when the process stood still: the end of the duty does not take it back.
+		// The call was already sent when the process was paused: the end of the duty does not cancel it.
 		ctx = context.WithoutCancel(ctx)
 	}
 	if p.ctx.Err() != nil {
 		// A killed process sends nothing.
 		return o, objectapi.ErrUnavailable
 	}
-	call := p.world.history.tick()
+	call := p.simulation.history.tick()
 	var done objectapi.Object
 	err := objectapi.ErrOutcomeUnknown
-	if p.world.isLate() {
+	if p.simulation.isLate() {
 		time.AfterFunc(2*time.Second, func() { _, _ = send(context.Background()) })
 	} else {
 		done, err = send(ctx)
 	}
 	p.record(o, call, err)
-	p.gate()
+	p.waitWhilePaused()
 	return done, err
 }
 
-// beforeWrite pauses the process when the run asks for a pause at the next write of the head, and reports whether.
+// beforeWrite pauses the process when pauseAtHead is set and o is the head, and reports whether it did.
 func (p *process) beforeWrite(o objectapi.Object) bool {
-	d := p.world.takePause(o.Kind)
+	d := p.simulation.takePause(o.Kind)
 	if d > 0 {
 		p.pause(d)
 	}
-	p.gate()
+	p.waitWhilePaused()
 	return d > 0
 }
 
-// takePause returns the pause of the process that is the first to write the head.
-func (w *world) takePause(k objectapi.Kind) time.Duration {
+// takePause returns the pause for a write of the head and clears it, so that it applies to one process.
+func (w *simulation) takePause(k objectapi.Kind) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if k != resource.KindHead {
@@ -315,7 +315,7 @@
 	if err != nil && !unknown {
 		return
 	}
-	w := p.world
+	w := p.simulation
 	if o.Kind == resource.KindRevision {
 		var v part
 		if json.Unmarshal(o.Value, &v) == nil {
@@ -334,5 +334,5 @@
 	w.mu.Lock()
 	sum := w.sums[h.Object]
 	w.mu.Unlock()
-	w.history.wrote(historyOp{process: p.id, number: h.Revision, sum: sum, unknown: unknown}, call)
+	w.history.recordWrite(historyOp{process: p.id, number: h.Revision, sum: sum, unknown: unknown}, call)
 }
--- a/pkg/revision/history_test.go
+++ b/pkg/revision/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// faultKind is one thing that happens to a run.
+// faultKind is a kind of event that is injected into a run.
 type faultKind int
 
 const (
@@ -31,7 +31,7 @@
 	faultKinds
 )
 
-// fault is one fault with its time and length.
+// fault is an injected event: its delay after the previous one, its duration and the process it affects.
 type fault struct {
 	kind   faultKind
 	after  time.Duration
@@ -53,16 +53,16 @@
 const (
 	historyServices  = 4
 	historyOperators = 2
-	// settleTime is what a run gets after its last fault: a lease's duration, a watch and the resync.
+	// settleTime is the time a run gets to converge after its last fault: a lease's duration, a watch and the resync.
 	settleTime = 40 * time.Second
-	// logTail is the number of log lines that are printed with a failure.
+	// logTail is the number of log lines printed with a failure.
 	logTail = 60
 )
 
-// runHistory carries out one run and returns what is wrong, or an empty text.
+// runHistory simulates one run and returns the first violation, or an empty string.
 func runHistory(t *testing.T, seed uint64, v variant, faults []fault) (bad string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(seed, v)
+		w := newSimulation(seed, v)
 		defer func() {
 			w.stop()
 			time.Sleep(time.Minute)
@@ -81,11 +81,11 @@
 		}
 		time.Sleep(10 * time.Second)
 		stopOperators()
-		w.calm()
+		w.clearFaults()
 		time.Sleep(settleTime)
 		bad = w.history.check()
 		if bad == "" {
-			bad = w.settled(t)
+			bad = w.checkConverged(t)
 		}
 		if bad != "" {
 			bad += "\n" + w.tail(logTail)
@@ -94,8 +94,8 @@
 	return bad
 }
 
-// operate writes services by conditional update, in a race with the other operators.
-func (w *world) operate(ctx context.Context, id int) {
+// operate writes services by conditional update, racing with the other operators.
+func (w *simulation) operate(ctx context.Context, id int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(time.Duration(150+37*id) * time.Millisecond)
 		v := testService(fmt.Sprintf("svc-%d", n%historyServices), fmt.Sprintf("10.0.0.%d", (n+id)%(historyServices+1)), 0).Service
@@ -114,7 +114,7 @@
 	}
 }
 
-func (w *world) inject(f fault) {
+func (w *simulation) inject(f fault) {
 	live := w.live()
 	p := live[f.pick%len(live)]
 	switch f.kind {
@@ -142,27 +142,27 @@
 	}
 }
 
-func (w *world) setLate(p float64) {
+func (w *simulation) setLate(p float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.late = p
 }
 
-func (w *world) setPauseAtHead(d time.Duration) {
+func (w *simulation) setPauseAtHead(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pauseAtHead = d
 }
 
-func (w *world) calm() {
+func (w *simulation) clearFaults() {
 	w.store.SetFaults(store.Faults{})
 	w.setLate(0)
 	w.setPauseAtHead(0)
 }
 
-// settled checks that every live balancer has the accepted revision, that it holds the last good version of each
-// service, and that each status tells of the last version.
-func (w *world) settled(t *testing.T) string {
+// checkConverged checks that every live balancer has the accepted revision, that it holds the last valid version of
+// each service, and that each status is of the last version.
+func (w *simulation) checkConverged(t *testing.T) string {
 	o, err := w.store.Get(t.Context(), resource.KindHead, resource.HeadName)
 	if err != nil {
 		return err.Error()
@@ -187,10 +187,10 @@
 	if Compile(r, Inputs{Services: resource.ReadServices(list)}).Changed {
 		return fmt.Sprintf("the head names %d, which lacks a change", h.Revision)
 	}
-	return w.statuses(t, list)
+	return w.checkStatuses(t, list)
 }
 
-func (w *world) statuses(t *testing.T, services []objectapi.Object) string {
+func (w *simulation) checkStatuses(t *testing.T, services []objectapi.Object) string {
 	for _, s := range services {
 		o, err := w.store.Get(t.Context(), resource.KindServiceStatus, s.Name)
 		if err != nil {
@@ -219,7 +219,7 @@
 	})
 }
 
-// TestCheckerCatchesBrokenVariants shows that the checks of TestHistoryWithFaults can fail.
+// TestCheckerCatchesBrokenVariants checks that the checker of TestHistoryWithFaults rejects broken variants.
 func TestCheckerCatchesBrokenVariants(t *testing.T) {
 	pauses := []fault{{kind: faultPauseAtHead, after: 3 * time.Second, length: 8 * time.Second}}
 	joins := []fault{
@@ -232,7 +232,7 @@
 		faults  []fault
 	}{
 		{"unfenced holder", unfenced, pauses},
-		{"balancer that takes lower revisions", lowering, joins},
+		{"balancer that adopts lower revisions", adoptsLower, joins},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if bad := runHistory(t, 1, correct, c.faults); bad != "" {
--- a/pkg/revision/main_test.go
+++ b/pkg/revision/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// historyChecks is the number of drawn histories unless -rapid.checks says another.
+// historyChecks is the number of generated histories when -rapid.checks is not given.
 const historyChecks = "15"
 
 func TestMain(m *testing.M) {
--- a/pkg/revision/metrics.go
+++ b/pkg/revision/metrics.go
@@ -2,14 +2,14 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics count the work of the compile duty.
+// metrics are the metrics of the compile duty.
 type metrics struct {
 	rounds   tally.Counter
 	accepted tally.Counter
 	failed   tally.Counter
 	statuses tally.Counter
 	head     tally.Gauge
-	refused  tally.Gauge
+	rejected tally.Gauge
 	compile  tally.Timer
 }
 
@@ -20,7 +20,7 @@
 		failed:   s.Counter("revision_round_failures"),
 		statuses: s.Counter("revision_status_writes"),
 		head:     s.Gauge("revision_head"),
-		refused:  s.Gauge("revision_services_refused"),
+		rejected: s.Gauge("revision_services_refused"),
 		compile:  s.Timer("revision_compile_time"),
 	}
 }
--- a/pkg/revision/pace_test.go
+++ b/pkg/revision/pace_test.go
@@ -17,13 +17,13 @@
 	c.cfg.Clock = clock
 	c.cfg.Acks = fixedAcks{490, 490}
 	require.NoError(t, c.round(t.Context()))
-	require.Equal(t, DefaultWindow, c.holdBack(), "a round that published nothing holds nothing back")
+	require.Equal(t, DefaultWindow, c.batchDelay(), "a round that published nothing adds no delay")
 	putService(t, s, testService("a", "10.0.0.1", 0).Service)
 	require.NoError(t, c.round(t.Context()))
 	c.cfg.Acks = fixedAcks{8, 8}
-	require.Equal(t, DefaultInterval, c.holdBack(), "few balancers: a revision costs each of them control traffic")
+	require.Equal(t, DefaultInterval, c.batchDelay(), "few balancers: a revision costs each of them control traffic")
 	c.cfg.Acks = fixedAcks{490, 490}
-	require.Equal(t, 980*time.Millisecond, c.holdBack(), "490 balancers with 2 reads each at 1000 a second")
+	require.Equal(t, 980*time.Millisecond, c.batchDelay(), "490 balancers with 2 reads each at 1000 a second")
 	clock.now = clock.now.Add(time.Second)
-	require.Equal(t, DefaultWindow, c.holdBack())
+	require.Equal(t, DefaultWindow, c.batchDelay())
 }
--- a/pkg/revision/part.go
+++ b/pkg/revision/part.go
@@ -10,23 +10,24 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// maxPart is the highest number of bytes in one part: base64 in JSON makes 4 of 3, and the rest is for the frame.
+// maxPart is the maximum number of data bytes in one part. Base64 in JSON grows them by 4/3; 1/16 is left for the other
+// fields.
 const maxPart = objectapi.MaxValueSize / 4 * 3 * 15 / 16
 
-// part is the content of one stored object of a revision. Nearly every revision has one part.
+// part is the content of one stored object of a revision. Most revisions have a single part.
 type part struct {
 	// Number is the number of the revision.
 	Number uint64 `json:"number"`
 	// Parts is the number of parts.
 	Parts int `json:"parts"`
-	// Sum is the xxHash64 of all data.
+	// Sum is the xxHash64 of the data of all parts.
 	Sum uint64 `json:"sum"`
-	// Data is a section of the form of Encode.
+	// Data is a section of the output of Encode.
 	Data []byte `json:"data"`
 }
 
-// objectName names the revision's first object. The checksum of the content keeps apart what two holders, or two
-// attempts of one holder, make of the same number; only the head says which of them is accepted.
+// objectName returns the name of the revision's first object. The checksum distinguishes revisions that two holders, or
+// two attempts of one holder, compile with the same number; the head names the accepted one.
 func objectName(number, sum uint64) string {
 	return fmt.Sprintf("%s-%016x", resource.RevisionName(number), sum)
 }
--- a/pkg/revision/restored_test.go
+++ b/pkg/revision/restored_test.go
@@ -19,8 +19,8 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// restoredWorld is balancers of which each competes for the compile duty and follows the head.
-type restoredWorld struct {
+// restoredCluster is a store and balancers that compete for the compile duty and follow the head.
+type restoredCluster struct {
 	t     *testing.T
 	store *store.Store
 	ctx   context.Context
@@ -29,12 +29,12 @@
 	adopters []*Adopter
 }
 
-func newRestoredWorld(ctx context.Context, t *testing.T, era uint64) *restoredWorld {
-	return &restoredWorld{t: t, ctx: ctx, store: store.New(store.Config{Era: era, WatchWait: time.Second})}
+func newRestoredCluster(ctx context.Context, t *testing.T, era uint64) *restoredCluster {
+	return &restoredCluster{t: t, ctx: ctx, store: store.New(store.Config{Era: era, WatchWait: time.Second})}
 }
 
 // Highest implements Peers: the revisions of all balancers.
-func (w *restoredWorld) Highest(context.Context, uint64) ([]resource.Revision, error) {
+func (w *restoredCluster) Highest(context.Context, uint64) ([]resource.Revision, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []resource.Revision
@@ -47,10 +47,10 @@
 }
 
 // start starts a balancer and returns its adopter.
-func (w *restoredWorld) start(name string) *Adopter { return w.startUntil(w.ctx, name) }
+func (w *restoredCluster) start(name string) *Adopter { return w.startUntil(w.ctx, name) }
 
-// startUntil starts a balancer that ends with a context.
-func (w *restoredWorld) startUntil(ctx context.Context, name string) *Adopter {
+// startUntil starts a balancer that runs until ctx ends.
+func (w *restoredCluster) startUntil(ctx context.Context, name string) *Adopter {
 	a := NewAdopter(zerolog.Nop())
 	w.mu.Lock()
 	w.adopters = append(w.adopters, a)
@@ -63,14 +63,14 @@
 	return a
 }
 
-// putQueue stores the service with another limit.
-func (w *restoredWorld) putQueue(queue uint32) {
+// putQueue stores the service with a queue limit.
+func (w *restoredCluster) putQueue(queue uint32) {
 	v := testService("a", "10.0.0.1", 0).Service
 	v.Spec.Limits.Queue = queue
 	putService(w.t, w.store, v)
 }
 
-// queueOf returns the limit that a balancer has in force; 0 before there is one.
+// queueOf returns the queue limit that a balancer has in force; 0 when it has no service.
 func queueOf(a *Adopter) uint32 {
 	r, _ := a.Current()
 	if len(r.Services) == 0 {
@@ -79,8 +79,8 @@
 	return r.Services[0].Spec.Limits.Queue
 }
 
-// inWorld runs f in virtual time, in a store that names eras from the start and in one that does not.
-func inWorld(t *testing.T, f func(t *testing.T, w *restoredWorld)) {
+// inRestoredCluster runs f in virtual time, with a store that has eras from the start and with one that does not.
+func inRestoredCluster(t *testing.T, f func(t *testing.T, w *restoredCluster)) {
 	for _, era := range []uint64{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
@@ -88,13 +88,13 @@
 				stop()
 				time.Sleep(time.Minute)
 			}()
-			f(t, newRestoredWorld(ctx, t, era))
+			f(t, newRestoredCluster(ctx, t, era))
 		})
 	}
 }
 
-func TestAChangeIsInForceAfterTheHeadCameBackOlder(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *restoredWorld) {
+func TestChangeIsInForceAfterHeadIsRestored(t *testing.T) {
+	inRestoredCluster(t, func(t *testing.T, w *restoredCluster) {
 		a, b := w.start("a"), w.start("b")
 		w.putQueue(1)
 		time.Sleep(5 * time.Second)
@@ -111,12 +111,12 @@
 		require.EqualValues(t, 9, queueOf(b))
 		c := w.start("c")
 		time.Sleep(time.Second)
-		require.EqualValues(t, 9, queueOf(c), "a balancer that starts then")
+		require.EqualValues(t, 9, queueOf(c), "a balancer started after the restore")
 	})
 }
 
-func TestAServiceThatTheObjectAPIWritesAgainLaterDoesNotGoBack(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *restoredWorld) {
+func TestServiceRewrittenAfterRestoreDoesNotRevert(t *testing.T) {
+	inRestoredCluster(t, func(t *testing.T, w *restoredCluster) {
 		a := w.start("a")
 		w.putQueue(1)
 		time.Sleep(5 * time.Second)
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestTheDutyGoesOnFromTheRevisionInForceWhenTheHeadIsBehind(t *testing.T) {
+func TestDutyResumesFromAdoptedRevisionWhenHeadIsBehind(t *testing.T) {
 	s := store.New(store.Config{Era: 1})
 	grant := lease.Grant{Holder: "a", Term: store.Version(1, 1)}
 	first := startSession(t, s, grant)
@@ -150,25 +150,25 @@
 	require.NoError(t, err)
 	require.Equal(t, adopter.Number(), later.current.Number)
 	require.Len(t, later.current.Services, 2)
-	require.True(t, later.restored())
+	require.True(t, later.lacksEraRevision())
 }
 
-// restoredSeeds is the number of drawn runs.
+// restoredSeeds is the number of random runs.
 const restoredSeeds = 40
 
-// restoredRun is one run with random restores, outages, lost answers and restarts.
+// restoredRun is one run with random restores, outages, lost responses and restarts.
 type restoredRun struct {
-	*restoredWorld
+	*restoredCluster
 	random *rand.Rand
 	queue  uint32
 	stops  []context.CancelFunc
 
 	queuesMu sync.Mutex
-	// queues are the limits that revisions hold, by number.
+	// queues are the queue limits in the adopted revisions, by number.
 	queues map[uint64]uint32
 }
 
-// begin starts a balancer that checks what it adopts.
+// begin starts a balancer and checks each revision that it adopts.
 func (r *restoredRun) begin(name string) {
 	ctx, stop := context.WithCancel(r.ctx)
 	a := r.startUntil(ctx, name)
@@ -179,7 +179,7 @@
 		if len(v.Services) > 0 {
 			q = v.Services[0].Spec.Limits.Queue
 		}
-		require.GreaterOrEqual(r.t, q, last, "balancer %s goes back", name)
+		require.GreaterOrEqual(r.t, q, last, "balancer %s reverts", name)
 		last = q
 		r.queuesMu.Lock()
 		defer r.queuesMu.Unlock()
@@ -190,7 +190,7 @@
 	})
 }
 
-// restart ends a balancer at once and starts one that knows nothing in its place.
+// restart stops a random balancer and starts one without state in its place.
 func (r *restoredRun) restart(n int) {
 	i := r.random.IntN(len(r.stops))
 	r.stops[i]()
@@ -201,13 +201,13 @@
 	r.begin("b" + strconv.Itoa(n))
 }
 
-// change stores the next limit, as operators do: until it works.
+// change stores the next queue limit.
 func (r *restoredRun) change() {
 	r.queue++
 	r.write()
 }
 
-// write stores the last limit.
+// write stores the last queue limit, with retries until it succeeds.
 func (r *restoredRun) write() {
 	v := testService("a", "10.0.0.1", 0).Service
 	v.Spec.Limits.Queue = r.queue
@@ -226,8 +226,8 @@
 	}
 }
 
-// restore lets the store be away and come back from a copy. The service is written again at once, or within less than the time that the compile duty
-// waits.
+// restore makes the store unavailable and restores it from a copy. The service is either kept or written again within
+// RestoreGracePeriod.
 func (r *restoredRun) restore(older store.Copy) {
 	r.store.SetFaults(store.Faults{Outage: true})
 	time.Sleep(time.Duration(r.random.IntN(1500)) * time.Millisecond)
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestNothingRevertsAndNothingIsLostUnderRandomRestores(t *testing.T) {
+func TestNoRevertAndNoLossUnderRandomRestores(t *testing.T) {
 	for seed := range uint64(restoredSeeds) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -285,9 +285,9 @@
 					time.Sleep(time.Minute)
 				}()
 				r := &restoredRun{
-					restoredWorld: newRestoredWorld(ctx, t, seed%2),
-					random:        rand.New(rand.NewPCG(seed, 1)),
-					queues:        make(map[uint64]uint32),
+					restoredCluster: newRestoredCluster(ctx, t, seed%2),
+					random:          rand.New(rand.NewPCG(seed, 1)),
+					queues:          make(map[uint64]uint32),
 				}
 				r.run()
 			})
--- a/pkg/revision/session.go
+++ b/pkg/revision/session.go
@@ -14,7 +14,7 @@
 	"github.com/auburnwood/auburnwood/pkg/rollout"
 )
 
-// session is the compile duty within one term. Only run uses its fields besides signal.
+// session is the compile duty within one term. Except for signal, its fields are used by the goroutine of run only.
 type session struct {
 	cfg      Compiler
 	grant    lease.Grant
@@ -23,18 +23,18 @@
 	statuses *statusWriter
 	metrics  metrics
 	signal   chan struct{}
-	// last is when the last round began, and published when the head was advanced last.
-	last      time.Time
-	published time.Time
-	// holdUntil is the end of the time in which changes are gathered; zero outside of it.
-	holdUntil time.Time
-	// described is set when the object API's era is described.
-	described bool
-	// collected is the number below which revisions were deleted.
+	// lastRound is when the last round began, and publishedAt when the head was last advanced.
+	lastRound   time.Time
+	publishedAt time.Time
+	// batchUntil is the end of the current batch of changes; zero when none is being batched.
+	batchUntil time.Time
+	// eraRecorded is set once the object API's era is recorded.
+	eraRecorded bool
+	// collected is the number below which revisions have been deleted.
 	collected uint64
 }
 
-// newSession claims the head, so that no write of an earlier term takes effect from here on.
+// newSession claims the head, so that no later write to it by an earlier term takes effect.
 func newSession(ctx context.Context, cfg Compiler, g lease.Grant) (*session, error) {
 	head, err := lease.Claim[stampedHead](ctx, cfg.Store, resource.KindHead, resource.HeadName, g)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	s := &session{cfg: cfg, grant: g, head: head, signal: make(chan struct{}, 1), metrics: newMetrics(cfg.Metrics)}
 	s.statuses = newStatusWriter(cfg, g, s.metrics.statuses)
-	s.statuses.yield = func() bool { return len(s.signal) > 0 || s.heldEnough() }
+	s.statuses.yield = func() bool { return len(s.signal) > 0 || s.isBatchDue() }
 	if err := s.load(ctx); err != nil {
 		return nil, err
 	}
@@ -55,12 +55,13 @@
 		return trace.Wrap(err, "load accepted revision")
 	}
 	s.current = r
-	s.keepAdopted()
+	s.resumeFromAdopted()
 	return nil
 }
 
-// keepAdopted goes on from the revision that this process has in force when the object API has lost it.
-func (s *session) keepAdopted() {
+// resumeFromAdopted continues from the revision that this process has adopted when it is higher than that of the head,
+// as after the object API was restored from an older copy.
+func (s *session) resumeFromAdopted() {
 	if s.cfg.Adopter == nil {
 		return
 	}
@@ -69,18 +70,18 @@
 	}
 }
 
-// restored reports whether no revision of this era was accepted yet.
-func (s *session) restored() bool { return objectapi.EraOf(s.current.Number) < s.grant.Era() }
+// lacksEraRevision reports whether no revision has been accepted in the era of the term.
+func (s *session) lacksEraRevision() bool { return objectapi.EraOf(s.current.Number) < s.grant.Era() }
 
-// run compiles at the start, at each signal and at each resync, and writes statuses in between.
+// run compiles at the start, after each signal and at each resync, and writes statuses in between.
 func (s *session) run(ctx context.Context) error {
-	if s.restored() {
-		// Operators write again what was lost, and peers hand over the last revision before.
+	if s.lacksEraRevision() {
+		// Operators rewrite lost changes, and peers send the last revision of the earlier era, within this time.
 		_ = s.cfg.Clock.Sleep(ctx, objectapi.RestoreGracePeriod)
-		s.keepAdopted()
+		s.resumeFromAdopted()
 	}
 	for ctx.Err() == nil {
-		err := s.describeEra(ctx)
+		err := s.recordEra(ctx)
 		if err == nil {
 			err = s.round(ctx)
 		}
@@ -99,9 +100,9 @@
 	return nil
 }
 
-// round compiles once and publishes what changed.
+// round compiles once and publishes the revision if it changed.
 func (s *session) round(ctx context.Context) error {
-	s.last = s.cfg.Clock.Now()
+	s.lastRound = s.cfg.Clock.Now()
 	in, err := s.inputs(ctx)
 	if err != nil {
 		return err
@@ -110,13 +111,13 @@
 	begin := s.cfg.Clock.Now()
 	c := Compile(s.current, in)
 	s.metrics.compile.Record(s.cfg.Clock.Now().Sub(begin))
-	s.metrics.refused.Update(float64(refused(c.Results)))
+	s.metrics.rejected.Update(float64(rejected(c.Results)))
 	if c.Changed {
 		if err := s.publish(ctx, c.Revision); err != nil {
 			return err
 		}
 	}
-	s.statuses.set(c, in.Rollouts)
+	s.statuses.setResults(c, in.Rollouts)
 	s.collect(ctx)
 	return nil
 }
@@ -138,7 +139,7 @@
 		Services:  resource.ReadServices(services),
 		Evacuated: namesOf(evacuations),
 		EraStart:  objectapi.EraStart(s.grant.Term),
-		Republish: s.restored() || s.current.Number != s.head.Value().Revision,
+		Republish: s.lacksEraRevision() || s.current.Number != s.head.Value().Revision,
 	}
 	in.Rollouts, err = rollout.ReadStates(states, s.grant.Era())
 	if err != nil {
@@ -147,7 +148,7 @@
 	return in, nil
 }
 
-// list reads the objects of a kind in the era of the term.
+// list reads the objects of a kind. It returns lease.ErrFenced when the API is in a later era than the term.
 func (s *session) list(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, error) {
 	list, version, err := s.cfg.Store.List(ctx, kind)
 	if err == nil {
@@ -156,7 +157,7 @@
 	return list, trace.Wrap(err, "list %s", kind)
 }
 
-// namesOf returns the sorted names of objects.
+// namesOf returns the names of objects, sorted.
 func namesOf(objects []objectapi.Object) []string {
 	var names []string
 	for _, o := range objects {
@@ -166,8 +167,8 @@
 	return names
 }
 
-// publish stores the revision and then advances the head. When the head was written by somebody else of an earlier
-// term, the revision that it names is loaded, and the next round compiles on top of it.
+// publish stores the revision and then advances the head. When a late write of an earlier term has changed the head,
+// the revision that it names is loaded, and the next round compiles on top of it.
 func (s *session) publish(ctx context.Context, r resource.Revision) error {
 	name, err := save(ctx, s.cfg.Store, r, maxPart)
 	if err != nil {
@@ -182,7 +183,7 @@
 		return trace.Wrap(err, "advance head to %d", r.Number)
 	}
 	s.current = r
-	s.published = s.cfg.Clock.Now()
+	s.publishedAt = s.cfg.Clock.Now()
 	s.metrics.accepted.Inc(1)
 	s.metrics.head.Update(float64(r.Number))
 	s.cfg.Log.Info().Str("op", "accept").Uint64("revision", r.Number).Uint64("term", s.grant.Term).
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// collect deletes old revisions. Failures wait for the next round.
+// collect deletes old revisions. After a failure the next round tries again.
 func (s *session) collect(ctx context.Context) {
 	if s.current.Number <= s.cfg.Keep {
 		return
@@ -211,42 +212,42 @@
 	s.cfg.Log.Debug().Str("op", "collect").Uint64("below", below).Int("deleted", n).Send()
 }
 
-// wait writes statuses until a signal or the resync is due, and then holds back for the window and the pace.
+// wait writes statuses until a signal, after which it batches changes, or until the resync is due.
 func (s *session) wait(ctx context.Context) error {
-	due := s.last.Add(s.cfg.Resync)
+	due := s.lastRound.Add(s.cfg.Resync)
 	for ctx.Err() == nil && s.cfg.Clock.Now().Before(due) {
 		if err := s.statuses.write(ctx); err != nil {
 			return err
 		}
-		if s.signalled() {
-			return s.hold(ctx)
+		if s.takeSignal() {
+			return s.batchChanges(ctx)
 		}
-		s.pause(ctx, statusTick)
+		s.waitSignal(ctx, statusTick)
 	}
 	return nil
 }
 
-// hold gathers changes for the time that the pace asks for, and writes statuses meanwhile.
-func (s *session) hold(ctx context.Context) error {
-	s.holdUntil = s.cfg.Clock.Now().Add(s.holdBack())
-	defer func() { s.holdUntil = time.Time{} }()
-	for ctx.Err() == nil && !s.heldEnough() {
+// batchChanges waits for batchDelay so that further changes share the revision, and writes statuses meanwhile.
+func (s *session) batchChanges(ctx context.Context) error {
+	s.batchUntil = s.cfg.Clock.Now().Add(s.batchDelay())
+	defer func() { s.batchUntil = time.Time{} }()
+	for ctx.Err() == nil && !s.isBatchDue() {
 		if err := s.statuses.write(ctx); err != nil {
 			return err
 		}
-		_ = s.cfg.Clock.Sleep(ctx, min(statusTick, s.holdUntil.Sub(s.cfg.Clock.Now())))
+		_ = s.cfg.Clock.Sleep(ctx, min(statusTick, s.batchUntil.Sub(s.cfg.Clock.Now())))
 	}
-	s.signalled()
+	s.takeSignal()
 	return nil
 }
 
-// heldEnough reports whether the time of hold is over.
-func (s *session) heldEnough() bool {
-	return !s.holdUntil.IsZero() && !s.cfg.Clock.Now().Before(s.holdUntil)
+// isBatchDue reports whether the delay of batchChanges has elapsed.
+func (s *session) isBatchDue() bool {
+	return !s.batchUntil.IsZero() && !s.cfg.Clock.Now().Before(s.batchUntil)
 }
 
-// pause returns after d, or as soon as there is a signal, which it leaves in place.
-func (s *session) pause(ctx context.Context, d time.Duration) {
+// waitSignal returns after d or at a signal, which it leaves pending.
+func (s *session) waitSignal(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := make(chan struct{})
@@ -257,23 +258,23 @@
 	select {
 	case <-timer:
 	case <-s.signal:
-		s.raise()
+		s.raiseSignal()
 	}
 }
 
-// readsPerAdoption is what a balancer spends on one revision: it reads the object and waits for the next head.
+// readsPerAdoption is the number of reads of a balancer for one revision: the object and the next watch of the head.
 const readsPerAdoption = 2
 
-// holdBack returns how long to gather changes: the window, and longer when the revision before is too recent or when the
-// balancers need longer to fetch it within their rate of reads.
-func (s *session) holdBack() time.Duration {
+// batchDelay returns how long to batch changes: the window, or longer to keep the interval since the last revision and
+// the time in which all balancers can fetch it at ReadRate.
+func (s *session) batchDelay() time.Duration {
 	_, m := s.cfg.Acks.InForce(s.current.Number)
 	pace := time.Duration(m*readsPerAdoption) * time.Second / time.Duration(s.cfg.ReadRate)
-	next := s.published.Add(max(pace, s.cfg.Interval))
+	next := s.publishedAt.Add(max(pace, s.cfg.Interval))
 	return max(s.cfg.Window, next.Sub(s.cfg.Clock.Now()))
 }
 
-func (s *session) signalled() bool {
+func (s *session) takeSignal() bool {
 	select {
 	case <-s.signal:
 		return true
@@ -282,20 +283,20 @@
 	}
 }
 
-func (s *session) raise() {
+func (s *session) raiseSignal() {
 	select {
 	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
-// watch raises a signal at each change of a kind. What changed is read by the round, so that repeated, late or
-// missing events do no harm.
+// watch raises a signal at each change of a kind. The round lists the objects itself, so that repeated, late or missing
+// events do no harm.
 func (s *session) watch(ctx context.Context, kind objectapi.Kind) error {
 	for ctx.Err() == nil {
 		_, from, err := s.cfg.Store.List(ctx, kind)
 		if err == nil {
-			s.raise()
+			s.raiseSignal()
 			err = s.watchFrom(ctx, kind, from)
 		}
 		if err != nil && !errors.Is(err, objectapi.ErrExpired) {
@@ -313,7 +314,7 @@
 		}
 		from = next
 		if len(events) > 0 {
-			s.raise()
+			s.raiseSignal()
 		}
 	}
 	return nil
--- a/pkg/revision/session_test.go
+++ b/pkg/revision/session_test.go
@@ -13,13 +13,13 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// headlessStore refuses the next writes of the head, as an outage between two calls does.
-type headlessStore struct {
+// headFailingStore refuses the next writes of the head, as in an outage that begins after the revision is stored.
+type headFailingStore struct {
 	objectapi.Store
 	refuse int
 }
 
-func (s *headlessStore) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (s *headFailingStore) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	if o.Kind == resource.KindHead && s.refuse > 0 {
 		s.refuse--
 		return o, objectapi.ErrUnavailable
@@ -46,9 +46,9 @@
 	return out
 }
 
-// A revision that was stored but not named by the head must not hold back another of the same number.
+// A revision that was stored but not named by the head must not block another one with the same number.
 func TestRevisionStoredWithoutHeadIsReplaced(t *testing.T) {
-	s := &headlessStore{Store: store.New(store.Config{})}
+	s := &headFailingStore{Store: store.New(store.Config{})}
 	c := startSession(t, s, lease.Grant{Holder: "a", Term: 1})
 	putService(t, s, testService("a", "10.0.0.1", 0).Service)
 	s.refuse = 1
--- a/pkg/revision/statuslook.go
+++ b/pkg/revision/statuspending.go
@@ -11,39 +11,39 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// storedStatus is one status object.
+// storedStatus is a status object as last read or written.
 type storedStatus struct {
 	object objectapi.Object
 	status resource.ServiceStatus
-	// claimed says that this term wrote the object, so that no write of an earlier term takes effect.
+	// claimed is set when this term wrote the object, so that no write of an earlier term takes effect.
 	claimed bool
 	written time.Time
 }
 
-// openStatus is when and how to look at a status again.
-type openStatus struct {
-	// judged says that the stored status tells the judgement, so that only the count in force may differ.
-	judged bool
-	look   time.Time
+// pendingStatus is a status that may need a write.
+type pendingStatus struct {
+	// recorded is set when the stored status has the evaluation, so that only the in-force count may differ.
+	recorded bool
+	check    time.Time
 }
 
-// statusWrite is one write that is due.
+// statusWrite is a status write that is due.
 type statusWrite struct {
-	name  string
-	after resource.ServiceStatus
-	// rank orders the writes: judgements first, then counts, then claims.
+	name    string
+	desired resource.ServiceStatus
+	// rank orders the writes: evaluations first, then counts, then claims.
 	rank int
 }
 
-// due returns the writes that are due in the order of their rank.
+// due returns the writes that are due, ordered by rank and name.
 func (w *statusWriter) due(now time.Time) []statusWrite {
 	var list []statusWrite
 	acks := newCachedAcks(w.cfg.Acks)
-	for name, o := range w.open {
-		if now.Before(o.look) {
+	for name, o := range w.pending {
+		if now.Before(o.check) {
 			continue
 		}
-		d, ok := w.look(name, o, acks, now)
+		d, ok := w.check(name, o, acks, now)
 		if ok {
 			list = append(list, d)
 		}
@@ -54,44 +54,45 @@
 	return list
 }
 
-// look returns the write of one status, and false when none is due. A status that tells all is closed.
-func (w *statusWriter) look(name string, o openStatus, acks Acks, now time.Time) (statusWrite, bool) {
+// check returns the write of one status, and false when none is due. A status that is up to date and needs no more
+// counts is removed from pending.
+func (w *statusWriter) check(name string, o pendingStatus, acks Acks, now time.Time) (statusWrite, bool) {
 	j, ok := w.wanted[name]
 	if !ok {
-		delete(w.open, name)
+		delete(w.pending, name)
 		return statusWrite{}, false
 	}
 	s := w.stored[name]
-	again := openStatus{judged: true, look: now.Add(w.cfg.StatusInterval / countLooks)}
-	if o.judged && count(j.acceptedRevision(s.status), s.status, acks) == s.status.InForce {
-		w.open[name] = again
+	again := pendingStatus{recorded: true, check: now.Add(w.cfg.StatusInterval / countChecks)}
+	if o.recorded && count(j.acceptedRevision(s.status), s.status, acks) == s.status.InForce {
+		w.pending[name] = again
 		return statusWrite{}, false
 	}
 	next := j.describe(s.status, acks, now)
 	next.Term = w.grant.Term
 	rank, due := w.rank(s, next, now)
 	if due {
-		return statusWrite{name: name, after: next, rank: rank}, true
+		return statusWrite{name: name, desired: next, rank: rank}, true
 	}
-	w.open[name] = again
+	w.pending[name] = again
 	if next.AcceptedRevision == 0 || next.InForce.Complete() {
-		delete(w.open, name)
+		delete(w.pending, name)
 	}
 	return statusWrite{}, false
 }
 
-// countLooks is the number of looks at an unfinished count within one status interval.
-const countLooks = 4
+// countChecks is the number of times an incomplete count is checked within one status interval.
+const countChecks = 4
 
 const (
-	rankJudgement = iota
+	rankEvaluation = iota
 	rankCount
 	rankClaim
 )
 
 func (w *statusWriter) rank(s storedStatus, next resource.ServiceStatus, now time.Time) (int, bool) {
-	if !sameJudgement(s.status, next) {
-		return rankJudgement, true
+	if !sameEvaluation(s.status, next) {
+		return rankEvaluation, true
 	}
 	if next.InForce.Complete() && !s.status.InForce.Complete() {
 		return rankCount, true
@@ -102,8 +103,8 @@
 	return rankClaim, !s.claimed
 }
 
-// sameJudgement compares two statuses without the count in force and the times.
-func sameJudgement(a, b resource.ServiceStatus) bool {
+// sameEvaluation compares two statuses apart from the in-force count, the term and the times.
+func sameEvaluation(a, b resource.ServiceStatus) bool {
 	x, errX := json.Marshal(withoutCount(a))
 	y, errY := json.Marshal(withoutCount(b))
 	return errX == nil && errY == nil && bytes.Equal(x, y)
--- a/pkg/revision/statuswriter.go
+++ b/pkg/revision/statuswriter.go
@@ -15,64 +15,65 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// statusWriter brings the stored statuses to what was judged, within a rate of writes.
+// statusWriter updates the stored statuses from the results of compilations, within a rate of writes.
 type statusWriter struct {
 	cfg     Compiler
 	grant   lease.Grant
 	limiter *rate.Limiter
 	writes  tally.Counter
-	// stored are the statuses as read or written last; nil asks for a list.
+	// stored are the statuses as last read or written; nil means that they have to be listed.
 	stored map[string]storedStatus
-	wanted map[string]judgement
-	// open are the services whose status may need a write.
-	open map[string]openStatus
-	// yield reports whether a change waits to be compiled; nil means that none ever does.
+	wanted map[string]evaluation
+	// pending are the statuses that may need a write, by service.
+	pending map[string]pendingStatus
+	// yield reports whether a change is waiting to be compiled; nil means never.
 	yield func() bool
-	// loaded is when stored was listed last.
-	loaded time.Time
+	// loadedAt is when stored was last listed.
+	loadedAt time.Time
 }
 
-// statusReload is the time after which statuses are listed again: a former holder may have written one that no service
-// of this term has, and so was never claimed.
+// statusReload is the time between two lists of the statuses. They find statuses that a former holder wrote late for a
+// service that no longer exists, which this term has not claimed.
 const statusReload = time.Minute
 
-// statusesBetween is the number of statuses that are written before a waiting change is compiled. Calls of the store are
-// few, so that acceptance would wait for seconds behind the statuses of many services; without any of them, operators
-// would not learn what became of their changes while others come.
-const statusesBetween = 5
+// minStatusesBeforeYield is the number of statuses that are written before a waiting change is compiled. Store calls are
+// rate limited: writing all statuses first would delay acceptance by seconds, and writing none would leave operators
+// without statuses while changes continue.
+const minStatusesBeforeYield = 5
 
 func newStatusWriter(cfg Compiler, g lease.Grant, writes tally.Counter) *statusWriter {
 	l := rate.NewLimiter(rate.Limit(cfg.StatusRate), cfg.StatusRate)
-	return &statusWriter{cfg: cfg, grant: g, limiter: l, writes: writes, open: make(map[string]openStatus)}
+	return &statusWriter{cfg: cfg, grant: g, limiter: l, writes: writes, pending: make(map[string]pendingStatus)}
 }
 
-// set replaces what was judged, and opens the statuses of the services whose judgement changed.
-func (w *statusWriter) set(c Compiled, states map[string]resource.RolloutStatus) {
+// setResults replaces the evaluations, and marks the statuses of services whose evaluation changed as pending.
+func (w *statusWriter) setResults(c Compiled, states map[string]resource.RolloutStatus) {
 	before := w.wanted
-	w.wanted = make(map[string]judgement, len(c.Results))
+	w.wanted = make(map[string]evaluation, len(c.Results))
 	for _, r := range c.Results {
-		j := judgement{result: r, current: c.Revision.Number}
+		j := evaluation{result: r, current: c.Revision.Number}
 		if s, ok := states[r.Name]; ok {
 			j.rollout = &s
 		}
 		old, known := before[r.Name]
-		if known && j.follows(&old) {
+		if known && j.matches(&old) {
 			w.wanted[r.Name] = old
 			continue
 		}
 		w.wanted[r.Name] = j
-		w.open[r.Name] = openStatus{}
+		w.pending[r.Name] = pendingStatus{}
 	}
 }
 
-// write carries out the writes that are due, as far as the rate allows, and only some of them while a change waits.
+// write writes the statuses that are due, as far as the rate allows. While a change is waiting it stops after
+// minStatusesBeforeYield.
 func (w *statusWriter) write(ctx context.Context) error {
 	if err := w.load(ctx); err != nil {
 		return err
 	}
 	now := w.cfg.Clock.Now()
 	for i, d := range w.due(now) {
-		if i >= statusesBetween && w.yield != nil && w.yield() {
+		if i >= minStatusesBeforeYield && w.yield != nil && w.yield() {
 			return nil
 		}
 		if !w.limiter.AllowN(now, 1) {
@@ -82,26 +83,26 @@
 			return err
 		}
 	}
-	return w.deleteGone(ctx, now)
+	return w.deleteStale(ctx, now)
 }
 
 func (w *statusWriter) load(ctx context.Context) error {
 	now := w.cfg.Clock.Now()
-	if w.stored != nil && now.Sub(w.loaded) < statusReload {
+	if w.stored != nil && now.Sub(w.loadedAt) < statusReload {
 		return nil
 	}
 	list, _, err := w.cfg.Store.List(ctx, resource.KindServiceStatus)
 	if err != nil {
 		return trace.Wrap(err, "list statuses")
 	}
-	w.loaded = now
+	w.loadedAt = now
 	for name := range w.wanted {
-		w.open[name] = openStatus{}
+		w.pending[name] = pendingStatus{}
 	}
 	w.stored = make(map[string]storedStatus, len(list))
 	for _, o := range list {
 		s := storedStatus{object: o}
-		// A status that cannot be read is written anew.
+		// A status that cannot be decoded is rewritten.
 		_ = json.Unmarshal(o.Value, &s.status)
 		s.claimed = s.status.Term == w.grant.Term
 		w.stored[o.Name] = s
@@ -109,9 +110,9 @@
 	return nil
 }
 
-// put writes one status on condition of the version read under this term.
+// put writes one status on condition of the last version read or written.
 func (w *statusWriter) put(ctx context.Context, d statusWrite, now time.Time) error {
-	b, err := json.Marshal(d.after)
+	b, err := json.Marshal(d.desired)
 	if err != nil {
 		return trace.Wrap(err, "encode status of %s", d.name)
 	}
@@ -123,13 +124,13 @@
 	if err != nil {
 		return trace.Wrap(err, "write status of %s", d.name)
 	}
-	w.stored[d.name] = storedStatus{object: o, status: d.after, claimed: true, written: now}
+	w.stored[d.name] = storedStatus{object: o, status: d.desired, claimed: true, written: now}
 	w.writes.Inc(1)
 	w.log(d)
 	return nil
 }
 
-// reload reads the statuses again after a conflict, and reports a later term.
+// reload lists the statuses again after a conflict. It returns lease.ErrFenced when one holds a later term.
 func (w *statusWriter) reload(ctx context.Context) error {
 	w.stored = nil
 	if err := w.load(ctx); err != nil {
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// deleteGone deletes the statuses of services that no longer exist.
-func (w *statusWriter) deleteGone(ctx context.Context, now time.Time) error {
+// deleteStale deletes the statuses of services that no longer exist, as far as the rate allows.
+func (w *statusWriter) deleteStale(ctx context.Context, now time.Time) error {
 	if w.wanted == nil {
 		return nil
 	}
@@ -163,10 +164,10 @@
 }
 
 func (w *statusWriter) log(d statusWrite) {
-	if d.rank != rankJudgement {
+	if d.rank != rankEvaluation {
 		return
 	}
-	c, _ := d.after.Condition(resource.ConditionAccepted)
-	w.cfg.Log.Info().Str("op", "judge").Str("service", d.name).Uint64("version", d.after.ObservedVersion).
-		Uint64("revision", d.after.AcceptedRevision).Str("reason", string(c.Reason)).Str("message", c.Message).Send()
+	c, _ := d.desired.Condition(resource.ConditionAccepted)
+	w.cfg.Log.Info().Str("op", "judge").Str("service", d.name).Uint64("version", d.desired.ObservedVersion).
+		Uint64("revision", d.desired.AcceptedRevision).Str("reason", string(c.Reason)).Str("message", c.Message).Send()
 }
--- a/pkg/revision/yield_test.go
+++ b/pkg/revision/yield_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// slowStatuses takes a while for each new status, as a call budget does, counts them and calls first at the first one.
+// slowStatuses delays each new status, as a call budget does, counts them and calls first before the first one.
 type slowStatuses struct {
 	objectapi.Store
 	pause  time.Duration
@@ -34,8 +34,8 @@
 	return s.Store.Create(ctx, k, name, v)
 }
 
-// A change that comes while many statuses are due must not wait until all of them are written, since calls of the store
-// are few; and statuses must go on when changes never stop.
+// A change that arrives while many statuses are due must not wait until all of them are written, and statuses must
+// still be written when changes never stop.
 func TestChangeDoesNotWaitForStatuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const services, pause = 30, 100 * time.Millisecond
@@ -45,13 +45,13 @@
 			putService(t, slow, testService(fmt.Sprintf("svc-%02d", i), fmt.Sprintf("10.0.0.%d", i+1), 0).Service)
 		}
 		require.NoError(t, c.round(t.Context()))
-		slow.first = c.raise
+		slow.first = c.raiseSignal
 		for slow.writes < services {
 			before, began := slow.writes, time.Now()
 			require.NoError(t, c.wait(t.Context()))
-			require.LessOrEqual(t, time.Since(began), c.cfg.Interval+2*statusesBetween*pause)
+			require.LessOrEqual(t, time.Since(began), c.cfg.Interval+2*minStatusesBeforeYield*pause)
 			require.Greater(t, slow.writes, before, "no status is written while changes go on")
-			c.raise()
+			c.raiseSignal()
 		}
 	})
 }
