--- a/pkg/lease/action.go
+++ b/pkg/lease/action.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// ActionKind says what the caller of State.Step has to do next.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of action.
 const (
-	// ActionWait asks to call Step again at Action.At.
+	// ActionWait requests to call Step again at Action.At.
 	ActionWait ActionKind = iota + 1
-	// ActionRead asks to read the lease object.
+	// ActionRead requests to read the lease object.
 	ActionRead
-	// ActionCreate asks to create the lease object with Action.Record.
+	// ActionCreate requests to create the lease object with Action.Record.
 	ActionCreate
-	// ActionUpdate asks to replace the lease object by Action.Record when its version still is Action.Version.
+	// ActionUpdate requests to replace the lease object by Action.Record if its version is still Action.Version.
 	ActionUpdate
 )
 
-// Action is one thing that the caller of State.Step has to do.
+// Action is what the caller of State.Step has to do next.
 type Action struct {
 	Kind ActionKind
 	// At is set with ActionWait.
--- a/pkg/lease/clock.go
+++ b/pkg/lease/clock.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// Clock is the local monotonic clock. Tests pass their own.
+// Clock is the local monotonic clock, replaceable in tests.
 type Clock interface {
-	// Now returns the current time.
 	Now() time.Time
-	// Sleep returns after d, or earlier with the error of ctx.
+	// Sleep returns nil after d, or the error of ctx when that ends first.
 	Sleep(ctx context.Context, d time.Duration) error
 }
 
--- a/pkg/lease/config.go
+++ b/pkg/lease/config.go
@@ -6,21 +6,22 @@
 const (
 	// DefaultDuration is the time without a renewal after which others may take over.
 	DefaultDuration = 6 * time.Second
-	// renewParts is the number of renewals in one duration.
-	renewParts = 3
-	// pollParts is the number of reads of another holder's lease in one duration.
-	pollParts = 2
-	// marginParts is the part of the duration by which a holder gives up early, against clocks of different rates.
-	marginParts = 10
-	// retryParts is the part of the duration that passes before a failed call is tried again.
-	retryParts = 20
+	// renewalsPerDuration is the number of renewals within one duration.
+	renewalsPerDuration = 3
+	// pollsPerDuration is the number of reads of another holder's lease within one duration.
+	pollsPerDuration = 2
+	// marginDivisor is the divisor of the duration that gives the safety margin by which a holder stops early. It allows
+	// for clocks that run at different rates.
+	marginDivisor = 10
+	// retryDivisor is the divisor of the duration that gives the delay before a failed call is retried.
+	retryDivisor = 20
 )
 
-// Config names a lease and the process that wants it.
+// Config names a lease and the process that competes for it.
 type Config struct {
 	// Name is the name of the lease object.
 	Name string
-	// Holder identifies this run of the process; it must differ after a restart.
+	// Holder identifies this incarnation of the process; it must differ after a restart.
 	Holder string
 	// Duration is the time without a renewal after which others may take over; 0 means DefaultDuration.
 	Duration time.Duration
@@ -33,10 +34,10 @@
 	return c.Duration
 }
 
-func (c Config) validity() time.Duration { return c.duration() - c.duration()/marginParts }
+func (c Config) validity() time.Duration { return c.duration() - c.duration()/marginDivisor }
 
-func (c Config) renewEvery() time.Duration { return c.duration() / renewParts }
+func (c Config) renewInterval() time.Duration { return c.duration() / renewalsPerDuration }
 
-func (c Config) pollEvery() time.Duration { return c.duration() / pollParts }
+func (c Config) pollInterval() time.Duration { return c.duration() / pollsPerDuration }
 
-func (c Config) retryAfter() time.Duration { return c.duration() / retryParts }
+func (c Config) retryDelay() time.Duration { return c.duration() / retryDivisor }
--- a/pkg/lease/fenced.go
+++ b/pkg/lease/fenced.go
@@ -10,10 +10,11 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// ErrFenced means that a later term has claimed the object, or that the object API is in a later era than the caller's term, which is over.
+// ErrFenced means that a later term has claimed the object, or that the object API is in a later era than the caller's
+// term, which has therefore ended.
 var ErrFenced = errors.New("fenced by a later term")
 
-// Stamp is the grant that is kept inside a fenced object.
+// Stamp is implemented by the content of a fenced object, which stores the grant of its writer.
 type Stamp interface {
 	// Grant returns the grant under which the value was written.
 	Grant() Grant
@@ -21,9 +22,9 @@
 	SetGrant(Grant)
 }
 
-// Fenced is one object that a duty writes under a grant. Claim writes the grant's term into the object before
-// anything else is written; each write of a former holder was conditional on a version from before the claim, or
-// meets a higher term, and so has no effect. Fenced is not safe for concurrent use.
+// Fenced is an object that a duty writes under a grant. Claim writes the grant's term into the object before any other
+// write. Writes of a former holder have no effect from then on: they are conditional on a version from before the
+// claim, or find a higher term. Fenced is not safe for concurrent use.
 type Fenced[T any, P interface {
 	*T
 	Stamp
@@ -36,8 +37,8 @@
 	value  T
 }
 
-// Claim reads the object, checks its term and writes the grant's term into it. An absent object is created.
-// It returns ErrFenced when the object holds a later term.
+// Claim reads the object, checks its term and writes the grant's term into it, and creates the object when it does not
+// exist. It returns ErrFenced when the object holds a later term or is of a later era.
 func Claim[T any, P interface {
 	*T
 	Stamp
@@ -57,14 +58,15 @@
 	}
 }
 
-// Value returns the content that was read or written last.
+// Value returns the content as last read or written.
 func (f *Fenced[T, P]) Value() T { return f.value }
 
-// Version returns the object version that was read or written last.
+// Version returns the object version as last read or written.
 func (f *Fenced[T, P]) Version() uint64 { return f.object.Version }
 
-// Write replaces the content on condition that nobody else wrote since the last read or write. It returns
-// ErrConflict when somebody did, ErrFenced when that was a later term, and resolves a lost answer by reading back.
+// Write replaces the content if the object was not written by others since the last read or write. Otherwise it reads
+// the object again and returns ErrConflict, or ErrFenced when the writer was of a later term or the object API is in a
+// later era. A lost response is resolved by reading back.
 func (f *Fenced[T, P]) Write(ctx context.Context, v T) error {
 	P(&v).SetGrant(f.grant)
 	b, err := json.Marshal(v)
@@ -86,7 +88,7 @@
 	return err
 }
 
-// claimed reports whether the object already holds this grant, as after a restart of the duty in the same term.
+// claimed reports whether the object already holds this grant, as after a restart of the duty within a term.
 func (f *Fenced[T, P]) claimed() bool {
 	return f.object.Version > 0 && P(&f.value).Grant() == f.grant
 }
--- a/pkg/lease/loop.go
+++ b/pkg/lease/loop.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// loop is one call of Runner.Run.
+// loop is the state of one call of Runner.Run.
 type loop struct {
 	runner  *Runner
 	clock   Clock
@@ -16,8 +16,8 @@
 	group   *errgroup.Group
 	metrics metrics
 	active  *term
-	// last is closed when the duty that was begun last has ended; nil before the first.
-	last <-chan struct{}
+	// lastDone is closed when the most recently started duty has ended; nil before the first.
+	lastDone <-chan struct{}
 }
 
 func newLoop(r *Runner, d Duty) *loop {
@@ -35,34 +35,34 @@
 	var o Observation
 	for ctx.Err() == nil {
 		if l.idle() {
-			_ = l.clock.Sleep(ctx, l.runner.Config.pollEvery())
+			_ = l.clock.Sleep(ctx, l.runner.Config.pollInterval())
 			continue
 		}
 		a := l.state.Step(l.clock.Now(), o)
-		l.follow(ctx)
-		o = l.act(ctx, a)
+		l.updateDuty(ctx)
+		o = l.perform(ctx, a)
 	}
 }
 
-// idle reports whether this process is no candidate and has nothing to give back.
+// idle reports whether this process is not a candidate and has no lease or pending write to release.
 func (l *loop) idle() bool {
 	return !l.state.held && l.state.pending == nil && !l.runner.eligible()
 }
 
-func (l *loop) act(ctx context.Context, a Action) Observation {
+func (l *loop) perform(ctx context.Context, a Action) Observation {
 	if a.Kind == ActionWait {
 		_ = l.clock.Sleep(ctx, a.At.Sub(l.clock.Now()))
 		return Observation{}
 	}
 	call, cancel := context.WithTimeout(ctx, l.runner.callTimeout())
 	defer cancel()
-	return l.runner.observe(call, a)
+	return l.runner.execute(call, a)
 }
 
-// follow starts or ends the duty after a step.
-func (l *loop) follow(ctx context.Context) {
+// updateDuty starts, extends or ends the duty after a step.
+func (l *loop) updateDuty(ctx context.Context) {
 	number, held := l.state.Term(l.clock.Now())
-	if l.active != nil && (!held || l.active.grant.Term != number || l.active.over()) {
+	if l.active != nil && (!held || l.active.grant.Term != number || l.active.isCancelled()) {
 		l.end("expired")
 	}
 	if !held {
@@ -80,11 +80,11 @@
 	l.metrics.held.Update(1)
 	l.metrics.term.Update(float64(g.Term))
 	t := newTerm(ctx, l.clock, g, l.state.Until())
-	before := l.last
+	before := l.lastDone
 	l.active = t
-	l.last = t.done
+	l.lastDone = t.done
 	l.group.Go(func() error { return t.watch() })
-	l.group.Go(func() error { return t.work(l, before) })
+	l.group.Go(func() error { return t.run(l, before) })
 }
 
 func (l *loop) end(reason string) {
@@ -104,8 +104,8 @@
 	_ = l.group.Wait()
 }
 
-// giveBack releases the lease once the duty has ended, so that others need not wait for the duration.
-func (l *loop) giveBack(ctx context.Context) {
+// release releases the lease after the duty has ended, so that others need not wait for it to expire.
+func (l *loop) release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.runner.callTimeout())
 	defer cancel()
 	l.state.Release()
@@ -115,7 +115,7 @@
 		if l.state.Released() {
 			return
 		}
-		o = l.act(ctx, a)
+		o = l.perform(ctx, a)
 	}
 }
 
--- a/pkg/lease/metrics.go
+++ b/pkg/lease/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics count what happens to one lease in this process.
+// metrics are the metrics of one lease in this process.
 type metrics struct {
 	held   tally.Gauge
 	term   tally.Gauge
--- a/pkg/lease/observation.go
+++ b/pkg/lease/observation.go
@@ -1,6 +1,6 @@
 package lease
 
-// ObservationKind says what the caller of State.Step has learned since the last step.
+// ObservationKind is the kind of an Observation.
 type ObservationKind uint8
 
 // Kinds of observation.
@@ -15,7 +15,7 @@
 	ObservedWritten
 	// ObservedConflict means that the condition of the last write did not hold.
 	ObservedConflict
-	// ObservedUnavailable means that the last call had no effect.
+	// ObservedUnavailable means that the last call failed without effect.
 	ObservedUnavailable
 	// ObservedUnknown means that the last write may have taken effect, now or later.
 	ObservedUnknown
--- a/pkg/lease/overlap_test.go
+++ b/pkg/lease/overlap_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// simObject is the stored lease of a simulation.
+// simObject is the stored lease object of a simulation.
 type simObject struct {
 	version uint64
 	record  Record
@@ -31,7 +31,7 @@
 	return Observation{Kind: ObservedObject, Version: o.version, Record: o.record}
 }
 
-// simProcess is one process whose clock runs at a rate of its own and begins at a time of its own.
+// simProcess is a process whose clock has its own rate and offset.
 type simProcess struct {
 	state *State
 	rate  float64
@@ -44,24 +44,24 @@
 	return p.base.Add(time.Duration(float64(at) * p.rate))
 }
 
-// late is a write that takes effect some time after its answer was given up.
+// late is a write that takes effect some time after its caller observed ObservedUnknown.
 type late struct {
 	at     time.Duration
 	action Action
 }
 
-// sim runs processes against one lease object, in real time that no process can see.
-type sim struct {
+// simulation runs processes against one lease object, in a real time that is hidden from the processes.
+type simulation struct {
 	rng       *rand.Rand
 	object    simObject
 	late      []late
 	processes []*simProcess
 }
 
-func (s *sim) delay() time.Duration { return time.Duration(s.rng.IntN(900)) * time.Millisecond }
+func (s *simulation) delay() time.Duration { return time.Duration(s.rng.IntN(900)) * time.Millisecond }
 
-// step lets the process that is next act, and returns the time.
-func (s *sim) step() time.Duration {
+// step runs one step of the process whose turn is next, and returns the time of the step.
+func (s *simulation) step() time.Duration {
 	p := s.processes[0]
 	for _, q := range s.processes {
 		if q.next < p.next {
@@ -69,7 +69,7 @@
 		}
 	}
 	at := p.next
-	s.takeEffect(at)
+	s.applyLate(at)
 	a := p.state.Step(p.local(at), p.seen)
 	p.seen = Observation{}
 	if a.Kind == ActionWait {
@@ -81,7 +81,7 @@
 	return at
 }
 
-func (s *sim) takeEffect(now time.Duration) {
+func (s *simulation) applyLate(now time.Duration) {
 	var left []late
 	for _, l := range s.late {
 		if l.at > now {
@@ -93,7 +93,7 @@
 	s.late = left
 }
 
-func (s *sim) call(a Action, answered time.Duration) Observation {
+func (s *simulation) call(a Action, answered time.Duration) Observation {
 	luck := s.rng.IntN(10)
 	switch {
 	case luck == 0:
@@ -110,8 +110,8 @@
 	return s.object.apply(a)
 }
 
-// holders returns the processes that believe to hold the lease.
-func (s *sim) holders(now time.Duration) []string {
+// holders returns the processes whose state says that they hold the lease.
+func (s *simulation) holders(now time.Duration) []string {
 	var list []string
 	for i, p := range s.processes {
 		if term, held := p.state.Term(p.local(now)); held {
@@ -121,12 +121,12 @@
 	return list
 }
 
-// TestHoldersDoNotOverlap shows that, without pauses, no two processes hold the lease at once, though their clocks
-// differ by days and run at rates up to 4% apart, and answers are slow, lost or followed by late effects.
+// TestHoldersDoNotOverlap checks that, without pauses, no two processes hold the lease at once, with clocks that have
+// random offsets and rates up to 4% apart, and with responses that are slow, lost or followed by late effects.
 func TestHoldersDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		s := &sim{rng: rand.New(rand.NewPCG(seed, 1))}
+		s := &simulation{rng: rand.New(rand.NewPCG(seed, 1))}
 		for i := range 4 {
 			s.processes = append(s.processes, &simProcess{
 				state: NewState(Config{Name: "l", Holder: fmt.Sprintf("p%d", i), Duration: 6 * time.Second}),
@@ -145,7 +145,7 @@
 			held += len(list)
 		}
 		if held == 0 {
-			t.Fatal("nobody ever held the lease")
+			t.Fatal("no process ever held the lease")
 		}
 	})
 }
--- a/pkg/lease/put.go
+++ b/pkg/lease/put.go
@@ -11,27 +11,28 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// resendAfter is the pause before a write whose answer was lost is sent again.
-const resendAfter = 20 * time.Millisecond
+// resendDelay is the delay before a write whose response was lost is sent again.
+const resendDelay = 20 * time.Millisecond
 
-// Put writes o when its stored version still is o.Version, where 0 means absent. When an answer is lost it sends the
-// same write again: its condition lets it take effect once at most, and a conflict is settled by reading back.
+// Put writes o if its stored version is still o.Version, where 0 means absent. When a response is lost it sends the same
+// write again: its condition lets it take effect at most once, and a conflict is resolved by reading back. It returns
+// objectapi.ErrOutcomeUnknown when ctx ends first.
 func Put(ctx context.Context, s objectapi.Store, o objectapi.Object) (objectapi.Object, error) {
-	unsure := false
+	outcomeUnknown := false
 	for {
 		done, err := putOnce(ctx, s, o)
 		switch {
 		case err == nil:
 			return done, nil
 		case errors.Is(err, objectapi.ErrOutcomeUnknown):
-			unsure = true
-		case errors.Is(err, objectapi.ErrConflict) && unsure:
+			outcomeUnknown = true
+		case errors.Is(err, objectapi.ErrConflict) && outcomeUnknown:
 			return readBack(ctx, s, o)
-		case unsure && errors.Is(err, objectapi.ErrUnavailable):
+		case outcomeUnknown && errors.Is(err, objectapi.ErrUnavailable):
 		default:
 			return o, trace.Wrap(err, "write %s/%s", o.Kind, o.Name)
 		}
-		if (SystemClock{}).Sleep(ctx, resendAfter) != nil {
+		if (SystemClock{}).Sleep(ctx, resendDelay) != nil {
 			return o, trace.Wrap(objectapi.ErrOutcomeUnknown, "write %s/%s", o.Kind, o.Name)
 		}
 	}
--- a/pkg/lease/record.go
+++ b/pkg/lease/record.go
@@ -15,12 +15,12 @@
 type Record struct {
 	// Holder identifies the process that holds the lease; empty after a release.
 	Holder string `json:"holder"`
-	// Term rises with every acquisition, like a version: terms of a later era of the object API are higher, also when earlier ones were lost with
-	// the lease.
+	// Term rises with every acquisition. Like a version it includes the era of the object API, so that the terms of a
+	// later era are higher even when the lease with the earlier terms was lost.
 	Term uint64 `json:"term"`
 	// Duration is the time without a renewal after which others may take over.
 	Duration resource.Duration `json:"duration"`
-	// Token differs for every write, so that a writer recognises its own write when the answer was lost.
+	// Token is unique to each write, so that a writer recognises its own write after a lost response.
 	Token string `json:"token"`
 }
 
--- a/pkg/lease/restored_test.go
+++ b/pkg/lease/restored_test.go
@@ -8,12 +8,12 @@
 	"github.com/auburnwood/auburnwood/internal/standin/store"
 )
 
-func TestALeaseEndsWithTheEraOfItsTerm(t *testing.T) {
+func TestLeaseEndsWithEraOfItsTerm(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// read is what the holder reads after its renewal failed in the next era.
+		// read is the result of the holder's read after its renewal failed in the next era.
 		read func(sent Record) Observation
-		// term is the one that it takes next; 0 when it has to wait.
+		// term is the term that it acquires next; 0 when it has to wait.
 		term uint64
 	}{
 		{"the renewal replaced another object", func(r Record) Observation {
@@ -35,7 +35,7 @@
 			s.Step(at(0), Observation{})
 			s.Step(at(0), Observation{Kind: ObservedAbsent})
 			a := s.Step(at(0), Observation{Kind: ObservedWritten, Version: store.Version(1, 1)})
-			require.Equal(t, store.Version(1, 1), a.Record.Term, "the era is known by the first write")
+			require.Equal(t, store.Version(1, 1), a.Record.Term, "the era is known from the first write")
 			s.Step(at(0), Observation{Kind: ObservedWritten, Version: store.Version(1, 2)})
 			_, held := s.Term(at(0))
 			require.True(t, held)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestAClaimOfAnEarlierEraIsFenced(t *testing.T) {
+func TestClaimOfEarlierEraIsFenced(t *testing.T) {
 	s := store.New(store.Config{Era: 1})
 	former := Grant{Holder: "a", Term: store.Version(1, 7)}
 	f, err := Claim[stampedText](t.Context(), s, "thing", "x", former)
@@ -71,7 +71,7 @@
 	require.ErrorIs(t, f.Write(t.Context(), stampedText{Text: "late"}), ErrFenced)
 }
 
-// stampedText is a fenced object.
+// stampedText is the content of a fenced object.
 type stampedText struct {
 	Text   string
 	Holder string
--- a/pkg/lease/runner.go
+++ b/pkg/lease/runner.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Duty is work that runs while its process holds a lease. Its context ends when the validity of the lease ends.
-// Every write of a duty goes through Fenced with the grant.
+// Duty is work that runs while its process holds a lease. Its context ends with the validity of the lease. A duty must
+// write its objects through Fenced with the grant, or check terms in an equivalent way.
 type Duty func(ctx context.Context, g Grant) error
 
-// Grant is the right to a duty for one term.
+// Grant is the right to run a duty for one term.
 type Grant struct {
 	// Holder is the process that holds the lease.
 	Holder string
@@ -27,7 +27,8 @@
 // Era returns the era of the object API to which the grant belongs.
 func (g Grant) Era() uint64 { return objectapi.EraOf(g.Term) }
 
-// CheckEra returns ErrFenced when a version is of a later era than the grant: the lease may be lost, and another process may hold it.
+// CheckEra returns ErrFenced when a version is of a later era than the grant: the lease may have been lost with the
+// earlier era, and another process may hold it.
 func (g Grant) CheckEra(version uint64) error {
 	if era := objectapi.EraOf(version); era > g.Era() {
 		return trace.Wrap(ErrFenced, "the object API is in era %d, the term in %d", era, g.Era())
@@ -35,33 +36,35 @@
 	return nil
 }
 
-// Runner carries out the actions of a State against a store and runs the duty while the lease is held.
+// Runner executes the actions of a State against a store and runs the duty while the lease is held.
 type Runner struct {
-	// Store keeps the lease object.
+	// Store holds the lease object.
 	Store objectapi.Store
 	// Config names the lease and the process.
 	Config Config
 	// Clock is the local clock; nil means SystemClock.
 	Clock Clock
-	// Log takes a line for each change of holder.
+	// Log records changes of the holder and failures of the duty.
 	Log zerolog.Logger
-	// Metrics takes the counters; nil means none.
+	// Metrics receives the metrics; nil means none.
 	Metrics tally.Scope
-	// Eligible reports whether this process is a candidate; nil means always. Few candidates keep the store's reads few.
+	// Eligible reports whether this process is a candidate; nil means always. Each candidate polls the store, so fewer
+	// candidates cause fewer reads.
 	Eligible func() bool
 }
 
-// Run competes for the lease and runs the duty in each term, until ctx ends. It then gives the lease back.
+// Run competes for the lease and runs the duty in each term, until ctx ends. It then waits for the duty, releases the
+// lease and returns the error of ctx.
 func (r *Runner) Run(ctx context.Context, duty Duty) error {
 	l := newLoop(r, duty)
 	l.run(ctx)
 	l.stop()
-	l.giveBack(context.WithoutCancel(ctx))
+	l.release(context.WithoutCancel(ctx))
 	return ctx.Err()
 }
 
-// observe carries out one action and returns its outcome.
-func (r *Runner) observe(ctx context.Context, a Action) Observation {
+// execute performs one action and returns its outcome.
+func (r *Runner) execute(ctx context.Context, a Action) Observation {
 	switch a.Kind {
 	case ActionRead:
 		o, err := r.Store.Get(ctx, Kind, r.Config.Name)
@@ -108,7 +111,7 @@
 	}
 	rec, err := decodeRecord(o.Value)
 	if err != nil {
-		// A lease that cannot be read is taken over like one whose holder is silent.
+		// A lease that cannot be decoded can be taken over like one that is not renewed.
 		r.Log.Warn().Err(err).Str("op", "lease").Str("lease", r.Config.Name).Str("reason", "malformed").Send()
 		rec = Record{Holder: "unknown"}
 	}
@@ -124,5 +127,5 @@
 
 func (r *Runner) eligible() bool { return r.Eligible == nil || r.Eligible() }
 
-// callTimeout bounds one call, so that a slow store does not hold back the end of the validity.
-func (r *Runner) callTimeout() time.Duration { return r.Config.renewEvery() }
+// callTimeout bounds one call, so that one that blocks leaves time for another renewal within the validity.
+func (r *Runner) callTimeout() time.Duration { return r.Config.renewInterval() }
--- a/pkg/lease/runner_test.go
+++ b/pkg/lease/runner_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// startRunner runs a duty that reports its grants.
+// startRunner runs a duty that sends its grants on the returned channel.
 func startRunner(ctx context.Context, s *store.Store, holder string) <-chan lease.Grant {
 	grants := make(chan lease.Grant, 16)
 	go func() {
@@ -49,7 +49,7 @@
 		stopA()
 		begin := time.Now()
 		require.Equal(t, lease.Grant{Holder: "b", Term: 2}, <-b)
-		require.LessOrEqual(t, time.Since(begin), 3*time.Second, "a release is taken at the next poll")
+		require.LessOrEqual(t, time.Since(begin), 3*time.Second, "a released lease is acquired at the next poll")
 		stopB()
 		synctest.Wait()
 	})
@@ -64,7 +64,7 @@
 		time.Sleep(2 * time.Minute)
 		require.Len(t, a, 1, "one term only")
 		stop()
-		// The release needs several calls while answers are lost.
+		// The release takes several calls while responses are lost.
 		time.Sleep(time.Minute)
 	})
 }
@@ -92,7 +92,7 @@
 	})
 }
 
-// lateRenewalStore answers the third write only after the validity has ended.
+// lateRenewalStore returns from the third update only after the validity has ended.
 type lateRenewalStore struct {
 	*store.Store
 	writes int
@@ -107,8 +107,8 @@
 	return done, err
 }
 
-// The duty that was told to end must begin again when the renewal turns out to have succeeded.
-func TestDutyBeginsAgainAfterALateRenewal(t *testing.T) {
+// A duty that was cancelled at the end of the validity must start again when the renewal turns out to have succeeded.
+func TestDutyRestartsAfterLateRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &lateRenewalStore{Store: store.New(store.Config{})}
 		r := newRunner(s.Store, "a")
--- a/pkg/lease/state.go
+++ b/pkg/lease/state.go
@@ -9,7 +9,7 @@
 )
 
 // State decides, without I/O, when to read, acquire, renew or release a lease.
-// The caller passes the time just before it carries out the returned action. State is not safe for concurrent use.
+// The caller must pass the time just before it executes the returned action. State is not safe for concurrent use.
 type State struct {
 	cfg Config
 
@@ -18,9 +18,9 @@
 	record  Record
 	// since is when this process first saw version.
 	since time.Time
-	// readAt is when the object is read again.
+	// readAt is when the object is to be read again.
 	readAt time.Time
-	// retryAt holds calls back after a failure.
+	// retryAt is the earliest time of the next call after a failure.
 	retryAt time.Time
 
 	term      uint64
@@ -33,19 +33,19 @@
 	pending *pendingWrite
 }
 
-// pendingWrite is a write whose effect is not known yet.
+// pendingWrite is a write whose outcome is not known yet.
 type pendingWrite struct {
 	base   uint64
 	record Record
-	// sent is when the write was sent first; an observer cannot have seen it earlier.
+	// sent is when the write was first sent; others cannot have seen it earlier.
 	sent time.Time
-	// unsure is set once an answer was lost: the write may take effect at any later time.
-	unsure bool
-	// verify asks for a read before anything else.
+	// outcomeUnknown is set once a response was lost: the write may still take effect at any later time.
+	outcomeUnknown bool
+	// verify requests a read before any other action.
 	verify bool
 }
 
-// NewState returns the state of a process that knows nothing of the lease yet.
+// NewState returns the state of a process that has not read the lease yet.
 func NewState(cfg Config) *State { return &State{cfg: cfg} }
 
 // Term returns the term under which this process holds the lease at time now, and false when it holds none.
@@ -53,19 +53,19 @@
 	return s.term, s.held && now.Before(s.until)
 }
 
-// Until returns the end of the validity that is known so far.
+// Until returns the end of the validity as of the last confirmed write.
 func (s *State) Until() time.Time { return s.until }
 
-// Holder returns the holder that was seen last, for logs and status.
+// Holder returns the last seen holder, for logs and status.
 func (s *State) Holder() string { return s.record.Holder }
 
-// Release makes the next steps give the lease back. Acquisition stops.
+// Release makes the next steps release the lease and stops acquisition.
 func (s *State) Release() { s.releasing = true }
 
-// Released reports whether nothing is left to give back.
+// Released reports whether the release is complete: no lease is held and no write is pending.
 func (s *State) Released() bool { return s.releasing && !s.held && s.pending == nil }
 
-// Step takes in what was observed and returns what to do next.
+// Step applies an observation and returns the next action.
 func (s *State) Step(now time.Time, o Observation) Action {
 	s.observe(now, o)
 	if s.held && !now.Before(s.until) {
@@ -77,27 +77,27 @@
 func (s *State) observe(now time.Time, o Observation) {
 	switch o.Kind {
 	case ObservedObject:
-		s.see(now, o.Version, o.Record)
-		s.resolve(now)
+		s.recordSeen(now, o.Version, o.Record)
+		s.resolvePending(now)
 	case ObservedAbsent:
-		s.see(now, 0, Record{})
-		s.resolve(now)
+		s.recordSeen(now, 0, Record{})
+		s.resolvePending(now)
 	case ObservedWritten:
-		s.see(now, o.Version, s.pending.record)
-		s.confirm()
+		s.recordSeen(now, o.Version, s.pending.record)
+		s.confirmPending()
 	case ObservedConflict:
 		s.pending.verify = true
 	case ObservedUnavailable:
-		s.unavailable(now)
+		s.recordFailure(now)
 	case ObservedUnknown:
-		s.pending.unsure = true
+		s.pending.outcomeUnknown = true
 		s.pending.verify = true
-		s.retryAt = now.Add(s.cfg.retryAfter())
+		s.retryAt = now.Add(s.cfg.retryDelay())
 	}
 }
 
-func (s *State) see(now time.Time, version uint64, r Record) {
-	s.readAt = now.Add(s.cfg.pollEvery())
+func (s *State) recordSeen(now time.Time, version uint64, r Record) {
+	s.readAt = now.Add(s.cfg.pollInterval())
 	if s.known && version == s.version {
 		return
 	}
@@ -107,40 +107,41 @@
 	s.since = now
 }
 
-// resolve settles a pending write by the token that was read back.
-func (s *State) resolve(now time.Time) {
+// resolvePending determines the outcome of a pending write from the token that was read back.
+func (s *State) resolvePending(now time.Time) {
 	p := s.pending
 	if p == nil {
 		return
 	}
 	p.verify = false
 	if s.record.Token == p.record.Token {
-		s.confirm()
+		s.confirmPending()
 		return
 	}
-	if s.version == p.base && p.unsure {
-		// Sending the same write again is safe: its condition lets it take effect once at most.
+	if s.version == p.base && p.outcomeUnknown {
+		// Sending the same write again is safe: its condition lets it take effect at most once.
 		return
 	}
 	s.pending = nil
 	s.held = false
-	s.readAt = now.Add(s.cfg.pollEvery())
+	s.readAt = now.Add(s.cfg.pollInterval())
 }
 
-// confirm takes a write that has taken effect. A lease that was written in a later era than that of its term is not held: another process may
-// have taken it in the era before, or may have had the term that follows. It is taken again, with a term of the later era.
-func (s *State) confirm() {
+// confirmPending applies a pending write that has taken effect. A lease that was written in a later era than that of its
+// term is not held: another process may have acquired it in the earlier era, or have had the following term. It is
+// acquired again, with a term of the later era.
+func (s *State) confirmPending() {
 	p := s.pending
 	s.pending = nil
 	s.term = p.record.Term
 	s.held = p.record.Holder == s.cfg.Holder && objectapi.EraOf(s.version) == objectapi.EraOf(s.term)
 	s.until = p.sent.Add(s.cfg.validity())
-	s.renewAt = p.sent.Add(s.cfg.renewEvery())
+	s.renewAt = p.sent.Add(s.cfg.renewInterval())
 }
 
-func (s *State) unavailable(now time.Time) {
-	s.retryAt = now.Add(s.cfg.retryAfter())
-	if s.pending != nil && !s.pending.unsure {
+func (s *State) recordFailure(now time.Time) {
+	s.retryAt = now.Add(s.cfg.retryDelay())
+	if s.pending != nil && !s.pending.outcomeUnknown {
 		s.pending = nil
 	}
 }
@@ -150,7 +151,7 @@
 		return Action{Kind: ActionWait, At: s.retryAt}
 	}
 	if s.pending != nil {
-		return s.settle()
+		return s.continuePending()
 	}
 	if s.releasing {
 		return s.release(now)
@@ -161,7 +162,7 @@
 	return s.acquire(now)
 }
 
-func (s *State) settle() Action {
+func (s *State) continuePending() Action {
 	if s.pending.verify {
 		return Action{Kind: ActionRead}
 	}
@@ -170,7 +171,7 @@
 
 func (s *State) release(now time.Time) Action {
 	if !s.held {
-		return Action{Kind: ActionWait, At: now.Add(s.cfg.pollEvery())}
+		return Action{Kind: ActionWait, At: now.Add(s.cfg.pollInterval())}
 	}
 	return s.write(now, Record{Term: s.term})
 }
@@ -194,7 +195,7 @@
 	return s.write(now, Record{Holder: s.cfg.Holder, Term: last + 1})
 }
 
-// freeAt returns when this process may take the lease, by what it has seen.
+// freeAt returns when this process may acquire the lease, given the last seen record.
 func (s *State) freeAt() time.Time {
 	if s.version == 0 || s.record.Holder == "" || s.record.Holder == s.cfg.Holder {
 		return s.since
--- a/pkg/lease/state_test.go
+++ b/pkg/lease/state_test.go
@@ -51,9 +51,9 @@
 func TestWritesWithoutAnAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// read is what the holder reads after a renewal whose answer was lost.
+		// read is the result of the holder's read after a renewal whose response was lost.
 		read func(sent Record) Observation
-		// next is what it does then.
+		// next is the kind of the action that follows.
 		next ActionKind
 		held bool
 	}{
@@ -94,5 +94,5 @@
 	_, held := s.Term(at(12.9))
 	require.True(t, held)
 	_, held = s.Term(at(13))
-	require.False(t, held, "sent at 4, and a tenth of the duration is given up")
+	require.False(t, held, "sent at 4, and the margin is a tenth of the duration")
 }
--- a/pkg/lease/term.go
+++ b/pkg/lease/term.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// term is a duty that runs under a grant. Its context ends with the validity, even while a store call hangs.
+// term is a duty that runs under a grant. Its context ends with the validity, even while a store call blocks.
 type term struct {
 	grant  Grant
 	clock  Clock
@@ -31,7 +31,7 @@
 	t.until = until
 }
 
-func (t *term) left() time.Duration {
+func (t *term) remaining() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.until.Sub(t.clock.Now())
@@ -41,7 +41,7 @@
 func (t *term) watch() error {
 	defer t.cancel()
 	for t.ctx.Err() == nil {
-		d := t.left()
+		d := t.remaining()
 		if d <= 0 {
 			return nil
 		}
@@ -50,24 +50,24 @@
 	return nil
 }
 
-// over reports whether the duty was told to end: a renewal may succeed just after the validity has ended.
-func (t *term) over() bool { return t.ctx.Err() != nil }
+// isCancelled reports whether the duty has been cancelled: a renewal may succeed just after the validity has ended.
+func (t *term) isCancelled() bool { return t.ctx.Err() != nil }
 
-// work waits until the duty begun before has ended, and then runs the duty, and again after a failure, until the term
-// ends.
-func (t *term) work(l *loop, before <-chan struct{}) error {
+// run waits until the previous duty has ended and then runs the duty until the term ends, again whenever it returns
+// before that.
+func (t *term) run(l *loop, before <-chan struct{}) error {
 	defer close(t.done)
 	if before != nil {
 		<-before
 	}
 	for t.ctx.Err() == nil {
-		t.once(l)
-		_ = t.clock.Sleep(t.ctx, l.runner.Config.retryAfter())
+		t.runDuty(l)
+		_ = t.clock.Sleep(t.ctx, l.runner.Config.retryDelay())
 	}
 	return nil
 }
 
-func (t *term) once(l *loop) {
+func (t *term) runDuty(l *loop) {
 	err := l.duty(t.ctx, t.grant)
 	if errors.Is(err, ErrFenced) {
 		t.cancel()
