--- a/pkg/objectapi/budget.go
+++ b/pkg/objectapi/budget.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	errBudget = errors.New("call budget of this process is spent")
-	errClosed = errors.New("context ended before the call")
+	errBudgetExhausted = errors.New("call budget of this process is spent")
+	errContextDone     = errors.New("context ended before the call")
 )
 
 // BudgetConfig holds the settings of a Budgeted store; zero values mean the defaults.
@@ -126,7 +126,7 @@
 
 // Create implements Store.
 func (b *Budgeted) Create(ctx context.Context, kind Kind, name string, value []byte) (o Object, err error) {
-	err = b.once(ctx, OpCreate, kind, name, func() error {
+	err = b.callOnce(ctx, OpCreate, kind, name, func() error {
 		o, err = b.store.Create(ctx, kind, name, value)
 		return err
 	})
@@ -135,7 +135,7 @@
 
 // Update implements Store.
 func (b *Budgeted) Update(ctx context.Context, in Object) (o Object, err error) {
-	err = b.once(ctx, OpUpdate, in.Kind, in.Name, func() error {
+	err = b.callOnce(ctx, OpUpdate, in.Kind, in.Name, func() error {
 		o, err = b.store.Update(ctx, in)
 		return err
 	})
@@ -144,14 +144,14 @@
 
 // Delete implements Store.
 func (b *Budgeted) Delete(ctx context.Context, kind Kind, name string, version uint64) error {
-	return b.once(ctx, OpDelete, kind, name, func() error { return b.store.Delete(ctx, kind, name, version) })
+	return b.callOnce(ctx, OpDelete, kind, name, func() error { return b.store.Delete(ctx, kind, name, version) })
 }
 
 // Watch implements Store.
 func (b *Budgeted) Watch(ctx context.Context, kind Kind, from uint64) (events []Event, next uint64, err error) {
-	err = b.once(ctx, OpWatch, kind, "", func() error {
-		b.counts.watching(1)
-		defer b.counts.watching(-1)
+	err = b.callOnce(ctx, OpWatch, kind, "", func() error {
+		b.counts.addOpenWatches(1)
+		defer b.counts.addOpenWatches(-1)
 		events, next, err = b.store.Watch(ctx, kind, from)
 		return err
 	})
@@ -162,8 +162,8 @@
 func (b *Budgeted) read(ctx context.Context, op Op, kind Kind, name string, f func() error) error {
 	backoff := b.cfg.Backoff
 	for n := 0; ; n++ {
-		err := b.once(ctx, op, kind, name, f)
-		if !b.mayRetry(err, n) {
+		err := b.callOnce(ctx, op, kind, name, f)
+		if !b.takeRetry(err, n) {
 			return err
 		}
 		if wait.For(ctx, backoff.Next()) != nil {
@@ -172,22 +172,22 @@
 	}
 }
 
-// once waits for the call's turn, makes it and counts it.
-func (b *Budgeted) once(ctx context.Context, op Op, kind Kind, name string, f func() error) error {
-	if err := b.turn(ctx); err != nil {
-		b.counts.refused(op)
+// callOnce waits for the call's turn, makes it and counts it.
+func (b *Budgeted) callOnce(ctx context.Context, op Op, kind Kind, name string, f func() error) error {
+	if err := b.acquire(ctx); err != nil {
+		b.counts.countRefused(op)
 		return NewCallError(op, kind, name, "budget", ErrUnavailable, err)
 	}
-	b.earn()
+	b.earnRetry()
 	err := f()
-	b.counts.called(op, err)
+	b.counts.countCall(op, err)
 	return err
 }
 
-// turn waits for a token of the call budget.
-func (b *Budgeted) turn(ctx context.Context) error {
+// acquire waits for a token of the call budget.
+func (b *Budgeted) acquire(ctx context.Context) error {
 	if ctx.Err() != nil {
-		return errors.Join(errClosed, ctx.Err())
+		return errors.Join(errContextDone, ctx.Err())
 	}
 	r := b.limiter.Reserve()
 	d := r.Delay()
@@ -197,26 +197,26 @@
 	deadline, ok := ctx.Deadline()
 	if d > b.cfg.MaxWait || ok && time.Until(deadline) < d {
 		r.Cancel()
-		return errBudget
+		return errBudgetExhausted
 	}
-	b.counts.waited()
+	b.counts.countWait()
 	if err := wait.For(ctx, d); err != nil {
 		r.Cancel()
-		return errors.Join(errClosed, err)
+		return errors.Join(errContextDone, err)
 	}
 	return nil
 }
 
-// earn adds a call's part of a retry.
-func (b *Budgeted) earn() {
+// earnRetry adds a call's part of a retry.
+func (b *Budgeted) earnRetry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries = min(b.cfg.RetryBurst, b.retries+b.cfg.RetryShare)
 }
 
-// mayRetry says whether a failed read is tried again, and takes the retry from the budget.
-func (b *Budgeted) mayRetry(err error, n int) bool {
-	if err == nil || !errors.Is(err, ErrUnavailable) || errors.Is(err, errBudget) || errors.Is(err, errClosed) {
+// takeRetry says whether a failed read is tried again, and takes the retry from the budget.
+func (b *Budgeted) takeRetry(err error, n int) bool {
+	if err == nil || !errors.Is(err, ErrUnavailable) || errors.Is(err, errBudgetExhausted) || errors.Is(err, errContextDone) {
 		return false
 	}
 	if n >= b.cfg.MaxRetries {
@@ -225,10 +225,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.retries < 1 {
-		b.counts.retry(false)
+		b.counts.countRetry(false)
 		return false
 	}
 	b.retries--
-	b.counts.retry(true)
+	b.counts.countRetry(true)
 	return true
 }
--- a/pkg/objectapi/call_stats.go
+++ b/pkg/objectapi/call_stats.go
@@ -93,7 +93,7 @@
 	return out
 }
 
-func (c *callCounts) called(op Op, err error) {
+func (c *callCounts) countCall(op Op, err error) {
 	outcome := OutcomeOf(err)
 	c.mu.Lock()
 	c.stats.Calls[op]++
@@ -102,21 +102,21 @@
 	c.scope.Tagged(map[string]string{"op": string(op), "outcome": string(outcome)}).Counter("calls").Inc(1)
 }
 
-func (c *callCounts) refused(op Op) {
+func (c *callCounts) countRefused(op Op) {
 	c.mu.Lock()
 	c.stats.Refused[op]++
 	c.mu.Unlock()
 	c.scope.Tagged(map[string]string{"op": string(op)}).Counter("refused").Inc(1)
 }
 
-func (c *callCounts) waited() {
+func (c *callCounts) countWait() {
 	c.mu.Lock()
 	c.stats.Waited++
 	c.mu.Unlock()
 	c.scope.Counter("waited").Inc(1)
 }
 
-func (c *callCounts) retry(allowed bool) {
+func (c *callCounts) countRetry(allowed bool) {
 	name := "retries"
 	c.mu.Lock()
 	if allowed {
@@ -129,7 +129,7 @@
 	c.scope.Counter(name).Inc(1)
 }
 
-func (c *callCounts) watching(n int) {
+func (c *callCounts) addOpenWatches(n int) {
 	c.mu.Lock()
 	c.stats.OpenWatches += n
 	open := c.stats.OpenWatches
--- a/pkg/objectapi/client.go
+++ b/pkg/objectapi/client.go
@@ -90,8 +90,8 @@
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, kind Kind) ([]Object, uint64, error) {
-	var a listAnswer
-	k := call{op: OpList, method: http.MethodGet, kind: kind, answer: &a}
+	var a listResponse
+	k := call{op: OpList, method: http.MethodGet, kind: kind, response: &a}
 	era, err := c.call(ctx, k)
 	if err != nil {
 		return nil, 0, err
@@ -130,9 +130,9 @@
 
 // Watch implements Store.
 func (c *Client) Watch(ctx context.Context, kind Kind, from uint64) ([]Event, uint64, error) {
-	var a watchAnswer
+	var a watchResponse
 	query := url.Values{paramWatch: {strconv.FormatUint(RevisionOf(from), 10)}}
-	k := call{op: OpWatch, method: http.MethodGet, kind: kind, query: query, answer: &a, version: from}
+	k := call{op: OpWatch, method: http.MethodGet, kind: kind, query: query, response: &a, version: from}
 	era, err := c.call(ctx, k)
 	if err != nil {
 		return nil, 0, err
@@ -165,7 +165,7 @@
 // object makes a call that is answered with one object.
 func (c *Client) object(ctx context.Context, k call) (Object, error) {
 	var o Object
-	k.answer = &o
+	k.response = &o
 	era, err := c.call(ctx, k)
 	if err != nil {
 		return Object{}, err
@@ -178,13 +178,13 @@
 
 // call is one request of the protocol.
 type call struct {
-	op     Op
-	method string
-	kind   Kind
-	name   string
-	query  url.Values
-	body   []byte
-	answer any
+	op       Op
+	method   string
+	kind     Kind
+	name     string
+	query    url.Values
+	body     []byte
+	response any
 	// version is the condition of a write or the position of a watch; it holds in its own era only.
 	version uint64
 }
@@ -214,29 +214,29 @@
 		return 0, err
 	}
 	defer resp.Body.Close() //nolint:errcheck // The body was read or is given up.
-	return era, c.read(k, resp)
+	return era, c.decodeResponse(k, resp)
 }
 
-// read takes the answer apart.
-func (c *Client) read(k call, resp *http.Response) error {
+// decodeResponse takes the answer apart.
+func (c *Client) decodeResponse(k call, resp *http.Response) error {
 	if resp.StatusCode/100 != 2 {
 		return c.fail(k, ErrorOfStatus(k.op, resp.StatusCode), detailOf(resp))
 	}
-	if k.answer == nil {
+	if k.response == nil {
 		return nil
 	}
 	limit := int64(maxBodySize)
 	if k.op == OpList || k.op == OpWatch {
 		limit = maxListSize
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(k.answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(k.response); err != nil {
 		return c.fail(k, ErrorWithoutResponse(k.op, true), err)
 	}
 	return nil
 }
 
-func (c *Client) fail(k call, kind, cause error) error {
-	return c.request(k).NewCallError(kind, cause)
+func (c *Client) fail(k call, err, cause error) error {
+	return c.request(k).NewCallError(err, cause)
 }
 
 func (c *Client) timeout(op Op) time.Duration {
--- a/pkg/objectapi/eras.go
+++ b/pkg/objectapi/eras.go
@@ -71,9 +71,9 @@
 	return era, nil
 }
 
-// checkSent returns the error of a call that must not be sent, since its condition or position is a version of an earlier era: ErrExpired for
+// checkRequest returns the error of a call that must not be sent, since its condition or position is a version of an earlier era: ErrExpired for
 // a watch, ErrConflict for a write. Their revisions may stand for other changes by now. Other calls have no version.
-func (e *Eras) checkSent(op Op, version uint64) error {
+func (e *Eras) checkRequest(op Op, version uint64) error {
 	if !op.hasVersion() || EraOf(version) >= e.Newest() {
 		return nil
 	}
@@ -83,9 +83,9 @@
 	return errors.Join(ErrExpired, errRestored)
 }
 
-// checkAnswered returns the error of a call that was answered in another era than that of its version. A write may have replaced an object that
+// checkResponse returns the error of a call that was answered in another era than that of its version. A write may have replaced an object that
 // the caller has never seen.
-func checkAnswered(op Op, version, era uint64) error {
+func checkResponse(op Op, version, era uint64) error {
 	if !op.hasVersion() || EraOf(version) == era {
 		return nil
 	}
--- a/pkg/objectapi/eras_test.go
+++ b/pkg/objectapi/eras_test.go
@@ -12,7 +12,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-func TestVersionsOfALaterEraAreHigher(t *testing.T) {
+func TestVersionsOfLaterEraAreHigher(t *testing.T) {
 	last, err := objectapi.MakeVersion(3, 1<<40-1)
 	require.NoError(t, err)
 	first, err := objectapi.MakeVersion(4, 0)
@@ -80,7 +80,7 @@
 	return o
 }
 
-func TestAWatchFromAnEarlierEraHasExpired(t *testing.T) {
+func TestWatchFromEarlierEraHasExpired(t *testing.T) {
 	a := newRestoredAPI(t)
 	a.create(t, "one")
 	older := a.Copy()
@@ -100,7 +100,7 @@
 	require.Greater(t, version, o.Version)
 }
 
-func TestAConditionOnAnEarlierEraDoesNotHold(t *testing.T) {
+func TestConditionOnEarlierEraDoesNotHold(t *testing.T) {
 	a := newRestoredAPI(t)
 	older := a.Copy()
 	o := a.create(t, "one")
@@ -114,7 +114,7 @@
 	require.ErrorIs(t, a.client.Delete(t.Context(), "thing", "one", o.Version), objectapi.ErrConflict)
 }
 
-func TestAnInformerHandsOverWhatALaterEraHolds(t *testing.T) {
+func TestInformerDeliversObjectsOfLaterEra(t *testing.T) {
 	a := newRestoredAPI(t)
 	a.create(t, "one")
 	older := a.Copy()
--- a/pkg/objectapi/handler.go
+++ b/pkg/objectapi/handler.go
@@ -34,84 +34,84 @@
 func (h *handler) list(w http.ResponseWriter, r *http.Request) {
 	kind := Kind(r.PathValue("kind"))
 	if err := CheckKind(kind); err != nil {
-		h.answerError(w, errors.Join(ErrInvalid, err))
+		h.respondError(w, errors.Join(ErrInvalid, err))
 		return
 	}
 	items, version, err := h.store.List(r.Context(), kind)
 	for i := range items {
 		items[i].Version = RevisionOf(items[i].Version)
 	}
-	h.answer(w, listAnswer{Items: items, Version: RevisionOf(version)}, err)
+	h.respond(w, listResponse{Items: items, Version: RevisionOf(version)}, err)
 }
 
 func (h *handler) watch(w http.ResponseWriter, r *http.Request) {
 	kind := Kind(r.PathValue("kind"))
 	if err := CheckKind(kind); err != nil {
-		h.answerError(w, errors.Join(ErrInvalid, err))
+		h.respondError(w, errors.Join(ErrInvalid, err))
 		return
 	}
 	from, err := ParseCurrentVersion(h.store, r.URL.Query().Get(paramWatch))
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	events, version, err := h.store.Watch(r.Context(), kind, from)
 	for i := range events {
 		events[i].Object.Version = RevisionOf(events[i].Object.Version)
 	}
-	h.answer(w, watchAnswer{Events: events, Version: RevisionOf(version)}, err)
+	h.respond(w, watchResponse{Events: events, Version: RevisionOf(version)}, err)
 }
 
 func (h *handler) get(w http.ResponseWriter, r *http.Request) {
-	kind, name, err := key(r)
+	kind, name, err := requestKey(r)
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	o, err := h.store.Get(r.Context(), kind, name)
-	h.answerObject(w, o, err)
+	h.respondObject(w, o, err)
 }
 
 func (h *handler) create(w http.ResponseWriter, r *http.Request) {
-	o, err := body(w, r)
+	o, err := decodeObject(w, r)
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	o, err = h.store.Create(r.Context(), o.Kind, o.Name, o.Value)
-	h.answerObject(w, o, err)
+	h.respondObject(w, o, err)
 }
 
 func (h *handler) update(w http.ResponseWriter, r *http.Request) {
-	o, err := body(w, r)
+	o, err := decodeObject(w, r)
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	if o.Version, err = CurrentVersion(h.store, o.Version); err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	o, err = h.store.Update(r.Context(), o)
-	h.answerObject(w, o, err)
+	h.respondObject(w, o, err)
 }
 
 func (h *handler) delete(w http.ResponseWriter, r *http.Request) {
-	kind, name, err := key(r)
+	kind, name, err := requestKey(r)
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	version, err := ParseCurrentVersion(h.store, r.URL.Query().Get(paramVersion))
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
-	h.answer(w, struct{}{}, h.store.Delete(r.Context(), kind, name, version))
+	h.respond(w, struct{}{}, h.store.Delete(r.Context(), kind, name, version))
 }
 
-// key reads and checks the object's kind and name from the path.
-func key(r *http.Request) (Kind, string, error) {
+// requestKey reads and checks the object's kind and name from the path.
+func requestKey(r *http.Request) (Kind, string, error) {
 	kind, name := Kind(r.PathValue("kind")), r.PathValue("name")
 	if err := CheckKey(kind, name); err != nil {
 		return "", "", errors.Join(ErrInvalid, err)
@@ -119,9 +119,9 @@
 	return kind, name, nil
 }
 
-// body reads an object from the request; the path names it, whatever the body says.
-func body(w http.ResponseWriter, r *http.Request) (Object, error) {
-	kind, name, err := key(r)
+// decodeObject reads an object from the request; the path names it, whatever the decodeObject says.
+func decodeObject(w http.ResponseWriter, r *http.Request) (Object, error) {
+	kind, name, err := requestKey(r)
 	if err != nil {
 		return Object{}, err
 	}
@@ -137,21 +137,21 @@
 	return o, nil
 }
 
-// answerObject writes an object, or the error when there is one.
-func (h *handler) answerObject(w http.ResponseWriter, o Object, err error) {
+// respondObject writes an object, or the error when there is one.
+func (h *handler) respondObject(w http.ResponseWriter, o Object, err error) {
 	o.Version = RevisionOf(o.Version)
-	h.answer(w, o, err)
+	h.respond(w, o, err)
 }
 
-// answer writes v, or the error when there is one.
-func (h *handler) answer(w http.ResponseWriter, v any, err error) {
+// respond writes v, or the error when there is one.
+func (h *handler) respond(w http.ResponseWriter, v any, err error) {
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
-		h.answerError(w, err)
+		h.respondError(w, err)
 		return
 	}
 	SetEraHeader(w.Header(), h.store)
@@ -159,7 +159,7 @@
 	_, _ = w.Write(b) // The client sees a broken answer by itself.
 }
 
-func (h *handler) answerError(w http.ResponseWriter, err error) {
+func (h *handler) respondError(w http.ResponseWriter, err error) {
 	SetEraHeader(w.Header(), h.store)
 	status := statusOf(err)
 	b, _ := json.Marshal(problem{Status: status, Title: http.StatusText(status), Detail: err.Error()})
--- a/pkg/objectapi/informer.go
+++ b/pkg/objectapi/informer.go
@@ -89,7 +89,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := wait.For(ctx, i.after(err)); err != nil {
+		if err := wait.For(ctx, i.nextDelay(err)); err != nil {
 			return err
 		}
 	}
@@ -103,23 +103,23 @@
 	return i.watch(ctx)
 }
 
-// after notes the outcome of a step and returns the wait before the next.
-func (i *Informer) after(err error) time.Duration {
+// nextDelay notes the outcome of a step and returns the wait before the next.
+func (i *Informer) nextDelay(err error) time.Duration {
 	if err == nil {
 		i.cfg.Backoff.Reset()
-		i.note(false, nil)
+		i.setFailing(false, nil)
 		return i.cfg.MinInterval
 	}
-	i.count(func(s *InformerStats) { s.Errors++ })
+	i.updateStats(func(s *InformerStats) { s.Errors++ })
 	if errors.Is(err, ErrExpired) {
 		i.synced = false
 	}
-	i.note(true, err)
+	i.setFailing(true, err)
 	return i.cfg.Backoff.Next()
 }
 
-// note logs the change between working and failing.
-func (i *Informer) note(failing bool, err error) {
+// setFailing logs the change between working and failing.
+func (i *Informer) setFailing(failing bool, err error) {
 	if failing == i.failing {
 		return
 	}
@@ -140,15 +140,15 @@
 	if version < i.version {
 		return i.regression(OpList, version)
 	}
-	i.count(func(s *InformerStats) { s.Lists++ })
-	events := i.difference(items, version)
+	i.updateStats(func(s *InformerStats) { s.Lists++ })
+	events := i.diff(items, version)
 	i.synced = true
 	i.deliver(events, version)
 	return nil
 }
 
-// difference turns a list into events: what changed in order of version, then what is gone, at the list's version.
-func (i *Informer) difference(items []Object, version uint64) []Event {
+// diff turns a list into events: what changed in order of version, then what is gone, at the list's version.
+func (i *Informer) diff(items []Object, version uint64) []Event {
 	var puts, gone []Event
 	listed := make(map[string]bool, len(items))
 	for _, o := range items {
@@ -178,7 +178,7 @@
 	var fresh []Event
 	for _, e := range events {
 		if e.Object.Version <= reached {
-			i.count(func(s *InformerStats) { s.Duplicates++ })
+			i.updateStats(func(s *InformerStats) { s.Duplicates++ })
 			continue
 		}
 		reached = e.Object.Version
@@ -203,19 +203,19 @@
 		i.known[e.Object.Name] = e.Object.Version
 	}
 	i.version = version
-	i.count(func(s *InformerStats) { s.Version = version })
+	i.updateStats(func(s *InformerStats) { s.Version = version })
 	i.batch(events, version)
 }
 
 // regression is the error of an answer that is older than what was handed over; it is left out.
 func (i *Informer) regression(op Op, version uint64) error {
-	i.count(func(s *InformerStats) { s.Regressions++ })
+	i.updateStats(func(s *InformerStats) { s.Regressions++ })
 	i.cfg.Logger.Warn().Str("op", "inform").Str("kind", string(i.kind)).
 		Uint64("version", version).Uint64("reached", i.version).Msg("the object API answered with an older version")
 	return NewCallError(op, i.kind, "", "informer", ErrUnavailable, errors.New("answer is older than the version reached"))
 }
 
-func (i *Informer) count(f func(*InformerStats)) {
+func (i *Informer) updateStats(f func(*InformerStats)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	f(&i.stats)
--- a/pkg/objectapi/informer_test.go
+++ b/pkg/objectapi/informer_test.go
@@ -16,14 +16,14 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// picture is what a follower of a kind believes; it notes any version that falls.
-type picture struct {
+// view is what a follower of a kind believes; it notes any version that falls.
+type view struct {
 	versions map[string]uint64
 	reached  uint64
 	fell     bool
 }
 
-func (p *picture) batch(events []objectapi.Event, version uint64) {
+func (p *view) batch(events []objectapi.Event, version uint64) {
 	for _, e := range events {
 		p.fell = p.fell || e.Object.Version < p.reached
 		p.reached = e.Object.Version
@@ -49,7 +49,7 @@
 func informerRun(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	mem := store.New(store.Config{Seed: seed, History: 20, WatchWait: 5 * time.Second})
-	p := &picture{versions: make(map[string]uint64)}
+	p := &view{versions: make(map[string]uint64)}
 	in := objectapi.NewInformer(mem, kind, objectapi.InformerConfig{}, p.batch)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
@@ -120,7 +120,7 @@
 				require.NoError(t, err)
 				ctx, cancel := context.WithTimeout(t.Context(), c.lasts)
 				defer cancel()
-				p := &picture{versions: make(map[string]uint64)}
+				p := &view{versions: make(map[string]uint64)}
 				done := make(chan error)
 				go func() { done <- objectapi.WatchKind(ctx, mem, kind, objectapi.InformerConfig{}, p.batch) }()
 				for c.changes > 0 && ctx.Err() == nil {
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestInformerLeavesOlderAnswersOut puts an older store in place of the one that was followed.
-func TestInformerLeavesOlderAnswersOut(t *testing.T) {
+// TestInformerIgnoresOlderResponses puts an older store in place of the one that was followed.
+func TestInformerIgnoresOlderResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		current, older := store.New(store.Config{}), store.New(store.Config{})
 		for i := range 5 {
@@ -146,9 +146,9 @@
 		}
 		_, err := older.Create(t.Context(), kind, "0", nil)
 		require.NoError(t, err)
-		s := &switching{}
+		s := &switchableStore{}
 		s.now.Store(current)
-		p := &picture{versions: make(map[string]uint64)}
+		p := &view{versions: make(map[string]uint64)}
 		in := objectapi.NewInformer(s, kind, objectapi.InformerConfig{}, p.batch)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
@@ -166,16 +166,16 @@
 	})
 }
 
-// switching is a store that is replaced during a test; only the calls of an informer are answered.
-type switching struct {
+// switchableStore is a store that is replaced during a test; only the calls of an informer are answered.
+type switchableStore struct {
 	objectapi.Store
 	now atomic.Pointer[store.Store]
 }
 
-func (s *switching) List(ctx context.Context, k objectapi.Kind) ([]objectapi.Object, uint64, error) {
+func (s *switchableStore) List(ctx context.Context, k objectapi.Kind) ([]objectapi.Object, uint64, error) {
 	return s.now.Load().List(ctx, k)
 }
 
-func (s *switching) Watch(ctx context.Context, k objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
+func (s *switchableStore) Watch(ctx context.Context, k objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
 	return s.now.Load().Watch(ctx, k, from)
 }
--- a/pkg/objectapi/protocol.go
+++ b/pkg/objectapi/protocol.go
@@ -15,14 +15,14 @@
 // maxBodySize bounds a request or an answer about one object: the value in base64 and its frame.
 const maxBodySize = MaxValueSize*4/3 + 4096
 
-// listAnswer is the body of an answer to a list.
-type listAnswer struct {
+// listResponse is the body of an answer to a list.
+type listResponse struct {
 	Items   []Object `json:"items"`
 	Version uint64   `json:"version"`
 }
 
-// watchAnswer is the body of an answer to a watch.
-type watchAnswer struct {
+// watchResponse is the body of an answer to a watch.
+type watchResponse struct {
 	Events  []Event `json:"events"`
 	Version uint64  `json:"version"`
 }
--- a/pkg/objectapi/request.go
+++ b/pkg/objectapi/request.go
@@ -30,7 +30,7 @@
 	if err := r.checkKey(); err != nil {
 		return nil, 0, r.NewCallError(ErrInvalid, err)
 	}
-	if err := eras.checkSent(r.Op, r.Version); err != nil {
+	if err := eras.checkRequest(r.Op, r.Version); err != nil {
 		return nil, 0, r.NewCallError(err, nil)
 	}
 	var sent atomic.Bool
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, 0, r.NewCallError(ErrorWithoutResponse(r.Op, sent.Load()), err)
 	}
-	era, err := r.eraOf(resp, eras)
+	era, err := r.responseEra(resp, eras)
 	if err != nil {
 		_ = resp.Body.Close() // The answer is left out.
 		return nil, 0, err
@@ -52,8 +52,8 @@
 	return resp, era, nil
 }
 
-// eraOf returns the era of an answer, or the error of one that is left out.
-func (r Request) eraOf(resp *http.Response, eras *Eras) (uint64, error) {
+// responseEra returns the era of an answer, or the error of one that is left out.
+func (r Request) responseEra(resp *http.Response, eras *Eras) (uint64, error) {
 	era, err := eras.FromResponse(resp.Header)
 	if err != nil {
 		return 0, r.NewCallError(ErrorWithoutResponse(r.Op, true), err)
@@ -61,7 +61,7 @@
 	if resp.StatusCode/100 != 2 {
 		return era, nil
 	}
-	if err := checkAnswered(r.Op, r.Version, era); err != nil {
+	if err := checkResponse(r.Op, r.Version, era); err != nil {
 		return 0, r.NewCallError(err, nil)
 	}
 	return era, nil
@@ -76,6 +76,6 @@
 }
 
 // NewCallError returns the error of this call.
-func (r Request) NewCallError(kind, cause error) error {
-	return NewCallError(r.Op, r.Kind, r.Name, r.Peer, kind, cause)
+func (r Request) NewCallError(err, cause error) error {
+	return NewCallError(r.Op, r.Kind, r.Name, r.Peer, err, cause)
 }
--- a/pkg/objectapi/resolve.go
+++ b/pkg/objectapi/resolve.go
@@ -59,8 +59,8 @@
 	in    Object
 	token string
 	send  func() (Object, error)
-	// lost says that an earlier attempt may have taken effect.
-	lost bool
+	// maybeApplied says that an earlier attempt may have taken effect.
+	maybeApplied bool
 }
 
 func (w *resolver) run(ctx context.Context) (Object, error) {
@@ -85,7 +85,7 @@
 // attempt sends the write once and says whether the outcome is known. After a lost answer it reads first, which costs
 // the store less than a write.
 func (w *resolver) attempt(ctx context.Context) (Object, error, bool) { //nolint:staticcheck // done qualifies both.
-	if w.lost {
+	if w.maybeApplied {
 		o, err, again := w.readBack(ctx)
 		if !again {
 			return o, err, err == nil || !errors.Is(err, ErrUnavailable)
@@ -96,10 +96,10 @@
 		return o, nil, true
 	}
 	if errors.Is(err, ErrOutcomeUnknown) {
-		w.lost = true
+		w.maybeApplied = true
 		return Object{}, err, false
 	}
-	if !w.lost {
+	if !w.maybeApplied {
 		return Object{}, err, true
 	}
 	// A conflict may be with an earlier attempt that arrived late; the next reading tells.
--- a/pkg/objectapi/storetest/faults.go
+++ b/pkg/objectapi/storetest/faults.go
@@ -142,7 +142,7 @@
 	o := create(t, s, "a", "one")
 	in.LoseAnswers(1)
 	o.Value = []byte("mine")
-	mine, err := objectapi.UpdateResolved(t.Context(), &replacing{Store: s, t: t}, o, "mine")
+	mine, err := objectapi.UpdateResolved(t.Context(), &replacingStore{Store: s, t: t}, o, "mine")
 	require.NoError(t, err)
 	require.Equal(t, "mine", string(mine.Value))
 	got, err := s.Get(t.Context(), kind, "a")
@@ -156,7 +156,7 @@
 	o := create(t, s, "a", "one")
 	in.DropWrites(true)
 	o.Value = []byte("mine")
-	_, err := objectapi.UpdateResolved(t.Context(), &replacing{Store: s, t: t, before: func() { in.DropWrites(false) }}, o, "mine")
+	_, err := objectapi.UpdateResolved(t.Context(), &replacingStore{Store: s, t: t, before: func() { in.DropWrites(false) }}, o, "mine")
 	require.ErrorIs(t, err, objectapi.ErrConflict)
 	require.NotErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 }
@@ -166,7 +166,7 @@
 	o := create(t, s, "a", "one")
 	in.LoseAnswers(1)
 	o.Value = []byte("mine")
-	_, err := objectapi.UpdateResolved(t.Context(), &replacing{Store: s, t: t, after: in.ExpireWatches}, o, "mine")
+	_, err := objectapi.UpdateResolved(t.Context(), &replacingStore{Store: s, t: t, after: in.ExpireWatches}, o, "mine")
 	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 	require.ErrorIs(t, err, objectapi.ErrSuperseded)
 	require.NotErrorIs(t, err, objectapi.ErrConflict)
@@ -177,7 +177,7 @@
 	in.Repeat(3)
 	f := follow(t, s)
 	a, b := create(t, s, "a", "1"), create(t, s, "b", "1")
-	f.until(map[string]uint64{"a": a.Version, "b": b.Version})
+	f.waitFor(map[string]uint64{"a": a.Version, "b": b.Version})
 	in.ExpireWatches()
 	require.NoError(t, s.Delete(t.Context(), kind, "a", a.Version))
 	in.ExpireWatches()
@@ -185,18 +185,18 @@
 	b.Value = []byte("2")
 	b, err := s.Update(t.Context(), b)
 	require.NoError(t, err)
-	f.until(map[string]uint64{"b": b.Version, "c": c.Version})
+	f.waitFor(map[string]uint64{"b": b.Version, "c": c.Version})
 }
 
-// replacing puts another value in place of an object once, after the first update through it.
-type replacing struct {
+// replacingStore puts another value in place of an object once, after the first update through it.
+type replacingStore struct {
 	objectapi.Store
 	t             *testing.T
 	before, after func()
 	done          bool
 }
 
-func (r *replacing) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (r *replacingStore) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	out, err := r.Store.Update(ctx, o)
 	if r.done {
 		return out, err
--- a/pkg/objectapi/storetest/follow.go
+++ b/pkg/objectapi/storetest/follow.go
@@ -12,14 +12,14 @@
 // follower keeps the picture that an informer gives, and fails the test when a version falls.
 type follower struct {
 	t       *testing.T
-	picture map[string]uint64
+	view    map[string]uint64
 	updates chan map[string]uint64
 	version uint64
 }
 
 // follow starts an informer that ends with the test.
 func follow(t *testing.T, s objectapi.Store) *follower {
-	f := &follower{t: t, picture: make(map[string]uint64), updates: make(chan map[string]uint64, 1000)}
+	f := &follower{t: t, view: make(map[string]uint64), updates: make(chan map[string]uint64, 1000)}
 	cfg := objectapi.InformerConfig{
 		MinInterval: time.Millisecond,
 		Backoff:     objectapi.Backoff{Min: time.Millisecond, Max: 10 * time.Millisecond},
@@ -44,20 +44,20 @@
 		}
 		f.version = e.Object.Version
 		if e.Type == objectapi.EventDelete {
-			delete(f.picture, e.Object.Name)
+			delete(f.view, e.Object.Name)
 			continue
 		}
-		f.picture[e.Object.Name] = e.Object.Version
+		f.view[e.Object.Name] = e.Object.Version
 	}
 	if version < f.version {
 		f.t.Errorf("batch version %d after %d", version, f.version)
 	}
 	f.version = version
-	f.updates <- maps.Clone(f.picture)
+	f.updates <- maps.Clone(f.view)
 }
 
-// until waits for a picture; the test's own time limit ends a wait in vain.
-func (f *follower) until(want map[string]uint64) {
+// waitFor waits for a picture; the test's own time limit ends a wait in vain.
+func (f *follower) waitFor(want map[string]uint64) {
 	for got := range f.updates {
 		if maps.Equal(got, want) {
 			return
--- a/pkg/objectapi/storetest/linear_test.go
+++ b/pkg/objectapi/storetest/linear_test.go
@@ -27,8 +27,8 @@
 	value   string
 }
 
-// regAnswer is what the caller learned.
-type regAnswer struct {
+// regResponse is what the caller learned.
+type regResponse struct {
 	version           uint64
 	value             string
 	conflict, unknown bool
@@ -44,7 +44,7 @@
 	Init: func() []any { return []any{regState{}} },
 	Step: func(state, in, out any) []any {
 		var next []any
-		for _, s := range regStep(state.(regState), in.(regCall), out.(regAnswer)) {
+		for _, s := range regStep(state.(regState), in.(regCall), out.(regResponse)) {
 			next = append(next, s)
 		}
 		return next
@@ -52,7 +52,7 @@
 }
 
 // regStep returns the states that a call may leave, none when the answer is impossible.
-func regStep(s regState, in regCall, out regAnswer) []regState {
+func regStep(s regState, in regCall, out regResponse) []regState {
 	seen := s.version != 0
 	if !in.update {
 		if s.value != out.value || seen && s.version != out.version {
@@ -89,8 +89,8 @@
 	return objectapi.UpdateResolved(ctx, s, o, token)
 }
 
-// careless sends an update again after a lost answer and takes the conflict with itself for another's.
-func careless(ctx context.Context, s objectapi.Store, o objectapi.Object, _ string) (objectapi.Object, error) {
+// resending sends an update again after a lost answer and takes the conflict with itself for another's.
+func resending(ctx context.Context, s objectapi.Store, o objectapi.Object, _ string) (objectapi.Object, error) {
 	out, err := s.Update(ctx, o)
 	if errors.Is(err, objectapi.ErrOutcomeUnknown) {
 		return s.Update(ctx, o)
@@ -108,7 +108,7 @@
 	}{
 		{"Resolved", objectapi.UpdateResolved, false},
 		{"Unconditional", unconditional, true},
-		{"Careless", careless, true},
+		{"Careless", resending, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			wrong := 0
@@ -133,7 +133,7 @@
 
 func (n *outcomes) count(history []porcupine.Operation) {
 	for _, op := range history {
-		out := op.Output.(regAnswer)
+		out := op.Output.(regResponse)
 		switch {
 		case !op.Input.(regCall).update:
 		case out.unknown:
@@ -184,7 +184,7 @@
 	operations []porcupine.Operation
 }
 
-func (h *recorder) note(client int, in regCall, out regAnswer, began int64) {
+func (h *recorder) record(client int, in regCall, out regResponse, began int64) {
 	op := porcupine.Operation{ClientId: client, Input: in, Output: out, Call: began, Return: h.clock.Add(1)}
 	if out.unknown {
 		op.Return = math.MaxInt64
@@ -198,7 +198,7 @@
 	began := h.clock.Add(1)
 	o, err := s.Get(ctx, linearKind, "a")
 	if err == nil {
-		h.note(client, regCall{}, regAnswer{version: o.Version, value: string(o.Value)}, began)
+		h.record(client, regCall{}, regResponse{version: o.Version, value: string(o.Value)}, began)
 	}
 	return o, err
 }
@@ -207,7 +207,7 @@
 	began := h.clock.Add(1)
 	in := regCall{update: true, version: o.Version, value: token}
 	got, err := f(ctx, s, o, token)
-	h.note(client, in, regAnswer{
+	h.record(client, in, regResponse{
 		version:  got.Version,
 		conflict: errors.Is(err, objectapi.ErrConflict),
 		unknown:  err != nil && !errors.Is(err, objectapi.ErrConflict),
