--- a/pkg/objectapi/backoff.go
+++ b/pkg/objectapi/backoff.go
@@ -11,10 +11,10 @@
 	DefaultBackoffMax = 10 * time.Second
 )
 
-// Backoff gives exponentially growing waits with jitter; zero values mean the defaults. It is not safe for concurrent
-// use.
+// Backoff computes exponentially growing delays with jitter; zero values mean the defaults. It is not safe for
+// concurrent use.
 type Backoff struct {
-	// Min is the first wait and Max the highest, before jitter.
+	// Min is the first delay and Max the highest, before jitter.
 	Min time.Duration
 	Max time.Duration
 	// Rand returns a number in [0, 1); the default is math/rand.
@@ -23,7 +23,7 @@
 	next time.Duration
 }
 
-// Next returns the next wait: between a half and the whole of the growing time.
+// Next returns the next delay: a random time between a half and the whole of the current backoff.
 func (b *Backoff) Next() time.Duration {
 	b.defaults()
 	d := max(b.next, b.Min)
@@ -31,7 +31,7 @@
 	return time.Duration(float64(d) * (0.5 + 0.5*b.Rand()))
 }
 
-// Reset starts again from the first wait.
+// Reset starts again from the first delay.
 func (b *Backoff) Reset() {
 	b.next = 0
 }
--- a/pkg/objectapi/budget.go
+++ b/pkg/objectapi/budget.go
@@ -24,27 +24,28 @@
 )
 
 var (
-	errBudgetExhausted = errors.New("call budget of this process is spent")
+	errBudgetExhausted = errors.New("call budget of this process exhausted")
 	errContextDone     = errors.New("context ended before the call")
 )
 
 // BudgetConfig holds the settings of a Budgeted store; zero values mean the defaults.
 type BudgetConfig struct {
-	// Rate is the number of calls a second, reads, writes and watches together.
+	// Rate is the number of calls a second: reads, writes and watches together.
 	Rate float64
-	// Burst is the number of calls that may be made at once after a quiet time.
+	// Burst is the number of calls that may be made at once after an idle time.
 	Burst int
-	// MaxWait is the longest time a call waits for its turn before it is refused with ErrUnavailable.
+	// MaxWait is the longest time a call may wait for the rate limiter. A call that would wait longer is refused with
+	// ErrUnavailable.
 	MaxWait time.Duration
-	// MaxRetries is the highest number of retries of one get or list; below 0 means none. Writes are never retried
+	// MaxRetries is the maximum number of retries of one get or list; below 0 means none. Writes are never retried
 	// here, and watches are paced by their Informer.
 	MaxRetries int
-	// RetryShare is the number of retries that each call earns, and RetryBurst the number that can be saved up.
+	// RetryShare is the number of retries that each call adds to the retry budget, and RetryBurst its maximum.
 	RetryShare float64
 	RetryBurst float64
 	// Backoff paces the retries; its Rand must be safe for concurrent use.
 	Backoff Backoff
-	// Scope gets the counters; the default drops them.
+	// Scope receives the counters; the default discards them.
 	Scope tally.Scope
 }
 
@@ -76,7 +77,7 @@
 	return c
 }
 
-// Budgeted is a Store that keeps all calls of a process within one rate, retries reads within a budget and counts.
+// Budgeted is a Store that limits the rate of all calls of a process, retries reads within a budget and counts calls.
 type Budgeted struct {
 	store   Store
 	cfg     BudgetConfig
@@ -89,7 +90,7 @@
 
 var _ Store = (*Budgeted)(nil)
 
-// NewBudgeted wraps a store. One Budgeted is shared by everything in a process.
+// NewBudgeted wraps a store. A process should share one Budgeted among all its users of the store.
 func NewBudgeted(store Store, cfg BudgetConfig) *Budgeted {
 	cfg = cfg.withDefaults()
 	return &Budgeted{
@@ -172,7 +173,7 @@
 	}
 }
 
-// callOnce waits for the call's turn, makes it and counts it.
+// callOnce waits for the rate limiter, makes the call and counts it.
 func (b *Budgeted) callOnce(ctx context.Context, op Op, kind Kind, name string, f func() error) error {
 	if err := b.acquire(ctx); err != nil {
 		b.counts.countRefused(op)
@@ -184,7 +185,7 @@
 	return err
 }
 
-// acquire waits for a token of the call budget.
+// acquire waits for a token of the rate limiter, or returns an error when the wait would exceed MaxWait or ctx ends.
 func (b *Budgeted) acquire(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return errors.Join(errContextDone, ctx.Err())
@@ -207,14 +208,14 @@
 	return nil
 }
 
-// earnRetry adds a call's part of a retry.
+// earnRetry adds the share of one call to the retry budget.
 func (b *Budgeted) earnRetry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries = min(b.cfg.RetryBurst, b.retries+b.cfg.RetryShare)
 }
 
-// takeRetry says whether a failed read is tried again, and takes the retry from the budget.
+// takeRetry reports whether a failed read is to be retried, and takes the retry from the budget.
 func (b *Budgeted) takeRetry(err error, n int) bool {
 	if err == nil || !errors.Is(err, ErrUnavailable) || errors.Is(err, errBudgetExhausted) || errors.Is(err, errContextDone) {
 		return false
--- a/pkg/objectapi/call_error.go
+++ b/pkg/objectapi/call_error.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Op names a method of Store, for errors, logs and counts.
+// Op names a method of Store in errors, logs and counts.
 type Op string
 
 // Operations of a Store.
@@ -24,14 +24,13 @@
 	return o == OpCreate || o == OpUpdate || o == OpDelete
 }
 
-// CallError is the error of one call: what was called, at which peer, and why it failed.
+// CallError is the error of one call: the operation, the object, the peer and the reason.
 type CallError struct {
-	// Op is the method.
 	Op Op
-	// Kind and Name are the object; Name is empty for a list and a watch.
+	// Kind and Name identify the object; Name is empty for a list and a watch.
 	Kind Kind
 	Name string
-	// Peer is the base URL of the API, or the name of a stand-in.
+	// Peer is the base URL of the API, or the name of the component that failed the call.
 	Peer string
 	// Err is one of the errors of this package.
 	Err error
@@ -48,7 +47,7 @@
 	return s + ": " + e.Cause.Error()
 }
 
-// Unwrap gives both the typed error and the cause to errors.Is and errors.As.
+// Unwrap exposes both the typed error and the cause to errors.Is and errors.As.
 func (e *CallError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{e.Err}
@@ -56,7 +55,7 @@
 	return []error{e.Err, e.Cause}
 }
 
-// NewCallError builds a CallError with its place in the code.
+// NewCallError returns a CallError with a stack trace.
 func NewCallError(op Op, kind Kind, name, peer string, err, cause error) error {
 	return trace.Wrap(&CallError{Op: op, Kind: kind, Name: name, Peer: peer, Err: err, Cause: cause})
 }
--- a/pkg/objectapi/call_stats.go
+++ b/pkg/objectapi/call_stats.go
@@ -7,7 +7,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Outcome classes a call's error for counting.
+// Outcome classifies a call's error for counting.
 type Outcome string
 
 // Outcomes of a call.
@@ -21,7 +21,7 @@
 	OutcomeInvalid     Outcome = "invalid"
 )
 
-// OutcomeOf returns the class of an error of a Store.
+// OutcomeOf classifies an error of a Store. An error of no other class is OutcomeUnavailable.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
@@ -42,32 +42,32 @@
 
 // CallStats are the counts of a Budgeted store.
 type CallStats struct {
-	// Calls are the calls that were made, by operation, retries included.
+	// Calls are the calls that were made, by operation, including retries.
 	Calls map[Op]uint64
 	// Outcomes are the same calls by outcome.
 	Outcomes map[Outcome]uint64
-	// Refused are the calls that the call budget refused without making them, by operation.
+	// Refused are the calls that the call budget refused, by operation; they were not made.
 	Refused map[Op]uint64
-	// Waited is the number of calls that waited for their turn.
+	// Waited is the number of calls that waited for the rate limiter.
 	Waited uint64
-	// Retries is the number of retries, and RetriesDenied of those that the retry budget did not allow.
+	// Retries is the number of retries, and RetriesDenied the number that the retry budget did not allow.
 	Retries       uint64
 	RetriesDenied uint64
-	// OpenWatches is the number of watches that wait now.
+	// OpenWatches is the number of watch calls in progress.
 	OpenWatches int
 }
 
-// Reads is the number of gets, lists and watches that were made.
+// Reads returns the number of gets, lists and watches that were made.
 func (s CallStats) Reads() uint64 {
 	return s.Calls[OpGet] + s.Calls[OpList] + s.Calls[OpWatch]
 }
 
-// Writes is the number of creates, updates and deletes that were made.
+// Writes returns the number of creates, updates and deletes that were made.
 func (s CallStats) Writes() uint64 {
 	return s.Calls[OpCreate] + s.Calls[OpUpdate] + s.Calls[OpDelete]
 }
 
-// callCounts counts calls and passes the counts to tally; safe for concurrent use.
+// callCounts counts calls, also in tally. It is safe for concurrent use.
 type callCounts struct {
 	scope tally.Scope
 
--- a/pkg/objectapi/client.go
+++ b/pkg/objectapi/client.go
@@ -17,11 +17,11 @@
 const (
 	// DefaultCallTimeout bounds a call other than a watch.
 	DefaultCallTimeout = 5 * time.Second
-	// DefaultWatchTimeout bounds a watch, and must be above the store's wait time.
+	// DefaultWatchTimeout bounds a watch. It must exceed the time for which the store holds a watch open.
 	DefaultWatchTimeout = 90 * time.Second
-	// maxListSize bounds the answer to a list or a watch, in bytes.
+	// maxListSize bounds the response to a list or a watch, in bytes.
 	maxListSize = 256 << 20
-	// maxDetailSize bounds the text that is taken from a failed answer, in bytes.
+	// maxDetailSize bounds the text that is read from an error response, in bytes.
 	maxDetailSize = 4 << 10
 )
 
@@ -29,17 +29,17 @@
 
 // Options are the settings of a Client; zero values mean the defaults.
 type Options struct {
-	// HTTP is the HTTP client; the default keeps connections open and follows no redirects.
+	// HTTP is the HTTP client; the default keeps connections alive and follows no redirects.
 	HTTP *http.Client
 	// CallTimeout bounds a call other than a watch.
 	CallTimeout time.Duration
 	// WatchTimeout bounds a watch.
 	WatchTimeout time.Duration
-	// Eras takes the eras that answers name; nil means that this client has its own.
+	// Eras tracks the eras named in responses; nil means that this client has its own.
 	Eras *Eras
 }
 
-// Client is a Store that is reached by HTTP.
+// Client is a Store that calls the object API over HTTP.
 type Client struct {
 	base         string
 	http         *http.Client
@@ -48,7 +48,7 @@
 	eras         *Eras
 }
 
-// NewClient returns a client of the API at baseURL, for example "http://127.0.0.1:8080".
+// NewClient returns a client for the API at baseURL, for example "http://127.0.0.1:8080".
 func NewClient(baseURL string, o Options) *Client {
 	c := &Client{
 		base:         strings.TrimRight(baseURL, "/"),
@@ -72,7 +72,7 @@
 	return c
 }
 
-// defaultHTTP follows no redirect, since a redirected write could be sent twice.
+// defaultHTTP returns a client that uses no proxy and follows no redirect: a redirected write could be sent twice.
 func defaultHTTP() *http.Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
@@ -162,7 +162,7 @@
 	return c.object(ctx, k)
 }
 
-// object makes a call that is answered with one object.
+// object makes a call whose response is one object.
 func (c *Client) object(ctx context.Context, k call) (Object, error) {
 	var o Object
 	k.response = &o
@@ -185,7 +185,7 @@
 	query    url.Values
 	body     []byte
 	response any
-	// version is the condition of a write or the position of a watch; it holds in its own era only.
+	// version is the condition of a write or the position of a watch; it is valid in its own era only.
 	version uint64
 }
 
@@ -200,12 +200,12 @@
 	return u
 }
 
-// request returns the call in the form that all protocols share.
+// request returns the call as a Request, the form shared by all protocols.
 func (c *Client) request(k call) Request {
 	return Request{Op: k.op, Kind: k.kind, Name: k.name, Method: k.method, URL: k.url(c.base), Body: k.body, Version: k.version, Peer: c.base}
 }
 
-// call sends the request and reads the answer, of which it returns the era.
+// call sends the request, decodes the response and returns its era.
 func (c *Client) call(ctx context.Context, k call) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(k.op))
 	defer cancel()
@@ -213,11 +213,11 @@
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close() //nolint:errcheck // The body was read or is given up.
+	defer resp.Body.Close() //nolint:errcheck // The body was read or is abandoned.
 	return era, c.decodeResponse(k, resp)
 }
 
-// decodeResponse takes the answer apart.
+// decodeResponse decodes a successful response, or returns the typed error of a failed one.
 func (c *Client) decodeResponse(k call, resp *http.Response) error {
 	if resp.StatusCode/100 != 2 {
 		return c.fail(k, ErrorOfStatus(k.op, resp.StatusCode), detailOf(resp))
@@ -246,8 +246,8 @@
 	return c.callTimeout
 }
 
-// ErrorWithoutResponse is the typed error of a call without a whole answer; sent is set when the store may have got it. A write may
-// then have been done, or may still be.
+// ErrorWithoutResponse returns the typed error of a call without a complete response. sent is set when the store may
+// have received the call: a write may then have taken effect, or may do so later.
 func ErrorWithoutResponse(op Op, sent bool) error {
 	if sent && op.Writes() {
 		return ErrOutcomeUnknown
@@ -255,7 +255,7 @@
 	return ErrUnavailable
 }
 
-// detailOf reads the reason from a failed answer.
+// detailOf reads the reason from an error response.
 func detailOf(resp *http.Response) error {
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxDetailSize))
 	if err != nil {
--- a/pkg/objectapi/client_bench_test.go
+++ b/pkg/objectapi/client_bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// BenchmarkHTTP is the time of a call over loopback, client and stand-in together.
+// BenchmarkHTTP measures a call over loopback, including the time of the stand-in server.
 func BenchmarkHTTP(b *testing.B) {
 	srv := httptest.NewServer(objectapi.Handler(store.New(store.Config{})))
 	defer srv.Close()
--- a/pkg/objectapi/client_test.go
+++ b/pkg/objectapi/client_test.go
@@ -45,7 +45,7 @@
 	},
 }
 
-// TestClientErrors maps what a server may do to the typed errors of reads and writes.
+// TestClientErrors checks the typed errors of reads and writes for each kind of server failure.
 func TestClientErrors(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -87,7 +87,7 @@
 					want = c.write
 				}
 				if op == objectapi.OpDelete && c.name == "HalfAnswer" {
-					continue // The status is the whole answer to a delete.
+					continue // The response to a delete has no body to truncate.
 				}
 				err := call(t.Context(), s)
 				require.ErrorIs(t, err, want, op)
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestClientSendsWritesOnce cuts a kept connection under a write, where an HTTP client may be tempted to send again.
+// TestClientSendsWritesOnce closes a kept-alive connection during a write, which an HTTP client must not retry.
 func TestClientSendsWritesOnce(t *testing.T) {
 	var writes atomic.Int64
 	mem := store.New(store.Config{})
@@ -124,14 +124,14 @@
 	defer srv.Close()
 	s := objectapi.NewClient(srv.URL, objectapi.Options{})
 	for _, op := range []objectapi.Op{objectapi.OpCreate, objectapi.OpUpdate, objectapi.OpDelete} {
-		require.NoError(t, calls[objectapi.OpList](t.Context(), s), "keeps a connection")
+		require.NoError(t, calls[objectapi.OpList](t.Context(), s), "opens a connection that is kept alive")
 		before := writes.Load()
 		require.ErrorIs(t, calls[op](t.Context(), s), objectapi.ErrOutcomeUnknown)
 		require.EqualValues(t, 1, writes.Load()-before, op)
 	}
 }
 
-// FuzzHandler checks that no request breaks the server or makes it blame itself.
+// FuzzHandler checks that no request makes the server panic or answer with a 5xx status.
 func FuzzHandler(f *testing.F) {
 	f.Add("GET", "/v1/thing?watch=0", "")
 	f.Add("PUT", "/v1/thing/a", `{"version":1,"value":"eA=="}`)
--- a/pkg/objectapi/era_source.go
+++ b/pkg/objectapi/era_source.go
@@ -6,13 +6,13 @@
 	"strconv"
 )
 
-// EraSource is a Store that knows its era.
+// EraSource is implemented by a Store that has eras.
 type EraSource interface {
-	// Era returns the era of the next answer; 0 when there are no eras.
+	// Era returns the era of the next response; 0 when there are no eras.
 	Era() uint64
 }
 
-// CurrentEra returns the era of a store, or 0 when it is no EraSource.
+// CurrentEra returns the era of a store, or 0 when it is not an EraSource.
 func CurrentEra(s Store) uint64 {
 	if e, ok := s.(EraSource); ok {
 		return e.Era()
@@ -20,15 +20,15 @@
 	return 0
 }
 
-// SetEraHeader writes the header with a store's era into an answer, if it has one.
+// SetEraHeader sets the era header of a response if the store has an era.
 func SetEraHeader(h http.Header, s Store) {
 	if era := CurrentEra(s); era > 0 {
 		h.Set(EraHeader, FormatEra(era))
 	}
 }
 
-// CurrentVersion returns a store's version of a revision that a caller has named. Callers name no era, so that it is taken for one of the current
-// era. It returns ErrInvalid when no version can hold the revision.
+// CurrentVersion returns the version of a revision that a caller has sent. Callers send no era, so the current era of the
+// store is assumed. It returns ErrInvalid when the revision is out of range.
 func CurrentVersion(s Store, revision uint64) (uint64, error) {
 	v, err := MakeVersion(CurrentEra(s), revision)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return v, nil
 }
 
-// ParseCurrentVersion is CurrentVersion of a revision's text.
+// ParseCurrentVersion is CurrentVersion for a revision in decimal. It returns ErrInvalid when text is not a number.
 func ParseCurrentVersion(s Store, text string) (uint64, error) {
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/pkg/objectapi/eras.go
+++ b/pkg/objectapi/eras.go
@@ -8,27 +8,27 @@
 )
 
 var (
-	// errRestored is the cause of a failed call that met a later era than the version in it.
+	// errRestored is the cause of an error when a call's version is of another era than the object API.
 	errRestored = errors.New("the object API came back from an older copy")
-	// errEarlierEra is the cause of an answer that is left out.
-	errEarlierEra = errors.New("the answer is from an earlier era of the object API")
+	// errEarlierEra is the cause of an error when a response is discarded because its era is outdated.
+	errEarlierEra = errors.New("the response is from an earlier era of the object API")
 )
 
-// RestoreGracePeriod is how long what operators wrote may take to be written again after the object API came back from an older copy. What is in force
-// stays until then.
+// RestoreGracePeriod is how long writers may take to rewrite lost objects after the object API was restored from an older
+// copy. Until then what is in force is kept.
 const RestoreGracePeriod = 2 * time.Second
 
-// Eras is the newest era of the object API that a process has seen named. It is safe for concurrent use.
+// Eras tracks the newest era of the object API that a process has seen. It is safe for concurrent use.
 type Eras struct {
 	mu      sync.Mutex
 	newest  uint64
 	changed chan struct{}
 }
 
-// NewEras returns the eras of a process that has seen none.
+// NewEras returns an Eras that has seen no era.
 func NewEras() *Eras { return &Eras{changed: make(chan struct{})} }
 
-// Newest returns the newest era; 0 before one is known, or when the API names none.
+// Newest returns the newest era seen; 0 when none was seen or the API has no eras.
 func (e *Eras) Newest() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,7 +42,7 @@
 	return e.newest, e.changed
 }
 
-// Observe notes an era. It reports whether no newer one is known.
+// Observe records an era. It reports whether era is the newest one seen.
 func (e *Eras) Observe(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,8 +54,8 @@
 	return era == e.newest
 }
 
-// FromResponse returns the era that an answer's header names. An answer without the header is taken for one of the newest era. It returns an error
-// when the header cannot be read, or names an earlier era than one seen before.
+// FromResponse records and returns the era in a response's header. A response without the header is assumed to be of the
+// newest era. It returns an error when the header is malformed or names an earlier era than the newest one.
 func (e *Eras) FromResponse(h http.Header) (uint64, error) {
 	text := h.Get(EraHeader)
 	if text == "" {
@@ -71,8 +71,9 @@
 	return era, nil
 }
 
-// checkRequest returns the error of a call that must not be sent, since its condition or position is a version of an earlier era: ErrExpired for
-// a watch, ErrConflict for a write. Their revisions may stand for other changes by now. Other calls have no version.
+// checkRequest returns an error for a call that must not be sent because its condition or position is a version of an
+// earlier era, whose revision may since have been reused: ErrExpired for a watch, ErrConflict for a write. Other calls
+// have no version.
 func (e *Eras) checkRequest(op Op, version uint64) error {
 	if !op.hasVersion() || EraOf(version) >= e.Newest() {
 		return nil
@@ -83,8 +84,8 @@
 	return errors.Join(ErrExpired, errRestored)
 }
 
-// checkResponse returns the error of a call that was answered in another era than that of its version. A write may have replaced an object that
-// the caller has never seen.
+// checkResponse returns an error for a call that was answered in another era than that of its version: ErrExpired for a
+// watch, and ErrOutcomeUnknown for a write, which may have replaced an object that the caller has never read.
 func checkResponse(op Op, version, era uint64) error {
 	if !op.hasVersion() || EraOf(version) == era {
 		return nil
@@ -95,5 +96,5 @@
 	return errors.Join(ErrExpired, errRestored)
 }
 
-// hasVersion reports whether the operation goes by a version that was read or written before.
+// hasVersion reports whether the operation carries a version from an earlier read or write.
 func (o Op) hasVersion() bool { return o == OpUpdate || o == OpDelete || o == OpWatch }
--- a/pkg/objectapi/eras_test.go
+++ b/pkg/objectapi/eras_test.go
@@ -42,7 +42,7 @@
 		{"the first era may be 0", "0", 0, 1, false},
 		{"the next one", "4", 4, 5, false},
 		{"an answer of an earlier era", "2", 4, 0, true},
-		{"no number", "x", 0, 0, true},
+		{"not a number", "x", 0, 0, true},
 		{"below 0", "-1", 0, 0, true},
 		{"out of range", "4194303", 0, 0, true},
 	} {
@@ -61,7 +61,7 @@
 	}
 }
 
-// restoredAPI is an object API by HTTP that comes back older.
+// restoredAPI is an object API over HTTP that a test restores from an older copy.
 type restoredAPI struct {
 	*store.Store
 	client, other *objectapi.Client
@@ -91,9 +91,9 @@
 		require.NoError(t, err)
 	}
 	_, _, err := a.client.Watch(t.Context(), "thing", o.Version)
-	require.ErrorIs(t, err, objectapi.ErrExpired, "before this client knows of the era")
+	require.ErrorIs(t, err, objectapi.ErrExpired, "before this client has seen the new era")
 	_, _, err = a.client.Watch(t.Context(), "thing", o.Version)
-	require.ErrorIs(t, err, objectapi.ErrExpired, "when it knows")
+	require.ErrorIs(t, err, objectapi.ErrExpired, "after it has seen the new era")
 	list, version, err := a.client.List(t.Context(), "thing")
 	require.NoError(t, err)
 	require.Len(t, list, 4)
@@ -108,7 +108,7 @@
 	_, err := a.other.Create(t.Context(), "thing", "one", []byte("of another process"))
 	require.NoError(t, err)
 	_, err = a.client.Update(t.Context(), o)
-	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown, "the revision was given out again, and the era was not known")
+	require.ErrorIs(t, err, objectapi.ErrOutcomeUnknown, "the revision was reused, and the client has not seen the new era")
 	_, err = a.client.Update(t.Context(), o)
 	require.ErrorIs(t, err, objectapi.ErrConflict)
 	require.ErrorIs(t, a.client.Delete(t.Context(), "thing", "one", o.Version), objectapi.ErrConflict)
--- a/pkg/objectapi/handler.go
+++ b/pkg/objectapi/handler.go
@@ -6,12 +6,12 @@
 	"net/http"
 )
 
-// handler serves a Store by HTTP.
+// handler serves a Store over HTTP.
 type handler struct {
 	store Store
 }
 
-// Handler returns the server side of the protocol that NewClient speaks.
+// Handler returns an HTTP handler that serves the store to a Client.
 func Handler(store Store) http.Handler {
 	h := &handler{store: store}
 	mux := http.NewServeMux()
@@ -110,7 +110,7 @@
 	h.respond(w, struct{}{}, h.store.Delete(r.Context(), kind, name, version))
 }
 
-// requestKey reads and checks the object's kind and name from the path.
+// requestKey returns the object's kind and name from the path, or ErrInvalid.
 func requestKey(r *http.Request) (Kind, string, error) {
 	kind, name := Kind(r.PathValue("kind")), r.PathValue("name")
 	if err := CheckKey(kind, name); err != nil {
@@ -119,7 +119,7 @@
 	return kind, name, nil
 }
 
-// decodeObject reads an object from the request; the path names it, whatever the decodeObject says.
+// decodeObject reads an object from the request. Its kind and name are those of the path, not of the body.
 func decodeObject(w http.ResponseWriter, r *http.Request) (Object, error) {
 	kind, name, err := requestKey(r)
 	if err != nil {
@@ -137,13 +137,13 @@
 	return o, nil
 }
 
-// respondObject writes an object, or the error when there is one.
+// respondObject writes an object with its revision as version, or err if it is not nil.
 func (h *handler) respondObject(w http.ResponseWriter, o Object, err error) {
 	o.Version = RevisionOf(o.Version)
 	h.respond(w, o, err)
 }
 
-// respond writes v, or the error when there is one.
+// respond writes v as JSON, or err if it is not nil.
 func (h *handler) respond(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		h.respondError(w, err)
@@ -156,7 +156,7 @@
 	}
 	SetEraHeader(w.Header(), h.store)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(b) // The client sees a broken answer by itself.
+	_, _ = w.Write(b) // The client detects a truncated response.
 }
 
 func (h *handler) respondError(w http.ResponseWriter, err error) {
--- a/pkg/objectapi/informer.go
+++ b/pkg/objectapi/informer.go
@@ -13,40 +13,40 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// DefaultMinInterval is the least time between two watch calls of an Informer. It bounds the reads of a busy kind,
-// whose events then come in batches.
+// DefaultMinInterval is the minimum time between two watch calls of an Informer. It bounds the reads of a kind that
+// changes often, whose events are then batched.
 const DefaultMinInterval = 100 * time.Millisecond
 
-// BatchFunc takes the changes of a kind. The first call follows the first list and has its objects; later ones have
-// changes. Events are in order of version, which never falls between calls. version is the store version that the
-// state after the batch stands for.
+// BatchFunc receives the changes of a kind. The first call has the objects of the first list; later calls have changes.
+// Events are in order of version, which never decreases between calls. version is the store version that the state
+// after the batch corresponds to.
 type BatchFunc func(events []Event, version uint64)
 
 // InformerConfig holds the settings of an Informer; zero values mean the defaults.
 type InformerConfig struct {
-	// MinInterval is the least time between two watch calls.
+	// MinInterval is the minimum time between two calls.
 	MinInterval time.Duration
-	// Backoff paces the calls after errors.
+	// Backoff is the delay of calls after errors.
 	Backoff Backoff
-	// Logger gets a line when calls begin to fail, when they work again and when a version falls.
+	// Logger records when calls begin to fail, when they succeed again and when a response is older than a previous one.
 	Logger zerolog.Logger
 }
 
 // InformerStats are the counts of an Informer.
 type InformerStats struct {
-	// Lists is the number of answered lists; each after the first is a relist.
+	// Lists is the number of successful lists; each after the first is a relist.
 	Lists uint64
 	// Errors is the number of failed calls.
 	Errors uint64
-	// Duplicates is the number of events that were left out since they were handed over before.
+	// Duplicates is the number of events that were dropped because they had been delivered before.
 	Duplicates uint64
-	// Regressions is the number of answers that were left out since their version was below one seen before.
+	// Regressions is the number of responses that were dropped because their version was below the version reached.
 	Regressions uint64
 	// Version is the version reached.
 	Version uint64
 }
 
-// Informer follows the objects of a kind: it lists once, watches, and lists again when its version expired.
+// Informer follows the objects of a kind: it lists once, watches, and lists again when its version has expired.
 type Informer struct {
 	store Store
 	kind  Kind
@@ -62,7 +62,7 @@
 	stats InformerStats
 }
 
-// NewInformer returns an Informer that calls batch from Run's goroutine only.
+// NewInformer returns an Informer that calls batch only from the goroutine of Run.
 func NewInformer(store Store, kind Kind, cfg InformerConfig, batch BatchFunc) *Informer {
 	if cfg.MinInterval == 0 {
 		cfg.MinInterval = DefaultMinInterval
@@ -95,7 +95,7 @@
 	}
 }
 
-// step makes one call.
+// step makes one call: a list until one has succeeded, and then a watch.
 func (i *Informer) step(ctx context.Context) error {
 	if !i.synced {
 		return i.list(ctx)
@@ -103,7 +103,7 @@
 	return i.watch(ctx)
 }
 
-// nextDelay notes the outcome of a step and returns the wait before the next.
+// nextDelay records the outcome of a step and returns the delay before the next one.
 func (i *Informer) nextDelay(err error) time.Duration {
 	if err == nil {
 		i.cfg.Backoff.Reset()
@@ -118,7 +118,7 @@
 	return i.cfg.Backoff.Next()
 }
 
-// setFailing logs the change between working and failing.
+// setFailing logs transitions between succeeding and failing calls.
 func (i *Informer) setFailing(failing bool, err error) {
 	if failing == i.failing {
 		return
@@ -131,7 +131,7 @@
 	i.cfg.Logger.Info().Str("op", "inform").Str("kind", string(i.kind)).Uint64("version", i.version).Msg("object API calls work")
 }
 
-// list hands over the difference between what is known and what the store holds.
+// list delivers the difference between the known objects and those in the store.
 func (i *Informer) list(ctx context.Context) error {
 	items, version, err := i.store.List(ctx, i.kind)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// diff turns a list into events: what changed in order of version, then what is gone, at the list's version.
+// diff returns the events that lead to a list: puts in order of version, then deletes at the list's version.
 func (i *Informer) diff(items []Object, version uint64) []Event {
 	var puts, gone []Event
 	listed := make(map[string]bool, len(items))
@@ -168,7 +168,7 @@
 	return append(puts, gone...)
 }
 
-// watch hands over the events after the version reached.
+// watch delivers the events after the version reached.
 func (i *Informer) watch(ctx context.Context) error {
 	events, next, err := i.store.Watch(ctx, i.kind, i.version)
 	if err != nil {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// deliver moves to the version and hands the events over.
+// deliver advances to the version and passes the events to the batch function.
 func (i *Informer) deliver(events []Event, version uint64) {
 	for _, e := range events {
 		if e.Type == EventDelete {
@@ -207,12 +207,12 @@
 	i.batch(events, version)
 }
 
-// regression is the error of an answer that is older than what was handed over; it is left out.
+// regression returns the error of a response that is older than the version reached. The response is dropped.
 func (i *Informer) regression(op Op, version uint64) error {
 	i.updateStats(func(s *InformerStats) { s.Regressions++ })
 	i.cfg.Logger.Warn().Str("op", "inform").Str("kind", string(i.kind)).
 		Uint64("version", version).Uint64("reached", i.version).Msg("the object API answered with an older version")
-	return NewCallError(op, i.kind, "", "informer", ErrUnavailable, errors.New("answer is older than the version reached"))
+	return NewCallError(op, i.kind, "", "informer", ErrUnavailable, errors.New("response is older than the version reached"))
 }
 
 func (i *Informer) updateStats(f func(*InformerStats)) {
--- a/pkg/objectapi/informer_test.go
+++ b/pkg/objectapi/informer_test.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// view is what a follower of a kind believes; it notes any version that falls.
+// view is the state of a kind as delivered by an informer; it records whether a version decreased.
 type view struct {
 	versions map[string]uint64
 	reached  uint64
@@ -37,7 +37,8 @@
 	p.reached = version
 }
 
-// TestInformerUnderFaults changes objects of two kinds under a random mix of faults; the picture must end exact.
+// TestInformerUnderFaults changes objects of two kinds under random faults. The view must converge to the stored
+// objects.
 func TestInformerUnderFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// change creates, updates or deletes one object, or leaves it when the store refuses.
+// change tries to create, update or delete one object.
 func change(t *testing.T, mem *store.Store, rng *rand.Rand) {
 	k := []objectapi.Kind{kind, "other"}[rng.IntN(2)]
 	name := string(rune('a' + rng.IntN(6)))
@@ -105,7 +106,7 @@
 	_, _ = mem.Update(t.Context(), o)
 }
 
-// TestInformerCalls counts the calls of one follower of a quiet kind and of one that changes all the time.
+// TestInformerCalls bounds the calls of an informer of a kind without changes and of one that changes all the time.
 func TestInformerCalls(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -136,7 +137,7 @@
 	}
 }
 
-// TestInformerIgnoresOlderResponses puts an older store in place of the one that was followed.
+// TestInformerIgnoresOlderResponses replaces the followed store by an older one, whose responses must be dropped.
 func TestInformerIgnoresOlderResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		current, older := store.New(store.Config{}), store.New(store.Config{})
@@ -166,7 +167,7 @@
 	})
 }
 
-// switchableStore is a store that is replaced during a test; only the calls of an informer are answered.
+// switchableStore is a store that a test can replace; it implements only the calls of an informer.
 type switchableStore struct {
 	objectapi.Store
 	now atomic.Pointer[store.Store]
--- a/pkg/objectapi/key.go
+++ b/pkg/objectapi/key.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// MaxNameSize is the highest number of bytes of a kind and of a name.
+// MaxNameSize is the maximum size of a kind and of a name in bytes.
 const MaxNameSize = 253
 
 var errName = errors.New("kind and name must be 1 to 253 bytes of printable UTF-8 and not \".\" or \"..\"")
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// validName leaves out "." and "..", which HTTP clients and servers resolve as path steps.
+// validName rejects "." and "..", which HTTP clients and servers resolve as path segments.
 func validName(s string) bool {
 	if s == "" || s == "." || s == ".." || len(s) > MaxNameSize || !utf8.ValidString(s) {
 		return false
--- a/pkg/objectapi/log_eras.go
+++ b/pkg/objectapi/log_eras.go
@@ -6,7 +6,8 @@
 	"github.com/rs/zerolog"
 )
 
-// LogEras logs each era, the first one with level info, until the context ends, and returns the context's error.
+// LogEras logs each new era until ctx ends, the first one at level info and later ones as warnings. It returns the error
+// of ctx.
 func LogEras(ctx context.Context, eras *Eras, log zerolog.Logger) error {
 	for before := uint64(0); ; {
 		era, changed := eras.Changed()
--- a/pkg/objectapi/protocol.go
+++ b/pkg/objectapi/protocol.go
@@ -5,29 +5,29 @@
 	"net/http"
 )
 
-// Paths and parameters of the HTTP form of the API: objects are at /v1/{kind}/{name}, kinds at /v1/{kind}.
+// Paths and parameters of the HTTP protocol: objects are at /v1/{kind}/{name}, kinds at /v1/{kind}.
 const (
 	pathPrefix   = "/v1/"
 	paramWatch   = "watch"
 	paramVersion = "version"
 )
 
-// maxBodySize bounds a request or an answer about one object: the value in base64 and its frame.
+// maxBodySize bounds a request or a response with one object, in bytes: the value in base64 and the other fields.
 const maxBodySize = MaxValueSize*4/3 + 4096
 
-// listResponse is the body of an answer to a list.
+// listResponse is the body of the response to a list.
 type listResponse struct {
 	Items   []Object `json:"items"`
 	Version uint64   `json:"version"`
 }
 
-// watchResponse is the body of an answer to a watch.
+// watchResponse is the body of the response to a watch.
 type watchResponse struct {
 	Events  []Event `json:"events"`
 	Version uint64  `json:"version"`
 }
 
-// problem is the body of a failed answer.
+// problem is the body of an error response.
 type problem struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
@@ -53,8 +53,8 @@
 	return http.StatusInternalServerError
 }
 
-// ErrorOfStatus maps a status code other than success to a typed error. A code that does not say whether the write was done
-// is ErrOutcomeUnknown for a write.
+// ErrorOfStatus maps the status code of an error response to a typed error. For a write, a code that does not tell
+// whether it took effect is ErrOutcomeUnknown.
 func ErrorOfStatus(op Op, status int) error {
 	switch status {
 	case http.StatusNotFound:
--- a/pkg/objectapi/request.go
+++ b/pkg/objectapi/request.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Request is one HTTP call of an object API, of whichever protocol: its key is checked, its errors are typed, and its version and its
-// answer belong to an era.
+// Request is one HTTP call to an object API, independent of its protocol. Send validates the key, returns typed errors
+// and checks the eras of the version and of the response.
 type Request struct {
 	Op   Op
 	Kind Kind
@@ -18,14 +18,14 @@
 	Method string
 	URL    string
 	Body   []byte
-	// Version is the condition of a write or the position of a watch; it holds in its own era only.
+	// Version is the condition of a write or the position of a watch; it is valid in its own era only.
 	Version uint64
 	// Peer is the base URL of the API, for errors.
 	Peer string
 }
 
-// Send sends the request and returns the answer's head and its era. A write that got a connection but no answer is ErrOutcomeUnknown, since the API
-// may have done it. The caller closes the body, and reads it within the context.
+// Send sends the request and returns the response and its era. A write that got a connection but no response is
+// ErrOutcomeUnknown, since the API may have applied it. The caller must read the body before ctx ends, and close it.
 func (r Request) Send(ctx context.Context, client *http.Client, eras *Eras) (*http.Response, uint64, error) {
 	if err := r.checkKey(); err != nil {
 		return nil, 0, r.NewCallError(ErrInvalid, err)
@@ -46,13 +46,13 @@
 	}
 	era, err := r.responseEra(resp, eras)
 	if err != nil {
-		_ = resp.Body.Close() // The answer is left out.
+		_ = resp.Body.Close() // The response is discarded.
 		return nil, 0, err
 	}
 	return resp, era, nil
 }
 
-// responseEra returns the era of an answer, or the error of one that is left out.
+// responseEra returns the era of a response, or an error when the response has to be discarded.
 func (r Request) responseEra(resp *http.Response, eras *Eras) (uint64, error) {
 	era, err := eras.FromResponse(resp.Header)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return era, nil
 }
 
-// checkKey returns an error when the key cannot be sent.
+// checkKey returns an error when the kind or name is invalid.
 func (r Request) checkKey() error {
 	if r.Op == OpList || r.Op == OpWatch {
 		return CheckKind(r.Kind)
@@ -75,7 +75,7 @@
 	return CheckKey(r.Kind, r.Name)
 }
 
-// NewCallError returns the error of this call.
+// NewCallError returns a CallError for this request with a typed error and its cause.
 func (r Request) NewCallError(err, cause error) error {
 	return NewCallError(r.Op, r.Kind, r.Name, r.Peer, err, cause)
 }
--- a/pkg/objectapi/resolve.go
+++ b/pkg/objectapi/resolve.go
@@ -9,22 +9,22 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// Settings of the resolved writes.
+// Settings of CreateResolved and UpdateResolved.
 const (
 	resolveAttempts   = 8
 	resolveBackoffMin = 50 * time.Millisecond
 	resolveBackoffMax = 2 * time.Second
 )
 
-// ErrSuperseded comes with ErrOutcomeUnknown when another write stands in the place of one whose answer was lost, and
-// the history no longer tells whether that one took effect before. Where no writer replaces a value without keeping
-// its token, it means that the write did not take effect.
-var ErrSuperseded = errors.New("another write stands")
+// ErrSuperseded accompanies ErrOutcomeUnknown when another write has replaced the object after a response was lost, and
+// the history no longer shows whether the lost write took effect before that. If all writers keep the tokens of the
+// values that they replace, it means that the write did not take effect.
+var ErrSuperseded = errors.New("superseded by another write")
 
-var errToken = errors.New("the value does not hold the token")
+var errToken = errors.New("the value does not contain the token")
 
-// CreateResolved creates an object and resolves a lost answer: it looks for the token in the object, and creates it
-// again when there is none. The token must be unique to this write and part of the value. It returns
+// CreateResolved creates an object and resolves a lost response: it looks for the token in the object, and creates the
+// object again when it does not exist. The token must be unique to this write and part of the value. It returns
 // ErrOutcomeUnknown only when the store does not answer in time, or with ErrSuperseded.
 func CreateResolved(ctx context.Context, s Store, kind Kind, name string, value []byte, token string) (Object, error) {
 	w := resolver{
@@ -37,10 +37,10 @@
 	return w.run(ctx)
 }
 
-// UpdateResolved updates an object and resolves a lost answer: it looks for the token in the object and, when that was
-// replaced since, in its history, and sends the update again while the version is unchanged. The
-// token must be unique to this write and part of the value. It returns ErrConflict only when the write did not take
-// effect, and ErrOutcomeUnknown only when the store does not answer in time, or with ErrSuperseded.
+// UpdateResolved updates an object and resolves a lost response: it looks for the token in the object and, when that was
+// replaced since, in its history, and sends the update again while the version is unchanged. The token must be unique
+// to this write and part of the value. It returns ErrConflict only when the write did not take effect, and
+// ErrOutcomeUnknown only when the store does not answer in time, or with ErrSuperseded.
 func UpdateResolved(ctx context.Context, s Store, o Object, token string) (Object, error) {
 	w := resolver{
 		store: s,
@@ -52,14 +52,14 @@
 	return w.run(ctx)
 }
 
-// resolver carries one write until its outcome is known.
+// resolver performs one write and retries until its outcome is known.
 type resolver struct {
 	store Store
 	op    Op
 	in    Object
 	token string
 	send  func() (Object, error)
-	// maybeApplied says that an earlier attempt may have taken effect.
+	// maybeApplied is set when an earlier attempt may have taken effect.
 	maybeApplied bool
 }
 
@@ -82,8 +82,8 @@
 	return Object{}, w.fail(ErrOutcomeUnknown, last)
 }
 
-// attempt sends the write once and says whether the outcome is known. After a lost answer it reads first, which costs
-// the store less than a write.
+// attempt sends the write once and reports whether the outcome is known. After a lost response it reads first, which is
+// cheaper for the store than a write.
 func (w *resolver) attempt(ctx context.Context) (Object, error, bool) { //nolint:staticcheck // done qualifies both.
 	if w.maybeApplied {
 		o, err, again := w.readBack(ctx)
@@ -102,11 +102,11 @@
 	if !w.maybeApplied {
 		return Object{}, err, true
 	}
-	// A conflict may be with an earlier attempt that arrived late; the next reading tells.
+	// A conflict may be with an earlier attempt that took effect late; the next read back resolves it.
 	return Object{}, err, !errors.Is(err, ErrConflict) && !errors.Is(err, ErrUnavailable)
 }
 
-// readBack looks for the token after a lost answer. again says that the write did not take effect so far.
+// readBack looks for the token after a lost response. again is set when the write has not taken effect so far.
 func (w *resolver) readBack(ctx context.Context) (o Object, err error, again bool) { //nolint:staticcheck // As above.
 	o, err = w.store.Get(ctx, w.in.Kind, w.in.Name)
 	absent := errors.Is(err, ErrNotFound)
@@ -129,7 +129,7 @@
 	return o, err, false
 }
 
-// fromHistory finds the first change after the version of the condition: only that one can be this write.
+// fromHistory finds the first change of the object after the version of the condition: only that one can be this write.
 func (w *resolver) fromHistory(ctx context.Context) (Object, error) {
 	events, _, err := w.store.Watch(ctx, w.in.Kind, w.in.Version)
 	if errors.Is(err, ErrExpired) {
--- a/pkg/objectapi/store.go
+++ b/pkg/objectapi/store.go
@@ -10,17 +10,17 @@
 	// Kind and Name identify the object.
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Version rises with every change in the store, also when the store came back from an older copy: see MakeVersion. It is 0 for
-	// an object that does not exist.
+	// Version rises with every change in the store, even across a restore from an older copy: see MakeVersion. It is 0
+	// for an object that does not exist.
 	Version uint64 `json:"version"`
-	// Value is the content, at most MaxValueSize bytes.
+	// Value is the content, of at most MaxValueSize bytes.
 	Value []byte `json:"value"`
 }
 
-// MaxValueSize is the highest number of bytes of a value.
+// MaxValueSize is the maximum size of a value in bytes.
 const MaxValueSize = 1 << 20
 
-// EventType says what happened to an object.
+// EventType is the type of a change.
 type EventType string
 
 // Event types.
@@ -35,22 +35,24 @@
 	Object Object    `json:"object"`
 }
 
-// Store is the narrow interface to the object API. Every method returns one of the errors of this package:
-// ErrConflict, ErrNotFound, ErrExpired, ErrUnavailable or ErrOutcomeUnknown, wrapped with the step and the peer. In a later era
-// a condition on an earlier version never holds, and a watch from one has expired. When a conditional write met a later era that was not
-// known before, it is ErrOutcomeUnknown: it may have replaced an object that only had the same revision.
+// Store is the interface to the object API. Its methods return the errors of this package: ErrConflict, ErrNotFound,
+// ErrExpired, ErrUnavailable, ErrOutcomeUnknown or ErrInvalid, wrapped with the operation and the peer.
+//
+// In a later era a condition on a version of an earlier era never holds, and a watch from one has expired. A conditional
+// write that is the first call to reach a later era returns ErrOutcomeUnknown: it may have replaced another object that
+// had the same revision.
 type Store interface {
 	// Get returns an object, or ErrNotFound.
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
-	// List returns all objects of a kind and the store version of the snapshot, from which Watch may go on.
+	// List returns all objects of a kind and the store version of the snapshot, from which Watch can continue.
 	List(ctx context.Context, kind Kind) ([]Object, uint64, error)
 	// Create stores a new object, or returns ErrConflict when it exists.
 	Create(ctx context.Context, kind Kind, name string, value []byte) (Object, error)
-	// Update replaces the value when the stored version still is o.Version, or returns ErrConflict.
+	// Update replaces the value if the stored version is still o.Version, or returns ErrConflict.
 	Update(ctx context.Context, o Object) (Object, error)
-	// Delete removes the object when its version is version, or returns ErrConflict or ErrNotFound.
+	// Delete removes the object if its version is version, or returns ErrConflict or ErrNotFound.
 	Delete(ctx context.Context, kind Kind, name string, version uint64) error
-	// Watch waits for changes of a kind after version from. It returns the events in order of version and the version
-	// to go on from; no events when the wait time of the store passed; ErrExpired when from is too old.
+	// Watch waits for changes of a kind after version from. It returns the events in order of version, none when the
+	// store's wait time has passed, and the version to continue from. It returns ErrExpired when from is too old.
 	Watch(ctx context.Context, kind Kind, from uint64) ([]Event, uint64, error)
 }
--- a/pkg/objectapi/storetest/claim_test.go
+++ b/pkg/objectapi/storetest/claim_test.go
@@ -14,8 +14,8 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// TestClaims lets four claimants race for each of many names under lost answers. Exactly one may win a name, the one
-// whose token stands; since nobody replaces a claim, every other must learn that it lost.
+// TestClaims lets four claimants race to create each of many names under lost responses. Exactly the one whose token is
+// stored may win; since no claim is replaced, every other must get an error that says that it lost.
 func TestClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const claimants, names = 4, 200
--- a/pkg/objectapi/storetest/faults.go
+++ b/pkg/objectapi/storetest/faults.go
@@ -13,17 +13,17 @@
 type Injector interface {
 	// Refuse makes the store refuse every call until it is called with false.
 	Refuse(on bool)
-	// LoseAnswers lets the next n writes take effect and loses their answers.
+	// LoseAnswers lets the next n writes take effect and drops their responses.
 	LoseAnswers(n int)
-	// DropWrites loses all writes before they take effect until it is called with false.
+	// DropWrites drops all writes before they take effect until it is called with false.
 	DropWrites(on bool)
-	// ExpireWatches makes the store forget the events so far.
+	// ExpireWatches removes the events so far from the store's history.
 	ExpireWatches()
-	// Repeat makes every watch report up to n earlier events again.
+	// Repeat makes every watch return up to n earlier events again.
 	Repeat(n int)
 }
 
-// RunFaults tests the contract under faults against stores that newStore makes.
+// RunFaults tests the contract under faults against stores that newStore returns.
 func RunFaults(t *testing.T, newStore func(t *testing.T) (objectapi.Store, Injector)) {
 	for _, c := range writeFaults {
 		for _, w := range writes {
@@ -46,7 +46,7 @@
 	}
 }
 
-// writeFaults are the faults of a single write: the error that it must return and whether it took effect.
+// writeFaults are the faults of a single write, the error that it must return and whether it takes effect.
 var writeFaults = []struct {
 	name   string
 	inject func(Injector)
@@ -137,7 +137,7 @@
 	require.Equal(t, got, o)
 }
 
-// updateThenReplaced loses the answer of an update that takes effect and is replaced before it is read back.
+// updateThenReplaced loses the response to an update that takes effect and is replaced before it is read back.
 func updateThenReplaced(t *testing.T, s objectapi.Store, in Injector) {
 	o := create(t, s, "a", "one")
 	in.LoseAnswers(1)
@@ -151,7 +151,7 @@
 	require.Greater(t, got.Version, mine.Version)
 }
 
-// updateLostToAnother loses an update before it takes effect, and another write comes first.
+// updateLostToAnother drops an update before it takes effect, and another write replaces the object.
 func updateLostToAnother(t *testing.T, s objectapi.Store, in Injector) {
 	o := create(t, s, "a", "one")
 	in.DropWrites(true)
@@ -161,7 +161,7 @@
 	require.NotErrorIs(t, err, objectapi.ErrOutcomeUnknown)
 }
 
-// updateWithoutHistory cannot learn whether the update took effect, and must not say that it did not.
+// updateWithoutHistory checks that an update whose outcome cannot be determined is not reported as a conflict.
 func updateWithoutHistory(t *testing.T, s objectapi.Store, in Injector) {
 	o := create(t, s, "a", "one")
 	in.LoseAnswers(1)
@@ -172,7 +172,7 @@
 	require.NotErrorIs(t, err, objectapi.ErrConflict)
 }
 
-// informerRelists checks that an informer keeps an exact picture over expired watches and repeated events.
+// informerRelists checks that an informer's state is exact after expired watches and repeated events.
 func informerRelists(t *testing.T, s objectapi.Store, in Injector) {
 	in.Repeat(3)
 	f := follow(t, s)
@@ -188,7 +188,7 @@
 	f.waitFor(map[string]uint64{"b": b.Version, "c": c.Version})
 }
 
-// replacingStore puts another value in place of an object once, after the first update through it.
+// replacingStore replaces an object by another value once, after the first update through it.
 type replacingStore struct {
 	objectapi.Store
 	t             *testing.T
--- a/pkg/objectapi/storetest/follow.go
+++ b/pkg/objectapi/storetest/follow.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// follower keeps the picture that an informer gives, and fails the test when a version falls.
+// follower maintains the state that an informer delivers, and fails the test when a version decreases.
 type follower struct {
 	t       *testing.T
 	view    map[string]uint64
@@ -17,7 +17,7 @@
 	version uint64
 }
 
-// follow starts an informer that ends with the test.
+// follow starts an informer that stops with the test.
 func follow(t *testing.T, s objectapi.Store) *follower {
 	f := &follower{t: t, view: make(map[string]uint64), updates: make(chan map[string]uint64, 1000)}
 	cfg := objectapi.InformerConfig{
@@ -56,7 +56,7 @@
 	f.updates <- maps.Clone(f.view)
 }
 
-// waitFor waits for a picture; the test's own time limit ends a wait in vain.
+// waitFor waits until the view equals want. It relies on the test's timeout.
 func (f *follower) waitFor(want map[string]uint64) {
 	for got := range f.updates {
 		if maps.Equal(got, want) {
--- a/pkg/objectapi/storetest/linear_test.go
+++ b/pkg/objectapi/storetest/linear_test.go
@@ -27,14 +27,14 @@
 	value   string
 }
 
-// regResponse is what the caller learned.
+// regResponse is the outcome as the caller sees it.
 type regResponse struct {
 	version           uint64
 	value             string
 	conflict, unknown bool
 }
 
-// regState is the object; version 0 stands for one that nobody has seen yet.
+// regState is the state of the object; version 0 represents a version that no caller has seen yet.
 type regState struct {
 	version uint64
 	value   string
@@ -51,7 +51,7 @@
 	},
 }
 
-// regStep returns the states that a call may leave, none when the answer is impossible.
+// regStep returns the states that a call may lead to, none when the response is impossible.
 func regStep(s regState, in regCall, out regResponse) []regState {
 	seen := s.version != 0
 	if !in.update {
@@ -89,7 +89,7 @@
 	return objectapi.UpdateResolved(ctx, s, o, token)
 }
 
-// resending sends an update again after a lost answer and takes the conflict with itself for another's.
+// resending sends an update again after a lost response and mistakes a conflict with its own write for another's.
 func resending(ctx context.Context, s objectapi.Store, o objectapi.Object, _ string) (objectapi.Object, error) {
 	out, err := s.Update(ctx, o)
 	if errors.Is(err, objectapi.ErrOutcomeUnknown) {
@@ -98,7 +98,8 @@
 	return out, err
 }
 
-// TestLinearizable checks histories of racing updates under lost answers, and that the check sees broken variants.
+// TestLinearizable checks histories of concurrent updates under lost responses, and that the check rejects broken
+// variants.
 func TestLinearizable(t *testing.T) {
 	const seeds = 20
 	for _, c := range []struct {
@@ -128,7 +129,7 @@
 	}
 }
 
-// outcomes counts the answers to updates.
+// outcomes counts the outcomes of updates.
 type outcomes struct{ won, conflicts, unknown int }
 
 func (n *outcomes) count(history []porcupine.Operation) {
@@ -152,7 +153,7 @@
 	return history
 }
 
-// race lets clients read and update one object for a while and returns the history.
+// race lets clients read and update one object concurrently and returns the history.
 func race(t *testing.T, seed uint64, update updater) []porcupine.Operation {
 	mem := store.New(store.Config{Seed: seed})
 	_, err := mem.Create(t.Context(), linearKind, "a", nil)
@@ -177,7 +178,7 @@
 	return h.operations
 }
 
-// recorder notes calls and answers in the order of a counter.
+// recorder records calls and responses in the order of a shared counter.
 type recorder struct {
 	clock      atomic.Int64
 	mu         sync.Mutex
--- a/pkg/objectapi/storetest/run.go
+++ b/pkg/objectapi/storetest/run.go
@@ -15,7 +15,7 @@
 
 const kind objectapi.Kind = "thing"
 
-// Run tests the contract against stores that newStore makes; each must be empty and without faults.
+// Run tests the contract against stores that newStore returns; each must be empty and without faults.
 func Run(t *testing.T, newStore func(t *testing.T) objectapi.Store) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { c.run(t, newStore(t)) })
@@ -222,7 +222,7 @@
 	return o
 }
 
-// watch collects at least n events after a version; a store may hand them over in several parts.
+// watch collects at least n events after a version, with as many watch calls as the store needs.
 func watch(t *testing.T, s objectapi.Store, from uint64, n int) ([]objectapi.Event, uint64) {
 	t.Helper()
 	var out []objectapi.Event
--- a/pkg/objectapi/storetest/store_test.go
+++ b/pkg/objectapi/storetest/store_test.go
@@ -22,7 +22,7 @@
 	return objectapi.NewClient(srv.URL, objectapi.Options{}), store.NewInjector(s)
 }
 
-// budgeted has a rate that the suite cannot reach, to test that wrapping keeps the contract.
+// budgeted wraps a store in a Budgeted whose rate the suite cannot reach, to test that wrapping keeps the contract.
 func budgeted(t *testing.T) (objectapi.Store, storetest.Injector) {
 	s, in := overHTTP(t)
 	return objectapi.NewBudgeted(s, objectapi.BudgetConfig{Rate: 1e6, Burst: 1e6}), in
--- a/pkg/objectapi/typed.go
+++ b/pkg/objectapi/typed.go
@@ -15,17 +15,17 @@
 	Value   T
 }
 
-// TypedList is the decoded answer to a list.
+// TypedList is the decoded result of a list.
 type TypedList[T any] struct {
 	// Items are the objects that could be decoded.
 	Items []Typed[T]
-	// Malformed has one error for each object that could not, so that one bad object does not hide the others.
+	// Malformed has one error for each object that could not be decoded, so that it does not hide the others.
 	Malformed []error
 	// Version is the store version of the snapshot.
 	Version uint64
 }
 
-// Decode reads the JSON value of an object. It returns ErrInvalid when the value is not a T.
+// Decode decodes the JSON value of an object. It returns ErrInvalid when that fails.
 func Decode[T any](o Object) (Typed[T], error) {
 	t := Typed[T]{Kind: o.Kind, Name: o.Name, Version: o.Version}
 	if err := json.Unmarshal(o.Value, &t.Value); err != nil {
@@ -34,7 +34,7 @@
 	return t, nil
 }
 
-// Encode writes the value as JSON into an object.
+// Encode returns an object with the value as JSON, or ErrInvalid when the value cannot be encoded.
 func Encode[T any](t Typed[T]) (Object, error) {
 	b, err := json.Marshal(t.Value)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return t, err
 }
 
-// UpdateTyped replaces the value when the stored version still is t.Version, and returns it with the new version.
+// UpdateTyped replaces the value if the stored version is still t.Version, and returns it with the new version.
 func UpdateTyped[T any](ctx context.Context, s Store, t Typed[T]) (Typed[T], error) {
 	o, err := Encode(t)
 	if err != nil {
