--- a/pkg/dsrd/evacuation_reader.go
+++ b/pkg/dsrd/evacuation_reader.go
@@ -85,7 +85,7 @@
 func (e *evacuationReader) adoptMembers() {
 	read, known := evacuation.FromMembers(e.revision, e.members), e.known()
 	if known.Known() && objectapi.EraOf(known.Version) < objectapi.EraOf(e.revision) {
-		e.keepUntil = time.Now().Add(objectapi.RestoredWait)
+		e.keepUntil = time.Now().Add(objectapi.RestoreGracePeriod)
 	}
 	both := read.Union(known)
 	if e.keepUntil.IsZero() || both.Equal(read) {
--- a/pkg/dsrd/evacuation_reader_test.go
+++ b/pkg/dsrd/evacuation_reader_test.go
@@ -226,7 +226,7 @@
 
 func TestABalancerReadsEvacuationsWhileAnOlderReleaseWatchesThem(t *testing.T) {
 	b := testBalancer(t)
-	b.eras.See(1)
+	b.eras.Observe(1)
 	b.applyReadEvacuations(evacuation.NewSet(store.Version(1, 9), nil))
 	require.False(t, b.readsEvacuations(), "another balancer watches")
 	now := time.Now()
--- a/pkg/dsrd/gossip.go
+++ b/pkg/dsrd/gossip.go
@@ -144,7 +144,7 @@
 	}
 	b.addBalancers(now, decodeAddresses(r.Balancers))
 	b.compareConfiguration(now, from, m)
-	b.reportedEras.See(r.Era)
+	b.reportedEras.Observe(r.Era)
 	b.receiveEvacuations(now, m.Evacuations)
 	if agents := decodeAddresses(r.Agents); len(agents) > 0 {
 		b.requestAgents = false
--- a/pkg/objectapi/request.go
+++ b/pkg/objectapi/request.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Request is one HTTP call of an object API, of whichever protocol: its key is checked, its errors are typed, and its version and its
-// answer belong to an era.
+// Request is one HTTP call to an object API, independent of its protocol. Send validates the key, returns typed errors
+// and checks the eras of the version and of the response.
 type Request struct {
 	Op   Op
 	Kind Kind
@@ -18,56 +18,56 @@
 	Method string
 	URL    string
 	Body   []byte
-	// Version is the condition of a write or the position of a watch; it holds in its own era only.
+	// Version is the condition of a write or the position of a watch; it is valid in its own era only.
 	Version uint64
 	// Peer is the base URL of the API, for errors.
 	Peer string
 }
 
-// Send sends the request and returns the answer's head and its era. A write that got a connection but no answer is ErrOutcomeUnknown, since the API
-// may have done it. The caller closes the body, and reads it within the context.
+// Send sends the request and returns the response and its era. A write that got a connection but no response is
+// ErrOutcomeUnknown, since the API may have applied it. The caller must read the body before ctx ends, and close it.
 func (r Request) Send(ctx context.Context, client *http.Client, eras *Eras) (*http.Response, uint64, error) {
 	if err := r.checkKey(); err != nil {
-		return nil, 0, r.Fail(ErrInvalid, err)
+		return nil, 0, r.NewCallError(ErrInvalid, err)
 	}
-	if err := eras.checkSent(r.Op, r.Version); err != nil {
-		return nil, 0, r.Fail(err, nil)
+	if err := eras.checkRequest(r.Op, r.Version); err != nil {
+		return nil, 0, r.NewCallError(err, nil)
 	}
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
-		return nil, 0, r.Fail(ErrInvalid, err)
+		return nil, 0, r.NewCallError(ErrInvalid, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, 0, r.Fail(Unanswered(r.Op, sent.Load()), err)
+		return nil, 0, r.NewCallError(ErrorWithoutResponse(r.Op, sent.Load()), err)
 	}
-	era, err := r.eraOf(resp, eras)
+	era, err := r.responseEra(resp, eras)
 	if err != nil {
-		_ = resp.Body.Close() // The answer is left out.
+		_ = resp.Body.Close() // The response is discarded.
 		return nil, 0, err
 	}
 	return resp, era, nil
 }
 
-// eraOf returns the era of an answer, or the error of one that is left out.
-func (r Request) eraOf(resp *http.Response, eras *Eras) (uint64, error) {
-	era, err := eras.OfAnswer(resp.Header)
+// responseEra returns the era of a response, or an error when the response has to be discarded.
+func (r Request) responseEra(resp *http.Response, eras *Eras) (uint64, error) {
+	era, err := eras.FromResponse(resp.Header)
 	if err != nil {
-		return 0, r.Fail(Unanswered(r.Op, true), err)
+		return 0, r.NewCallError(ErrorWithoutResponse(r.Op, true), err)
 	}
 	if resp.StatusCode/100 != 2 {
 		return era, nil
 	}
-	if err := checkAnswered(r.Op, r.Version, era); err != nil {
-		return 0, r.Fail(err, nil)
+	if err := checkResponse(r.Op, r.Version, era); err != nil {
+		return 0, r.NewCallError(err, nil)
 	}
 	return era, nil
 }
 
-// checkKey returns an error when the key cannot be sent.
+// checkKey returns an error when the kind or name is invalid.
 func (r Request) checkKey() error {
 	if r.Op == OpList || r.Op == OpWatch {
 		return CheckKind(r.Kind)
@@ -75,7 +75,7 @@
 	return CheckKey(r.Kind, r.Name)
 }
 
-// Fail returns the error of this call.
-func (r Request) Fail(kind, cause error) error {
-	return Fail(r.Op, r.Kind, r.Name, r.Peer, kind, cause)
+// NewCallError returns a CallError for this request with a typed error and its cause.
+func (r Request) NewCallError(err, cause error) error {
+	return NewCallError(r.Op, r.Kind, r.Name, r.Peer, err, cause)
 }
--- a/pkg/objectapi/storetest/linear_test.go
+++ b/pkg/objectapi/storetest/linear_test.go
@@ -27,14 +27,14 @@
 	value   string
 }
 
-// regAnswer is what the caller learned.
-type regAnswer struct {
+// regResponse is the outcome as the caller sees it.
+type regResponse struct {
 	version           uint64
 	value             string
 	conflict, unknown bool
 }
 
-// regState is the object; version 0 stands for one that nobody has seen yet.
+// regState is the state of the object; version 0 represents a version that no caller has seen yet.
 type regState struct {
 	version uint64
 	value   string
@@ -44,15 +44,15 @@
 	Init: func() []any { return []any{regState{}} },
 	Step: func(state, in, out any) []any {
 		var next []any
-		for _, s := range regStep(state.(regState), in.(regCall), out.(regAnswer)) {
+		for _, s := range regStep(state.(regState), in.(regCall), out.(regResponse)) {
 			next = append(next, s)
 		}
 		return next
 	},
 }
 
-// regStep returns the states that a call may leave, none when the answer is impossible.
-func regStep(s regState, in regCall, out regAnswer) []regState {
+// regStep returns the states that a call may lead to, none when the response is impossible.
+func regStep(s regState, in regCall, out regResponse) []regState {
 	seen := s.version != 0
 	if !in.update {
 		if s.value != out.value || seen && s.version != out.version {
@@ -89,8 +89,8 @@
 	return objectapi.UpdateResolved(ctx, s, o, token)
 }
 
-// careless sends an update again after a lost answer and takes the conflict with itself for another's.
-func careless(ctx context.Context, s objectapi.Store, o objectapi.Object, _ string) (objectapi.Object, error) {
+// resending sends an update again after a lost response and mistakes a conflict with its own write for another's.
+func resending(ctx context.Context, s objectapi.Store, o objectapi.Object, _ string) (objectapi.Object, error) {
 	out, err := s.Update(ctx, o)
 	if errors.Is(err, objectapi.ErrOutcomeUnknown) {
 		return s.Update(ctx, o)
@@ -98,7 +98,8 @@
 	return out, err
 }
 
-// TestLinearizable checks histories of racing updates under lost answers, and that the check sees broken variants.
+// TestLinearizable checks histories of concurrent updates under lost responses, and that the check rejects broken
+// variants.
 func TestLinearizable(t *testing.T) {
 	const seeds = 20
 	for _, c := range []struct {
@@ -108,7 +109,7 @@
 	}{
 		{"Resolved", objectapi.UpdateResolved, false},
 		{"Unconditional", unconditional, true},
-		{"Careless", careless, true},
+		{"Careless", resending, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			wrong := 0
@@ -128,12 +129,12 @@
 	}
 }
 
-// outcomes counts the answers to updates.
+// outcomes counts the outcomes of updates.
 type outcomes struct{ won, conflicts, unknown int }
 
 func (n *outcomes) count(history []porcupine.Operation) {
 	for _, op := range history {
-		out := op.Output.(regAnswer)
+		out := op.Output.(regResponse)
 		switch {
 		case !op.Input.(regCall).update:
 		case out.unknown:
@@ -152,7 +153,7 @@
 	return history
 }
 
-// race lets clients read and update one object for a while and returns the history.
+// race lets clients read and update one object concurrently and returns the history.
 func race(t *testing.T, seed uint64, update updater) []porcupine.Operation {
 	mem := store.New(store.Config{Seed: seed})
 	_, err := mem.Create(t.Context(), linearKind, "a", nil)
@@ -177,14 +178,14 @@
 	return h.operations
 }
 
-// recorder notes calls and answers in the order of a counter.
+// recorder records calls and responses in the order of a shared counter.
 type recorder struct {
 	clock      atomic.Int64
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-func (h *recorder) note(client int, in regCall, out regAnswer, began int64) {
+func (h *recorder) record(client int, in regCall, out regResponse, began int64) {
 	op := porcupine.Operation{ClientId: client, Input: in, Output: out, Call: began, Return: h.clock.Add(1)}
 	if out.unknown {
 		op.Return = math.MaxInt64
@@ -198,7 +199,7 @@
 	began := h.clock.Add(1)
 	o, err := s.Get(ctx, linearKind, "a")
 	if err == nil {
-		h.note(client, regCall{}, regAnswer{version: o.Version, value: string(o.Value)}, began)
+		h.record(client, regCall{}, regResponse{version: o.Version, value: string(o.Value)}, began)
 	}
 	return o, err
 }
@@ -207,7 +208,7 @@
 	began := h.clock.Add(1)
 	in := regCall{update: true, version: o.Version, value: token}
 	got, err := f(ctx, s, o, token)
-	h.note(client, in, regAnswer{
+	h.record(client, in, regResponse{
 		version:  got.Version,
 		conflict: errors.Is(err, objectapi.ErrConflict),
 		unknown:  err != nil && !errors.Is(err, objectapi.ErrConflict),
