--- a/pkg/agentd/announcehandler.go
+++ b/pkg/agentd/announcehandler.go
@@ -66,10 +66,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.draining {
-		return trace.CompareFailed("target is draining or has drained; restart the agent to serve again")
+		return trace.CompareFailed("the target has drained; restart the agent to serve again")
 	}
 	if h.known && h.current != a {
-		return trace.CompareFailed("already announced with other values; drain and restart the agent to change them")
+		return trace.CompareFailed("announced before with other values; drain and restart the agent to change them")
 	}
 	if !h.known {
 		h.known, h.current = true, a
