--- a/internal/lab/experiment/arguments.go
+++ b/internal/lab/experiment/arguments.go
@@ -13,14 +13,14 @@
 func (r Run) Arguments() []string {
 	args := []string{r.Command}
 	for _, key := range slices.Sorted(maps.Keys(r.Options)) {
-		// Parse has checked the values.
+		// Parse has already validated the values.
 		list, _ := arguments(key, r.Options[key])
 		args = append(args, list...)
 	}
 	return args
 }
 
-// arguments returns the arguments for one option.
+// arguments returns the arguments for one option: one for each element of a list, none for false.
 func arguments(key string, value any) ([]string, error) {
 	switch v := value.(type) {
 	case bool:
@@ -55,7 +55,7 @@
 	case float64:
 		return strconv.FormatFloat(v, 'g', -1, 64), nil
 	}
-	return "", trace.BadParameter("%s; give text, a number, a boolean, or a list of texts or numbers", kindOf(value))
+	return "", trace.BadParameter("%s; want a string, a number, a boolean, or a list of strings or numbers", kindOf(value))
 }
 
 func kindOf(value any) string {
@@ -63,9 +63,9 @@
 	case map[string]any:
 		return "is a table"
 	case []any:
-		return "is a list in a list"
+		return "is a nested list"
 	case bool:
-		return "is a list with a boolean"
+		return "is a list that contains a boolean"
 	}
-	return fmt.Sprintf("%v is of another kind", value)
+	return fmt.Sprintf("%v has an unsupported type", value)
 }
--- a/internal/lab/experiment/doc.go
+++ b/internal/lab/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment reads experiment files, which list runs of the lab's commands with their options, and prints what
-// the runs measured.
+// Package experiment reads experiment files, which list runs of the lab's commands with their options, executes them and
+// prints their measurements.
 package experiment
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -33,20 +33,20 @@
 	require.Equal(t, []string{"flows"}, f.Runs[1].Arguments())
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"empty":          {"", "there is no [[run]]"},
 		"unknown key":    {"[[run]]\nname = \"a\"\ncomand = \"flows\"\n", "line 3: run.comand is not a known key"},
-		"no TOML":        {"[[run", "line 1"},
+		"not TOML":       {"[[run", "line 1"},
 		"wrong type":     {"[[run]]\nname = 3\n", "line 2"},
 		"no name":        {"[[run]]\ncommand = \"flows\"\n", "run 1: name is missing"},
-		"no command":     {"[[run]]\nname = \"a\"\n", `run 1: command "" is no command`},
-		"dashes":         {"[[run]]\nname = \"a\"\ncommand = \"--help\"\n", `run 1: command "--help" is no command`},
+		"no command":     {"[[run]]\nname = \"a\"\n", `run 1: command "" is not a valid command name`},
+		"dashes":         {"[[run]]\nname = \"a\"\ncommand = \"--help\"\n", `run 1: command "--help" is not a valid command name`},
 		"table":          {"[[run]]\nname = \"a\"\ncommand = \"flows\"\n[run.options.x]\ny = 1\n", "run 1: options.x: is a table"},
-		"option's name":  {"[[run]]\nname = \"a\"\ncommand = \"flows\"\n[run.options]\n\"a=b\" = 1\n", "run 1: options.a=b: is no name"},
-		"nested list":    {"[[run]]\nname = \"a\"\ncommand = \"flows\"\noptions = {a = [[1]]}\n", "run 1: options.a: is a list in a list"},
-		"date":           {"[[run]]\nname = \"a\"\ncommand = \"flows\"\noptions = {a = 2020-01-01}\n", "run 1: options.a: 2020-01-01 is of another kind"},
-		"name used once": {"[[run]]\nname = \"a\"\ncommand = \"x\"\n[[run]]\nname = \"a\"\ncommand = \"x\"\n", `run 2: the name "a" is used before`},
+		"option name":    {"[[run]]\nname = \"a\"\ncommand = \"flows\"\n[run.options]\n\"a=b\" = 1\n", "run 1: options.a=b: is not a valid option name"},
+		"nested list":    {"[[run]]\nname = \"a\"\ncommand = \"flows\"\noptions = {a = [[1]]}\n", "run 1: options.a: is a nested list"},
+		"date":           {"[[run]]\nname = \"a\"\ncommand = \"flows\"\noptions = {a = 2020-01-01}\n", "run 1: options.a: 2020-01-01 has an unsupported type"},
+		"duplicate name": {"[[run]]\nname = \"a\"\ncommand = \"x\"\n[[run]]\nname = \"a\"\ncommand = \"x\"\n", `run 2: duplicate name "a"`},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	require.Contains(t, table.String(), "2 flows broke")
 }
 
-func TestEndedContextStopsTheRuns(t *testing.T) {
+func TestExecuteStopsWhenContextEnds(t *testing.T) {
 	f, err := Parse([]byte(example))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -91,7 +91,7 @@
 	require.Len(t, outcomes, 1)
 }
 
-// No file may make the parser fail otherwise than by an error, and no option may turn into another argument.
+// Parse must not panic on any input, and the key or value of an option must not be read as another argument.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
 	f.Add([]byte("[[run]]\nname = \"a\"\ncommand = \"flows\"\noptions = {a = [1, \"b\"], c = 1e300}\n"))
--- a/internal/lab/experiment/outcome.go
+++ b/internal/lab/experiment/outcome.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Outcome is what one run gave.
+// Outcome is the result of one run.
 type Outcome struct {
-	// Name and Command are those of the run.
+	// Name and Command are copied from the run.
 	Name    string `json:"name"`
 	Command string `json:"command"`
-	// Seconds is how long the run took.
+	// Seconds is the duration of the run.
 	Seconds float64 `json:"seconds"`
-	// Measured has one entry for each line of figures that the run printed.
+	// Measured has one entry for each line of key=value pairs that the run printed.
 	Measured []Figures `json:"measured"`
-	// Error is the broken promise or the failure; empty when the run passed.
+	// Error is the violated guarantee or the failure; empty when the run passed.
 	Error string `json:"error,omitempty"`
 }
 
-// Figures are the key=value pairs of one line.
+// Figures are the key=value pairs of one line of output.
 type Figures []Figure
 
 // Figure is one measured value.
@@ -28,7 +28,7 @@
 	Value string `json:"value"`
 }
 
-// get returns the value of a key.
+// get returns the value of a key, or "" if the key is missing.
 func (f Figures) get(key string) string {
 	for _, one := range f {
 		if one.Key == key {
@@ -40,8 +40,8 @@
 
 var pair = regexp.MustCompile(`^([a-z][a-z0-9_]*)=(\S+)$`)
 
-// figures returns the lines of the output that hold nothing but key=value pairs: what the commands end with.
-func figures(output []byte) []Figures {
+// parseOutput returns the lines of a command's output that consist only of key=value pairs.
+func parseOutput(output []byte) []Figures {
 	var out []Figures
 	for line := range bytes.Lines(output) {
 		if f := parseFigures(string(line)); f != nil {
@@ -51,6 +51,7 @@
 	return out
 }
 
+// parseFigures returns nil if the line is empty or has a word that is not a key=value pair.
 func parseFigures(line string) Figures {
 	var f Figures
 	for _, word := range strings.Fields(line) {
--- a/internal/lab/experiment/parse.go
+++ b/internal/lab/experiment/parse.go
@@ -17,10 +17,10 @@
 // MaxFileSize is the largest experiment file in bytes.
 const MaxFileSize = 1 << 20
 
-// optionName is the form of the long name of an option; it keeps a key from turning into another argument.
+// optionName matches long option names. It prevents a key such as "a=b" from being read as another argument.
 var optionName = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 
-// Load reads the file at path. The error names the path and each mistake.
+// Load reads the file at path. The error contains the path and one line for each mistake.
 func Load(path string) (File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -40,17 +40,17 @@
 	return f, nil
 }
 
-// Parse reads an experiment. The error has one line for each mistake.
+// Parse decodes and validates an experiment. The error has one line for each mistake.
 func Parse(text []byte) (File, error) {
 	var f File
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&f)
 	if err != nil {
 		return File{}, describe(err)
 	}
-	return f, f.check()
+	return f, f.validate()
 }
 
-// describe names the line and the key of what could not be decoded.
+// describe converts a decoding error to one that states the line and, where known, the key or the column.
 func describe(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -69,7 +69,7 @@
 	return trace.BadParameter("%v", err)
 }
 
-func (f File) check() error {
+func (f File) validate() error {
 	var errs []error
 	if len(f.Runs) == 0 {
 		errs = append(errs, trace.BadParameter("there is no [[run]]"))
@@ -80,7 +80,7 @@
 			errs = append(errs, trace.BadParameter("run %d: %s", i+1, reason))
 		}
 		if seen[r.Name] {
-			errs = append(errs, trace.BadParameter("run %d: the name %q is used before", i+1, r.Name))
+			errs = append(errs, trace.BadParameter("run %d: duplicate name %q", i+1, r.Name))
 		}
 		seen[r.Name] = true
 	}
@@ -93,11 +93,11 @@
 		out = append(out, "name is missing")
 	}
 	if !optionName.MatchString(r.Command) {
-		out = append(out, fmt.Sprintf("command %q is no command", r.Command))
+		out = append(out, fmt.Sprintf("command %q is not a valid command name", r.Command))
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.Options)) {
 		if !optionName.MatchString(key) {
-			out = append(out, fmt.Sprintf("options.%s: is no name of an option", key))
+			out = append(out, fmt.Sprintf("options.%s: is not a valid option name", key))
 			continue
 		}
 		if _, err := arguments(key, r.Options[key]); err != nil {
--- a/internal/lab/experiment/print.go
+++ b/internal/lab/experiment/print.go
@@ -10,14 +10,14 @@
 	"github.com/gravitational/trace"
 )
 
-// PrintJSON writes the outcomes as one JSON list.
+// PrintJSON writes the outcomes as one JSON array.
 func PrintJSON(w io.Writer, outcomes []Outcome) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return trace.Wrap(e.Encode(outcomes))
 }
 
-// PrintTable writes a table for each command: a row for each line of figures, a column for each key.
+// PrintTable writes one table for each command, with a row for each line of figures and a column for each key.
 func PrintTable(w io.Writer, outcomes []Outcome) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i, command := range commandsOf(outcomes) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// keysOf returns the keys of a command's figures in the order in which they first appear.
+// keysOf returns the keys of a command's figures in order of first appearance.
 func keysOf(command string, outcomes []Outcome) []string {
 	var keys []string
 	seen := make(map[string]bool)
