--- a/internal/lab/command/bound.go
+++ b/internal/lab/command/bound.go
@@ -7,25 +7,26 @@
 	"github.com/auburnwood/auburnwood/internal/lab/policy"
 )
 
-// boundCommand works out what any system could serve around a loss of power, and plays this one's decisions beside it.
+// boundCommand computes an upper bound on the requests that any system could serve around a power loss, and simulates the
+// decisions of pass-through services under the same load for comparison.
 type boundCommand struct {
 	Balancers int           `long:"balancers" default:"5" description:"Number of balancers"`
 	Targets   int           `long:"targets" default:"12" description:"Number of targets"`
-	Slots     int           `long:"slots" default:"2" description:"Requests that a target works on at once"`
-	Work      time.Duration `long:"work" default:"25ms" description:"Mean time of a request"`
+	Slots     int           `long:"slots" default:"2" description:"Requests that a target serves concurrently"`
+	Work      time.Duration `long:"work" default:"25ms" description:"Mean service time of a request"`
 	Rate      float64       `long:"rate" default:"400" description:"Requests a second"`
-	Aim       time.Duration `long:"aim" default:"120ms" description:"Response time that callers are promised"`
-	Budget    time.Duration `long:"budget" default:"1200ms" description:"Time after which callers give up"`
+	Aim       time.Duration `long:"aim" default:"120ms" description:"Response time promised to callers"`
+	Budget    time.Duration `long:"budget" default:"1200ms" description:"Time after which callers abandon a request"`
 	Caller    time.Duration `long:"caller-delay" default:"3ms" description:"One-way delay between callers and balancers"`
-	Dark      time.Duration `long:"dark" default:"1400ms" description:"How long everything is without power, until its processes run again"`
-	ColdTime  time.Duration `long:"cold-time" default:"2s" description:"How long targets are slow after their start"`
-	Cold      float64       `long:"cold-factor" default:"1.6" description:"How much longer they work then"`
-	ColdRate  float64       `long:"cold-per-second" description:"New flows that a cold target takes in a second; 0 for no limit"`
+	Outage      time.Duration `long:"dark" default:"1400ms" description:"Duration of the power loss, until the processes run again"`
+	ColdTime  time.Duration `long:"cold-time" default:"2s" description:"How long targets are cold (slow) after their start"`
+	Cold      float64       `long:"cold-factor" default:"1.6" description:"Factor on the service time of a cold target"`
+	ColdRate  float64       `long:"cold-per-second" description:"New flows that a cold target accepts per second; 0 for no limit"`
 	Length    time.Duration `long:"length" default:"12s" description:"How long callers send requests; power is lost after 3 s"`
 	Seeds     int           `long:"seeds" default:"3" description:"Number of seeds"`
 }
 
-// options are those of a run with a seed.
+// options returns the simulation options for one seed.
 func (c *boundCommand) options(seed int) policy.Options {
 	o := policy.Defaults()
 	o.Seed = uint64(seed)
@@ -33,7 +34,7 @@
 	o.Load = c.Rate * c.Work.Seconds() / float64(c.Targets*c.Slots)
 	o.Aim, o.Budget, o.Caller, o.Length = c.Aim, c.Budget, c.Caller, c.Length
 	o.ColdTime, o.ColdFactor, o.ColdPerSecond, o.CrashTime = c.ColdTime, c.Cold, c.ColdRate, time.Second
-	o.Faults = []policy.Fault{{Kind: policy.PowerLoss, At: 3 * time.Second, For: c.Dark, Share: 1}}
+	o.Faults = []policy.Fault{{Kind: policy.PowerLoss, At: 3 * time.Second, For: c.Outage, Share: 1}}
 	return o
 }
 
--- a/internal/lab/command/bound_test.go
+++ b/internal/lab/command/bound_test.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-func TestTheBoundStandsBesideWhatIsReached(t *testing.T) {
+func TestBoundCommand(t *testing.T) {
 	var out, errOut bytes.Buffer
 	require.Equal(t, telemetry.ExitOK, Main(t.Context(), []string{"bound", "--seeds", "1", "--dark", "0s", "--length", "1s"}, &out, &errOut), errOut.String())
 	require.Contains(t, out.String(), "bound: asked=")
--- a/internal/lab/command/capacity.go
+++ b/internal/lab/command/capacity.go
@@ -8,10 +8,10 @@
 )
 
 type capacityCommand struct {
-	Out    string   `long:"out" value-name:"FILE" default:"docs/CAPACITY.md" description:"Page whose tables are written"`
+	Out    string   `long:"out" value-name:"FILE" default:"docs/CAPACITY.md" description:"Page in which the tables are replaced"`
 	Plots  string   `long:"plots" value-name:"DIRECTORY" default:"docs/img" description:"Directory of the plots"`
-	Only   []string `long:"only" value-name:"PROBE" description:"Measure this probe only and keep the other samples; may be given several times"`
-	Render bool     `long:"render" description:"Write the tables from the kept samples and measure nothing"`
+	Only   []string `long:"only" value-name:"PROBE" description:"Measure only this probe and keep the samples of the others; may be given several times"`
+	Render bool     `long:"render" description:"Write the tables from the stored samples without measuring"`
 }
 
 func (c *capacityCommand) run(e env) error {
@@ -24,7 +24,7 @@
 	})
 }
 
-// terminalOf returns w when it is a terminal, and nil otherwise.
+// terminalOf returns w if it is a character device such as a terminal, and nil otherwise.
 func terminalOf(w io.Writer) io.Writer {
 	f, ok := w.(*os.File)
 	if !ok {
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -10,24 +10,24 @@
 )
 
 type demoCommand struct {
-	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" choice:"both" default:"both" description:"Whose services and targets"`
-	Seed       uint64 `long:"seed" default:"1" description:"Makes the run repeatable"`
+	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" choice:"both" default:"both" description:"Deployment whose services and targets are used"`
+	Seed       uint64 `long:"seed" default:"1" description:"Seed of the random choices"`
 }
 
-// Sizes of the demo's run of pass-through flows.
+// Parameters of the demo's pass-through run.
 const (
 	passThroughBalancers = 3
 	passThroughFlows     = 150
 	passThroughWindow    = 4 * time.Second
 )
 
-// passThrough runs flows whose packets go to the targets as they are, through changes and deaths.
-func (c *demoCommand) passThrough(e env, deployment string) error {
+// runPassThrough runs pass-through flows during planned changes and kills of balancers and agents.
+func (c *demoCommand) runPassThrough(e env, deployment string) error {
 	faults, err := flows.ParseFaults("planned,balancer-kill,agent-kill")
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(e.out, "pass-through services of %s, while balancers and targets come, go and die:\n", deployment)
+	_, _ = fmt.Fprintf(e.out, "pass-through services of %s, while balancers and targets are added, removed and killed:\n", deployment)
 	_, err = passthrough.Run(e.ctx, passthrough.Options{
 		Deployment: deployment,
 		Balancers:  passThroughBalancers,
@@ -49,7 +49,7 @@
 		if err := demo.Run(e.ctx, o, e.out); err != nil {
 			return err
 		}
-		if err := c.passThrough(e, d.Name); err != nil {
+		if err := c.runPassThrough(e, d.Name); err != nil {
 			return err
 		}
 		_, _ = fmt.Fprintln(e.out)
--- a/internal/lab/command/doc.go
+++ b/internal/lab/command/doc.go
@@ -1,2 +1,2 @@
-// Package command is the command line of auburnwood-lab.
+// Package command implements the command line of auburnwood-lab.
 package command
--- a/internal/lab/command/main.go
+++ b/internal/lab/command/main.go
@@ -14,13 +14,13 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-// global are the options of every command.
+// global holds the options common to all commands.
 type global struct {
 	LogLevel string `long:"log-level" default:"disabled" value-name:"LEVEL" description:"Level of the processes' log lines on standard error"`
 	Version  bool   `long:"version" description:"Print the version and exit"`
 }
 
-// env is what a command works with.
+// env is the environment that a command runs in.
 type env struct {
 	ctx    context.Context
 	out    io.Writer
@@ -28,7 +28,7 @@
 	log    zerolog.Logger
 }
 
-// runner is one command with its options.
+// runner is a command with its parsed options.
 type runner interface {
 	run(e env) error
 }
@@ -40,22 +40,22 @@
 
 func commands() []commandInfo {
 	return []commandInfo{
-		{"demo", "Show a small installation at work", "Starts an installation on loopback, sends requests through it, drains, kills and explains a refusal.", &demoCommand{}},
-		{"control", "Run checked changes of services through failures of the control side", "Starts balancers and the control sessions of targets, lets operators change services, makes the faults and compares what was told with what the store holds.", &controlCommand{}},
-		{"flows", "Run checked flows through changes and failures", "Opens flows through a fabric that sprays every packet, makes the faults, checks every byte and prints what was measured.", &flowsCommand{}},
-		{"requests", "Run checked requests through overload and failures", "Sends requests with tickets, claims and neither, makes the faults, and compares what ran with what the callers were told.", &requestsCommand{}},
-		{"capacity", "Measure what each part costs by its size", "Measures costs at several sizes, fits lines to them and writes the tables of docs/CAPACITY.md.", &capacityCommand{}},
-		{"policy", "Compare decisions with and without single mechanisms", "Plays the decision packages of pass-through services in virtual time under loads and losses, all mechanisms against each one switched off, and prints what callers got.", &policyCommand{}},
-		{"bound", "Work out what any system could serve around a loss of power", "Works out what a system that knew every request could serve when power is lost for a time, and plays the decisions of pass-through services beside it.", &boundCommand{}},
-		{"run", "Make the runs of an experiment file", "Reads runs and their options from a TOML file, makes them one after another and prints a table or JSON.", &runCommand{}},
-		{"rollout", "Compare the gates of rollouts", "Lets each gate judge the same seeded rollouts of harmless and harmful versions, and prints its false promotions, false rollbacks and times.", &rolloutCommand{}},
-		{"soak", "Run the real programs under random faults", "Starts the daemons of pass-through services as processes, makes faults by signals and by proxies before the object API, and checks what callers and targets see.", &soakCommand{}},
-		{"standin", "Serve stand-ins for separate processes", "Serves the object API and the fabric on fixed addresses, so that daemons can be started as processes of their own.", &standinCommand{}},
+		{"demo", "Demonstrate a small installation", "Starts an installation on loopback, sends requests through it, drains and kills processes, and explains a refusal.", &demoCommand{}},
+		{"control", "Check configuration changes under failures of the control plane", "Starts balancers and the control sessions of targets, lets operators change services, injects the faults and compares the reported state with the contents of the store.", &controlCommand{}},
+		{"flows", "Check flows under changes and failures", "Opens flows through a fabric that sends every packet to an arbitrary balancer, injects the faults, checks every byte and prints the measurements.", &flowsCommand{}},
+		{"requests", "Check requests under overload and failures", "Sends requests with tickets, with claims and with neither, injects the faults, and compares which requests ran with the responses that callers received.", &requestsCommand{}},
+		{"capacity", "Measure the cost of each component by size", "Measures costs at several sizes, fits lines to them and writes the tables of docs/CAPACITY.md.", &capacityCommand{}},
+		{"policy", "Compare decisions with and without individual mechanisms", "Simulates the decision packages of pass-through services in virtual time under load and faults, with all mechanisms and with single ones switched off, and prints the results for callers.", &policyCommand{}},
+		{"bound", "Compute an upper bound on what any system could serve around a power loss", "Computes what a system that knew every request in advance could serve around a temporary power loss, and simulates the decisions of pass-through services for comparison.", &boundCommand{}},
+		{"run", "Execute the runs of an experiment file", "Reads runs and their options from a TOML file, executes them sequentially and prints a table or JSON.", &runCommand{}},
+		{"rollout", "Compare rollout gates", "Evaluates each gate on the same seeded rollouts of harmless and harmful versions, and prints its false promotions, false rollbacks and times.", &rolloutCommand{}},
+		{"soak", "Run the daemon binaries under random faults", "Starts the daemons of pass-through services as processes, injects faults by signals and by proxies in front of the object API, and checks what callers and targets observe.", &soakCommand{}},
+		{"standin", "Serve stand-ins for separate processes", "Serves the object API and the fabric on fixed addresses, so that daemons can be started as separate processes.", &standinCommand{}},
 	}
 }
 
-// Main runs the command line and returns the exit code: 0 when every promise held, 1 when one was broken or the run
-// failed, 2 for a mistake on the command line.
+// Main runs the command line and returns the exit code: 0 if all guarantees held, 1 if one was violated or the run failed,
+// 2 for an invalid command line.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var g global
 	p := flags.NewParser(&g, flags.HelpFlag|flags.PassDoubleDash)
@@ -84,10 +84,10 @@
 		_, _ = fmt.Fprintln(errOut, "auburnwood-lab:", err)
 		return telemetry.ExitUsage
 	}
-	return finish(find(all, p.Active.Name).run(e), errOut)
+	return exitCode(findCommand(all, p.Active.Name).run(e), errOut)
 }
 
-func find(all []commandInfo, name string) runner {
+func findCommand(all []commandInfo, name string) runner {
 	for _, c := range all {
 		if c.name == name {
 			return c.data
@@ -116,7 +116,7 @@
 	return telemetry.ExitUsage
 }
 
-func finish(err error, errOut io.Writer) int {
+func exitCode(err error, errOut io.Writer) int {
 	if err == nil {
 		return telemetry.ExitOK
 	}
--- a/internal/lab/command/policy.go
+++ b/internal/lab/command/policy.go
@@ -11,16 +11,16 @@
 	mechanisms "github.com/auburnwood/auburnwood/pkg/dsr/policy"
 )
 
-// everyMechanism asks for a run without each mechanism in turn.
+// everyMechanism is the value of --without that requests one run for each mechanism.
 const everyMechanism = "each"
 
-// policyCommand compares the decisions of pass-through services with and without single mechanisms.
+// policyCommand compares the decisions of pass-through services with and without individual mechanisms.
 type policyCommand struct {
-	Scenarios []string `long:"scenario" value-name:"NAME" description:"Scenario to play; may be given several times, all without it"`
-	Without   []string `long:"without" value-name:"MECHANISM" description:"Mechanism to switch off in runs of their own, or 'each'; may be given several times"`
-	Seeds     int      `long:"seeds" default:"3" description:"Number of seeds of each run"`
-	Jobs      int      `long:"jobs" default:"4" description:"Runs at a time"`
-	Plot      string   `long:"plot" value-name:"FILE" description:"PNG file for the windows of the first scenario"`
+	Scenarios []string `long:"scenario" value-name:"NAME" description:"Scenario to run; may be given several times; default: all"`
+	Without   []string `long:"without" value-name:"MECHANISM" description:"Mechanism to switch off in separate runs, or 'each'; may be given several times"`
+	Seeds     int      `long:"seeds" default:"3" description:"Number of seeds for each run"`
+	Jobs      int      `long:"jobs" default:"4" description:"Maximum number of concurrent runs"`
+	Plot      string   `long:"plot" value-name:"FILE" description:"PNG file for the time windows of the first scenario"`
 }
 
 func (c *policyCommand) run(e env) error {
@@ -47,21 +47,21 @@
 			return err
 		}
 	}
-	return bounds(e, policy.Broken(rows))
+	return reportViolations(e, policy.Broken(rows))
 }
 
-// bounds prints what is broken; the error makes the exit code.
-func bounds(e env, broken []string) error {
+// reportViolations prints the violated bounds and returns an error if there are any, so that the exit code is not 0.
+func reportViolations(e env, broken []string) error {
 	for _, line := range broken {
 		fmt.Fprintln(e.out, line)
 	}
 	if len(broken) > 0 {
-		return errors.New("not every bound held")
+		return errors.New("some bounds were violated")
 	}
 	return nil
 }
 
-// mechanisms are those to switch off.
+// mechanisms returns the mechanisms to switch off.
 func (c *policyCommand) mechanisms() ([]mechanisms.Mechanism, error) {
 	all := mechanisms.Mechanisms()
 	if slices.Contains(c.Without, everyMechanism) {
@@ -71,7 +71,7 @@
 	for _, name := range c.Without {
 		i := slices.IndexFunc(all, func(m mechanisms.Mechanism) bool { return m.Name == name })
 		if i < 0 {
-			return nil, trace.NotFound("there is no mechanism %q", name)
+			return nil, trace.NotFound("unknown mechanism %q", name)
 		}
 		out = append(out, all[i])
 	}
--- a/internal/lab/command/run.go
+++ b/internal/lab/command/run.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// formatJSON is the other form of a run's output besides a table.
+	// formatJSON selects JSON output instead of a table.
 	formatJSON = "json"
-	// standinName is the command that serves until it is ended.
+	// standinName is the command that serves until its context ends.
 	standinName = "standin"
 )
 
 type runCommand struct {
-	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"Form of the output"`
+	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"Output format"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"yes" description:"Experiment file (TOML)"`
 	} `positional-args:"yes"`
@@ -58,8 +58,8 @@
 	return r.run(e)
 }
 
-// parseRun returns the command of a command line with its options set. Commands that serve or read experiments are not
-// runs.
+// parseRun parses a command line and returns its command. It rejects "standin", which does not end, and "run", which would
+// nest experiments.
 func parseRun(args []string) (runner, error) {
 	p := flags.NewParser(&struct{}{}, flags.PassDoubleDash)
 	all := commands()
@@ -78,5 +78,5 @@
 	if len(rest) > 0 {
 		return nil, trace.BadParameter("unexpected %q", rest[0])
 	}
-	return find(all, p.Active.Name), nil
+	return findCommand(all, p.Active.Name), nil
 }
--- a/internal/lab/command/run_test.go
+++ b/internal/lab/command/run_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRunsThatAreRefused(t *testing.T) {
+func TestInvalidRunsAreRejected(t *testing.T) {
 	cases := map[string]struct {
 		args []string
 		want string
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestMissingFileIsAFailure(t *testing.T) {
+func TestMissingExperimentFileFails(t *testing.T) {
 	var out, errOut bytes.Buffer
 	code := Main(t.Context(), []string{"run", "none.toml"}, &out, &errOut)
 	require.Equal(t, telemetry.ExitFailure, code)
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -7,13 +7,13 @@
 	"github.com/auburnwood/auburnwood/internal/lab/soak"
 )
 
-// soakCommand runs the real programs of pass-through services under faults.
+// soakCommand runs the daemon binaries of pass-through services under random faults.
 type soakCommand struct {
-	Seed      uint64        `long:"seed" default:"1" description:"Seed of the faults and the callers"`
-	Length    time.Duration `long:"length" default:"30s" description:"How long faults are made"`
+	Seed      uint64        `long:"seed" default:"1" description:"Seed of the faults and of the callers"`
+	Length    time.Duration `long:"length" default:"30s" description:"Period in which faults are injected"`
 	Balancers int           `long:"balancers" default:"4" description:"Number of balancers"`
 	Targets   int           `long:"targets" default:"9" description:"Number of targets, each with its agent"`
-	Rate      int           `long:"rate" default:"40" description:"New flows a second"`
+	Rate      int           `long:"rate" default:"40" description:"New flows per second"`
 	Programs  string        `long:"programs" value-name:"DIR" required:"yes" description:"Directory with auburnwood-dsr-balancer and auburnwood-dsr-agent"`
 	Dir       string        `long:"dir" value-name:"DIR" required:"yes" description:"Directory for settings and logs"`
 }
@@ -30,7 +30,7 @@
 	}
 	fmt.Fprintln(e.out, r)
 	if r.Broken > 0 {
-		return fmt.Errorf("seed %d: %d promises were broken; the logs are in %s", c.Seed, r.Broken, c.Dir)
+		return fmt.Errorf("seed %d: %d guarantees were violated; the logs are in %s", c.Seed, r.Broken, c.Dir)
 	}
 	return nil
 }
--- a/internal/lab/experiment/parse.go
+++ b/internal/lab/experiment/parse.go
@@ -17,7 +17,8 @@
 // MaxFileSize is the largest experiment file in bytes.
 const MaxFileSize = 1 << 20
 
-// optionName matches long option names. It prevents a key such as "a=b" from being read as another argument.
+// optionName matches long option names and command names. It prevents a key such as "a=b" or a command such as "--help"
+// from being read as another argument.
 var optionName = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 
 // Load reads the file at path. The error contains the path and one line for each mistake.
