--- a/internal/lab/capacity/agent_bench.go
+++ b/internal/lab/capacity/agent_bench.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// opening is the number of flows that are opened at the same time.
-	opening     = 32
-	dialTimeout = 20 * time.Second
+	// concurrentDials is the number of flows that are opened concurrently.
+	concurrentDials = 32
+	dialTimeout     = 20 * time.Second
 )
 
 var callerAddr = netip.MustParseAddrPort("198.51.100.7:0")
 
-// agentBench is one agent with its target, and a caller's stack whose packets are handed to the agent.
+// agentBench is one agent with its target, and a caller's network stack whose packets are forwarded to the agent.
 type agentBench struct {
 	caller *netstack.Stack
 	fabric *net.UDPConn
@@ -42,8 +42,8 @@
 	conns []net.Conn
 }
 
-// newAgentBench starts the bench. Buffer is the size of the buffers of the caller's stack, 0 its default; serve gets the
-// target's connections.
+// newAgentBench starts the bench. Buffer is the buffer size of the caller's stack (0 selects its default); serve is called
+// with each connection that the target accepts and may be nil.
 func newAgentBench(ctx context.Context, buffer int, serve func(net.Conn)) (*agentBench, error) {
 	x := &agentBench{}
 	ctx, x.stop = context.WithCancel(ctx)
@@ -99,27 +99,27 @@
 	}
 }
 
-// accept takes the target's connections.
+// accept accepts the target's connections until its listener is closed.
 func (x *agentBench) accept(serve func(net.Conn)) {
 	for {
 		c, err := x.target.Accept()
 		if err != nil {
 			return
 		}
-		x.keep(c)
+		x.addConn(c)
 		if serve != nil {
 			go serve(c)
 		}
 	}
 }
 
-func (x *agentBench) keep(c net.Conn) {
+func (x *agentBench) addConn(c net.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conns = append(x.conns, c)
 }
 
-// forward is the balancer: it sends the caller's packet to the agent.
+// forward acts as the balancer: it sends the caller's packet to the first agent of its row.
 func (x *agentBench) forward(raw []byte) {
 	info, err := packet.Parse(raw)
 	if err != nil {
@@ -138,7 +138,7 @@
 	_, _ = x.source.WriteToUDPAddrPort(b, x.table.FirstAgent(hash))
 }
 
-// deliver gives the agent's packets to the caller.
+// deliver passes the agent's packets to the caller's stack.
 func (x *agentBench) deliver() {
 	b := make([]byte, 1<<16)
 	for {
@@ -156,10 +156,10 @@
 	return x.caller.DialTCP(ctx, callerAddr, serviceAddress(0))
 }
 
-// openFlows opens flows and keeps them.
+// openFlows opens count flows, concurrentDials at a time, and passes each connection to keep.
 func openFlows(ctx context.Context, count int, dial func(context.Context) (net.Conn, error), keep func(net.Conn)) error {
 	var g errgroup.Group
-	g.SetLimit(opening)
+	g.SetLimit(concurrentDials)
 	for range count {
 		g.Go(func() error {
 			c, err := dial(ctx)
--- a/internal/lab/capacity/agent_flows.go
+++ b/internal/lab/capacity/agent_flows.go
@@ -16,8 +16,8 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// agentFlows measures open, idle flows of an agent. The caller's end of the flow is measured on its own, as half of a
-// flow between two bare stacks, and taken off.
+// agentFlows measures open, idle flows of an agent. The memory of the caller's end is measured separately, as half of a
+// flow between two bare stacks, and subtracted.
 func agentFlows() probe {
 	return probe{
 		name: "agent-flows", per: "flow", source: "pkg/agent, pkg/netstack, pkg/arbiter",
@@ -38,7 +38,7 @@
 			}
 			defer x.close()
 			before, used := liveMemory(), processorTime()
-			if err := openFlows(ctx, int(size), x.dial, x.keep); err != nil {
+			if err := openFlows(ctx, int(size), x.dial, x.addConn); err != nil {
 				return nil, err
 			}
 			cpu := processorTime() - used
@@ -48,7 +48,7 @@
 	}
 }
 
-// bareFlows returns the memory of one end of flows between two bare stacks.
+// bareFlows returns the memory, in bytes, of one end of count flows between two bare stacks.
 func bareFlows(ctx context.Context, count int) (float64, error) {
 	var a, b *netstack.Stack
 	a, err := netstack.New(netstack.Config{Output: func(p []byte) { b.Inject(p) }})
@@ -85,7 +85,7 @@
 	return memory / 2, nil
 }
 
-// agentBytes measures the bytes of uploads through an agent.
+// agentBytes measures the processor time and the duration of an upload through an agent, by its size in MB.
 func agentBytes() probe {
 	return probe{
 		name: "agent-bytes", per: "MB", source: "pkg/agent, pkg/netstack",
@@ -125,12 +125,12 @@
 }
 
 const (
-	// stalledBuffer keeps the caller's end of a stalled flow small.
+	// stalledBuffer is the caller's buffer size in bytes, small so that the caller's end uses little memory.
 	stalledBuffer = 16 << 10
 	stalledTime   = 3 * time.Second
 )
 
-// agentStalled measures flows whose callers read nothing while the target sends.
+// agentStalled measures the memory of flows whose callers read nothing while the target sends.
 func agentStalled() probe {
 	return probe{
 		name: "agent-stalled", per: "flow", source: "pkg/agent, pkg/netstack",
@@ -149,10 +149,10 @@
 				return nil, err
 			}
 			defer x.close()
-			// The stacks of the measurement before let their connections go late.
+			// The stacks of the previous measurement release their connections with a delay.
 			_ = wait.For(ctx, stalledTime)
 			before := liveMemory()
-			if err := openFlows(ctx, int(size), x.dial, x.keep); err != nil {
+			if err := openFlows(ctx, int(size), x.dial, x.addConn); err != nil {
 				return nil, err
 			}
 			_ = wait.For(ctx, stalledTime)
@@ -161,7 +161,7 @@
 	}
 }
 
-// arbiterFlows measures the entries of an arbiter.
+// arbiterFlows measures the memory of an arbiter's flow entries and the time to decide on new flows.
 func arbiterFlows() probe {
 	return probe{
 		name: "arbiter-flows", per: "flow", source: "pkg/arbiter",
--- a/internal/lab/capacity/balancer_packets.go
+++ b/internal/lab/capacity/balancer_packets.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// packetWindow is the number of packets that may be on their way, so that no socket buffer overflows.
+	// packetWindow limits the packets in flight for each sender, so that no socket buffer overflows.
 	packetWindow = 64
-	// packetTimeout bounds the wait for packets that were lost.
+	// packetTimeout bounds the wait for lost packets.
 	packetTimeout = time.Second
 	agentBuffer   = 8 << 20
 )
 
-// balancerPackets measures the processor time of a packet, from the socket of the fabric to the socket of the agent.
+// balancerPackets measures the processor time per packet, from the fabric's socket to the agent's socket.
 func balancerPackets() probe {
 	return probe{
 		name: "balancer-packets", per: "packet", source: "pkg/balancer, pkg/packet, pkg/wire, kernel's UDP",
@@ -45,7 +45,7 @@
 	}
 }
 
-// balancerWorkers measures the packets a second of a balancer with several workers, each with its own sender.
+// balancerWorkers measures the packets per second of a balancer by its number of workers, with one sender for each.
 func balancerWorkers() probe {
 	return probe{
 		name: "balancer-workers", per: "worker", source: "pkg/balancer, kernel's UDP",
@@ -62,21 +62,21 @@
 	}
 }
 
-// packetRun is the outcome of packetTime.
+// packetRun is the result of packetTime.
 type packetRun struct {
-	// used is the processor time of the balancer, without those of sender and agent.
+	// used is the processor time of the process without the threads of the senders and of the agents' receiver.
 	used time.Duration
 	took time.Duration
 }
 
-// packetBench sends packets through a balancer to one socket, which stands for all agents.
+// packetBench sends packets through a balancer to one socket that represents all agents.
 type packetBench struct {
-	balancer  netip.AddrPort
-	agents    *net.UDPConn
-	arrived   atomic.Int64
-	sent      atomic.Int64
-	elsewhere atomic.Int64
-	wg        sync.WaitGroup
+	balancer netip.AddrPort
+	agents   *net.UDPConn
+	arrived  atomic.Int64
+	sent     atomic.Int64
+	excluded atomic.Int64
+	wg       sync.WaitGroup
 }
 
 func packetTime(packets, workers int, flags header.TCPFlags) (packetRun, error) {
@@ -118,10 +118,10 @@
 	x.wg.Wait()
 	took := time.Since(begin)
 	total := processorTime() - used
-	return packetRun{used: total - time.Duration(x.elsewhere.Load()), took: took}
+	return packetRun{used: total - time.Duration(x.excluded.Load()), took: took}
 }
 
-// receive counts what arrives at the agents.
+// receive counts the packets that arrive at the agents.
 func (x *packetBench) receive(packets int64) {
 	defer x.wg.Done()
 	runtime.LockOSThread()
@@ -134,15 +134,15 @@
 		}
 		x.arrived.Add(1)
 	}
-	x.elsewhere.Add(int64(threadTime() - begin))
+	x.excluded.Add(int64(threadTime() - begin))
 }
 
-// send hands packets to the balancer, a window at a time.
+// send sends count packets to the balancer and waits after each window.
 func (x *packetBench) send(sender, count, senders int, flags header.TCPFlags) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	begin := threadTime()
-	defer func() { x.elsewhere.Add(int64(threadTime() - begin)) }()
+	defer func() { x.excluded.Add(int64(threadTime() - begin)) }()
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(x.balancer))
 	if err != nil {
 		return
@@ -158,14 +158,14 @@
 	}
 }
 
-// waitFor waits until count packets arrived, or some time.
+// waitFor waits until count packets have arrived, for at most packetTimeout / 10.
 func (x *packetBench) waitFor(count int64) {
 	for end := time.Now().Add(packetTimeout / 10); x.arrived.Load() < count && time.Now().Before(end); {
 		time.Sleep(20 * time.Microsecond)
 	}
 }
 
-// callerPacket is a TCP segment without data.
+// callerPacket is a TCP segment without payload.
 type callerPacket struct {
 	bytes []byte
 	ip    header.IPv4
@@ -181,7 +181,7 @@
 	return p
 }
 
-// set gives the packet the addresses of the i-th flow of a sender.
+// set writes the addresses of the i-th flow of a sender into the packet.
 func (p *callerPacket) set(sender, i int) {
 	p.ip.SetSourceAddress(tcpip.AddrFrom4([4]byte{10, byte(sender), byte(i >> 16), byte(i >> 8)}))
 	p.ip.SetDestinationAddress(tcpip.AddrFrom4(serviceAddress(i % fleetServices).Addr().As4()))
--- a/internal/lab/capacity/balancer_view.go
+++ b/internal/lab/capacity/balancer_view.go
@@ -16,7 +16,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// smallCache keeps the cache of learned owners out of what is measured.
+// smallCache is a number of cached flows so small that the cache of learned owners does not affect the measurement.
 const smallCache = 1024
 
 func openBalancer(fabric netip.AddrPort, workers, cachedFlows int) (*balancer.Balancer, error) {
@@ -26,10 +26,10 @@
 	return b, trace.Wrap(err)
 }
 
-// unusedAddr stands for a fabric to which nothing is sent.
+// unusedAddr is the address of a fabric to which nothing is sent.
 var unusedAddr = netip.MustParseAddrPort("127.0.0.1:9")
 
-// balancerView measures the view and the rows of a balancer, and what a change of them costs.
+// balancerView measures the memory of the view and the rows of a balancer, and the processor time of their changes.
 func balancerView() probe {
 	return probe{
 		name: "balancer-view", per: "service", source: "pkg/view, pkg/placement, pkg/balancer",
@@ -73,7 +73,7 @@
 	return float64(processorTime()-begin) / float64(time.Millisecond)
 }
 
-// balancerCache measures the cache of learned owners.
+// balancerCache measures the memory of the cache of learned owners.
 func balancerCache() probe {
 	return probe{
 		name: "balancer-cache", per: "cached flow", source: "pkg/balancer",
@@ -93,7 +93,7 @@
 	}
 }
 
-// memberTable measures the table of members.
+// memberTable measures the memory of the member table and the time of failure detection and of digests.
 func memberTable() probe {
 	return probe{
 		name: "member-table", per: "member", source: "pkg/membership",
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// restWindow is the time over which an idle fleet is measured, and settleTime the time before it.
-	restWindow = 5 * time.Second
+	// idleWindow is the time over which an idle fleet is measured, after waiting for settleTime.
+	idleWindow = 5 * time.Second
 	settleTime = 1500 * time.Millisecond
-	// changeNodes is the number of balancers among which changes are measured.
+	// changeNodes is the number of balancers in the measurements of member changes.
 	changeNodes = 16
 	percent     = 100
 )
 
-// controlRest measures an idle fleet by the number of balancers.
-func controlRest() probe {
+// controlIdle measures an idle fleet by the number of balancers.
+func controlIdle() probe {
 	return probe{
 		name: "control-rest", per: "balancer", source: "pkg/peer, pkg/membership",
 		sizes: []float64{16, 32, 64}, repeats: 2,
@@ -32,7 +32,7 @@
 				return nil, err
 			}
 			defer f.close()
-			c, err := f.rest()
+			c, err := f.measureIdle()
 			if err == nil && c.bytes == 0 {
 				err = errNoBytes("control-rest")
 			}
@@ -41,16 +41,16 @@
 	}
 }
 
-// rest measures an idle time.
-func (f *controlFleet) rest() (cost, error) {
+// measureIdle measures the cost of an idle period.
+func (f *controlFleet) measureIdle() (cost, error) {
 	f.pause(settleTime)
-	return f.during(func() error {
-		f.pause(restWindow)
+	return f.measureCost(func() error {
+		f.pause(idleWindow)
 		return f.ctx.Err()
 	})
 }
 
-// controlAgents measures four balancers by the number of their agents, from the agents' start.
+// controlAgents measures four balancers by the number of agents per balancer, during the agents' start and afterwards.
 func controlAgents() probe {
 	const balancers = 4
 	return probe{
@@ -70,7 +70,7 @@
 			}
 			defer f.close()
 			agents := int(size) * balancers
-			start, err := f.during(func() error {
+			start, err := f.measureCost(func() error {
 				err := f.addAgents(agents, agents/5)
 				f.pause(settleTime)
 				return err
@@ -78,13 +78,13 @@
 			if err != nil {
 				return nil, err
 			}
-			c, err := f.rest()
+			c, err := f.measureIdle()
 			return []float64{start.bytes, start.agentBytes, c.bytes / c.seconds, c.agentBytes / c.seconds, c.core.Seconds() / c.seconds / balancers * percent}, err
 		},
 	}
 }
 
-// controlMembers measures how many changed members cost the balancers, with the whole fleet in their tables.
+// controlMembers measures the cost of simultaneous member changes, with the targets of the whole fleet in the tables.
 func controlMembers() probe {
 	return probe{
 		name: "control-members", per: "changed member", source: "pkg/peer, pkg/membership",
@@ -104,20 +104,21 @@
 			}
 			defer f.close()
 			f.pause(settleTime)
-			changed, err := f.spread(int(size), func(m *membership.Member) { m.Sequence++; m.State = membership.StateDraining })
+			changed, err := f.propagateChanges(int(size), func(m *membership.Member) { m.Sequence++; m.State = membership.StateDraining })
 			if err != nil {
 				return nil, err
 			}
-			dead, err := f.spread(int(size), func(m *membership.Member) { m.State = membership.StateDead })
+			dead, err := f.propagateChanges(int(size), func(m *membership.Member) { m.State = membership.StateDead })
 			return append(changed, dead...), err
 		},
 	}
 }
 
-// spread changes the records of some targets in one balancer's table and waits until all agree.
-func (f *controlFleet) spread(count int, change func(m *membership.Member)) ([]float64, error) {
+// propagateChanges changes the records of count targets in one balancer's table and waits until all tables agree. It
+// returns the bytes and the milliseconds of processor time per balancer, and the elapsed seconds.
+func (f *controlFleet) propagateChanges(count int, change func(m *membership.Member)) ([]float64, error) {
 	begin := time.Now()
-	c, err := f.during(func() error {
+	c, err := f.measureCost(func() error {
 		t := f.nodes[0].node.Table()
 		for i := range count {
 			m, _ := t.Get(newMember(membership.RoleAgent, i).ID)
@@ -125,13 +126,13 @@
 			m.Changed = time.Now()
 			t.Merge(m, time.Now())
 		}
-		return f.await("all agree", f.agree)
+		return f.await("all tables equal", f.tablesAgree)
 	})
 	took := time.Since(begin).Seconds()
 	return []float64{c.bytes, c.core.Seconds() * 1000 / changeNodes, took}, err
 }
 
-// controlRevisions measures the changes of configuration by the number of balancers, with all services in the revision.
+// controlRevisions measures configuration changes by the number of balancers, with all services in the revision.
 func controlRevisions() probe {
 	const changes = 3
 	return probe{
@@ -151,7 +152,7 @@
 			defer f.close()
 			f.pause(settleTime)
 			var adopted, counted float64
-			c, err := f.during(func() error {
+			c, err := f.measureCost(func() error {
 				for i := range changes {
 					a, n, err := f.reconfigure(uint64(i + 2))
 					if err != nil {
@@ -167,7 +168,8 @@
 	}
 }
 
-// reconfigure changes one service and returns how long it took until all had adopted the revision, and until all knew.
+// reconfigure publishes a revision in which the first number services are changed. It returns the seconds until all balancers have adopted it, and
+// until all of them know that it is in force on all.
 func (f *controlFleet) reconfigure(number uint64) (adopted, counted float64, err error) {
 	r := newRevision(number, fleetServices)
 	for i := range r.Services[:int(number)] {
@@ -176,7 +178,7 @@
 	}
 	begin := time.Now()
 	f.nodes[0].adopter.Offer(r, revision.SourceHead)
-	err = f.await("all adopt", func() bool {
+	err = f.await("revision adopted by all", func() bool {
 		for _, n := range f.nodes {
 			if n.adopter.Number() < number {
 				return false
@@ -188,11 +190,11 @@
 		return 0, 0, err
 	}
 	adopted = time.Since(begin).Seconds()
-	err = f.await("all count", func() bool { return f.inForce(number) })
+	err = f.await("revision in force on all", func() bool { return f.inForce(number) })
 	return adopted, time.Since(begin).Seconds(), err
 }
 
-// controlChurn measures changes of members that come one after another.
+// controlChurn measures successive member changes by their rate.
 func controlChurn() probe {
 	const window = 5 * time.Second
 	return probe{
@@ -210,18 +212,18 @@
 			}
 			defer f.close()
 			f.pause(settleTime)
-			c, err := f.during(func() error { return f.churn(size, window) })
+			c, err := f.measureCost(func() error { return f.churn(size, window) })
 			if err != nil {
 				return nil, err
 			}
 			begin := time.Now()
-			err = f.await("all agree", f.agree)
+			err = f.await("all tables equal", f.tablesAgree)
 			return []float64{c.bytes / c.seconds, c.core.Seconds() / c.seconds / changeNodes * percent, time.Since(begin).Seconds()}, err
 		},
 	}
 }
 
-// churn changes targets' records one after another, each in another balancer's table.
+// churn changes targets' records at the given rate, in the tables of the balancers in turn.
 func (f *controlFleet) churn(perSecond float64, window time.Duration) error {
 	every := time.Duration(float64(time.Second) / perSecond)
 	end := time.Now().Add(window)
--- a/internal/lab/capacity/control_fleet.go
+++ b/internal/lab/capacity/control_fleet.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// fleetTimeout bounds what a fleet is awaited for.
+	// fleetTimeout bounds the wait for a state of the fleet.
 	fleetTimeout = 30 * time.Second
-	pollTime     = 5 * time.Millisecond
-	// silentFor keeps the records of targets that have no process from being judged dead.
-	silentFor = time.Hour
+	pollInterval = 5 * time.Millisecond
+	// detectionDelay is so long that targets without a process are never suspected.
+	detectionDelay = time.Hour
 )
 
-// controlNode is a balancer's control side on loopback.
+// controlNode is the control plane of a balancer, on loopback.
 type controlNode struct {
 	node    *peer.Node
 	adopter *revision.Adopter
 	metrics tally.TestScope
 }
 
-// controlFleet is a number of balancers and agents that talk to each other on loopback.
+// controlFleet is a set of balancers and agents that communicate over loopback.
 type controlFleet struct {
 	nodes    []*controlNode
 	sessions []tally.TestScope
@@ -42,10 +42,10 @@
 	done     sync.WaitGroup
 }
 
-// fleetOptions say what a fleet is made of.
+// fleetOptions configures a fleet.
 type fleetOptions struct {
 	balancers int
-	// records is the number of targets that stand in the tables without a process.
+	// records is the number of targets that are in the tables but have no process.
 	records  int
 	services int
 }
@@ -67,7 +67,7 @@
 		f.done.Go(func() { _ = n.node.WatchViews(f.ctx, func(v *view.View) { n.node.Confirm(v.Revision) }) })
 	}
 	f.nodes[0].adopter.Offer(newRevision(1, max(o.services, 1)), revision.SourceHead)
-	return f, f.await("all know all", func() bool { return f.count() == o.records+o.balancers && f.inForce(1) })
+	return f, f.await("all members active and revision in force on all", func() bool { return f.lowestActive() == o.records+o.balancers && f.inForce(1) })
 }
 
 func newControlNode(i int, seeds []string, records []membership.Member) (*controlNode, error) {
@@ -84,13 +84,13 @@
 	n := &controlNode{adopter: revision.NewAdopter(zerolog.Nop()), metrics: tally.NewTestScope("", nil)}
 	n.node, err = peer.NewNode(peer.NodeConfig{
 		Self: self, Listener: l, Seeds: seeds, Table: t, Adopter: n.adopter, Seed: uint64(i + 1),
-		Detector: membership.DetectorConfig{SuspectAfter: silentFor, Grace: silentFor},
+		Detector: membership.DetectorConfig{SuspectAfter: detectionDelay, Grace: detectionDelay},
 		Log:      zerolog.Nop(), Metrics: n.metrics,
 	})
 	return n, trace.Wrap(err)
 }
 
-// addAgents starts agents, all at once.
+// addAgents starts count agents at once and waits until all balancers see them as active.
 func (f *controlFleet) addAgents(count, services int) error {
 	var seeds []string
 	for _, n := range f.nodes {
@@ -111,11 +111,11 @@
 		f.sessions = append(f.sessions, metrics)
 		f.done.Go(func() { _ = s.Run(f.ctx) })
 	}
-	return f.await("all agents active", func() bool { return f.count() == count+len(f.nodes) })
+	return f.await("all agents active", func() bool { return f.lowestActive() == count+len(f.nodes) })
 }
 
-// count returns the lowest number of active members that a node knows.
-func (f *controlFleet) count() int {
+// lowestActive returns the lowest number of active members in any node's table.
+func (f *controlFleet) lowestActive() int {
 	lowest := -1
 	for _, n := range f.nodes {
 		active := 0
@@ -141,8 +141,8 @@
 	return true
 }
 
-// agree reports whether all tables are equal.
-func (f *controlFleet) agree() bool {
+// tablesAgree reports whether all tables are equal.
+func (f *controlFleet) tablesAgree() bool {
 	root := f.nodes[0].node.Table().Root()
 	for _, n := range f.nodes {
 		if n.node.Table().Root() != root {
@@ -161,13 +161,13 @@
 		select {
 		case <-f.ctx.Done():
 			return trace.Wrap(f.ctx.Err())
-		case <-time.After(pollTime):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// pause waits.
+// pause waits for d or until the context of the fleet ends.
 func (f *controlFleet) pause(d time.Duration) {
 	select {
 	case <-f.ctx.Done():
@@ -175,7 +175,7 @@
 	}
 }
 
-// bytes returns what the balancers, and what the agents, have sent and received.
+// bytes returns the bytes sent and received by all balancers and by all agents.
 func (f *controlFleet) bytes() (balancers, agents float64) {
 	for _, n := range f.nodes {
 		balancers += countedBytes(n.metrics)
@@ -198,7 +198,7 @@
 	return sum
 }
 
-// close ends all processes as if their VMs were gone.
+// close ends all processes as if their VMs had failed.
 func (f *controlFleet) close() {
 	for _, n := range f.nodes {
 		n.node.Kill()
@@ -207,18 +207,18 @@
 	f.done.Wait()
 }
 
-// cost is what processes spent in a time.
+// cost is the resource use of the processes during a measurement.
 type cost struct {
-	// bytes is what a balancer sent and received, agentBytes what an agent did.
+	// bytes is the mean number of bytes sent and received by a balancer, agentBytes that of an agent.
 	bytes, agentBytes float64
 	// core is the processor time of all processes.
 	core time.Duration
-	// seconds is how long it took.
+	// seconds is the elapsed time.
 	seconds float64
 }
 
-// during measures what f costs.
-func (f *controlFleet) during(act func() error) (cost, error) {
+// measureCost measures the resource use while act runs.
+func (f *controlFleet) measureCost(act func() error) (cost, error) {
 	balancers, agents := f.bytes()
 	used, begin := processorTime(), time.Now()
 	err := act()
@@ -231,7 +231,7 @@
 	return c, err
 }
 
-// errNoBytes reports a counter that nothing was counted in.
+// errNoBytes is returned when the byte counters stayed at 0, for example after a rename of a metric.
 func errNoBytes(step string) error {
-	return trace.NotFound("%s", fmt.Sprintf("%s: no control bytes were counted", step))
+	return trace.NotFound("%s", fmt.Sprintf("%s: control_bytes_sent and control_bytes_received counted nothing", step))
 }
--- a/internal/lab/capacity/daemons.go
+++ b/internal/lab/capacity/daemons.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/internal/lab/control"
 )
 
-// daemons measures whole balancer daemons with changes of configuration through the object API.
+// daemons measures complete balancer daemons under configuration changes through the object API.
 func daemons() probe {
 	const targets, changeRate = 20, 2
 	return probe{
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity measures what each part costs by its size on this machine, and works out the cost at the size to
-// design for.
+// Package capacity measures the cost of each component at several sizes on this machine and extrapolates it to the size
+// to design for.
 package capacity
--- a/internal/lab/capacity/duty.go
+++ b/internal/lab/capacity/duty.go
@@ -18,7 +18,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// compileServices measures the compilation by the number of services.
+// compileServices measures the compilation and encoding of a revision by the number of services.
 func compileServices() probe {
 	return probe{
 		name: "compile", per: "service", source: "pkg/resource, pkg/revision",
@@ -53,7 +53,7 @@
 	}
 }
 
-// memberGroups measures the stored members of a data centre.
+// memberGroups measures the size and the encoding of the stored members of a data centre.
 func memberGroups() probe {
 	return probe{
 		name: "member-group", per: "member of a data centre", source: "pkg/membership",
@@ -77,13 +77,13 @@
 }
 
 const (
-	// inForceTime is how long the counted acknowledgements take to become complete, as a fleet's do.
+	// inForceTime is the time until slowAcks reports a revision as in force on all balancers, as in a real fleet.
 	inForceTime = 3 * time.Second
 	changeEvery = 5 * time.Second
-	dutyQuiet   = 7 * time.Second
+	dutySettle  = 7 * time.Second
 )
 
-// dutyCalls measures the calls of the compile duty by the number of changes.
+// dutyCalls measures the object API calls of the compile duty by the number of changes.
 func dutyCalls() probe {
 	return probe{
 		name: "duty-calls", per: "change", source: "pkg/revision, pkg/lease",
@@ -108,7 +108,7 @@
 	c := revision.Compiler{Store: s, Acks: &slowAcks{}, Log: zerolog.Nop(), Resync: time.Hour}
 	done := make(chan error, 1)
 	go func() { done <- c.Duty(ctx, lease.Grant{Holder: "balancer-0000/1", Term: 1}) }()
-	_ = wait.For(ctx, dutyQuiet)
+	_ = wait.For(ctx, dutySettle)
 	before := s.Counts()
 	for i := range changes {
 		services[0].Spec.Limits.Connections = uint32(100 + i)
@@ -117,17 +117,17 @@
 		}
 		_ = wait.For(ctx, changeEvery)
 	}
-	_ = wait.For(ctx, dutyQuiet-changeEvery)
+	_ = wait.For(ctx, dutySettle-changeEvery)
 	after := s.Counts()
 	cancel()
 	<-done
-	// The operator's own call is a read and a write for each change.
+	// Subtract the operator's own calls: one read and one write for each change.
 	writes := float64(after.Writes()-before.Writes()) - float64(changes)
 	reads := float64(after.Reads()-before.Reads()) - float64(changes)
 	return []float64{writes, reads}, nil
 }
 
-// put stores a service as an operator does.
+// put stores a service as an operator does: it creates the service if change is 0 and updates it otherwise.
 func put(ctx context.Context, s objectapi.Store, one resource.Service, change uint64) error {
 	value, err := resource.Encode(one)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return trace.Wrap(err)
 }
 
-// slowAcks counts a revision as in force on more and more balancers.
+// slowAcks reports a revision as in force on a number of balancers that grows linearly to all within inForceTime.
 type slowAcks struct {
 	mu    sync.Mutex
 	first map[uint64]time.Time
--- a/internal/lab/capacity/figure.go
+++ b/internal/lab/capacity/figure.go
@@ -5,41 +5,41 @@
 // figure is a cost at the size to design for.
 type figure struct {
 	role, name string
-	// terms are summed.
+	// terms are the summands.
 	terms []term
 	unit  string
-	// scale is multiplied with the sum, for example to get MB out of bytes; 0 means 1.
+	// scale is a factor on the sum, for example to convert bytes to MB; 0 means 1.
 	scale float64
 	// budget is the highest value allowed; 0 means that none is set.
 	budget float64
-	// mechanism names the packages that carry the cost, and test the test that makes it fail.
+	// mechanism names the code that carries the cost, and test the fault tests of that code.
 	mechanism, test string
 }
 
-// term is one part of a figure: a measured line at a size, a slope times a size, or a plain value.
+// term is a summand of a figure: a fitted line at a size, a slope times a size, or a constant.
 type term struct {
 	series string
-	// size is where the line is read.
+	// size is the size at which the line is evaluated.
 	size float64
 	// slopeOnly leaves out the intercept.
 	slopeOnly bool
-	// times is multiplied with the line's value; 0 means 1.
+	// times is a factor on the value of the line; 0 means 1.
 	times float64
-	// why says what times is.
+	// why explains times or plain on the page.
 	why string
 	// plain is the value of a term without a series.
 	plain float64
 }
 
-// at reads the line at a size.
+// at returns the value of the fitted line at a size.
 func at(series string, size float64) term { return term{series: series, size: size} }
 
-// slope reads the slope times a size.
+// slope returns the slope of the fitted line times a size, without the intercept.
 func slope(series string, size float64) term {
 	return term{series: series, size: size, slopeOnly: true}
 }
 
-// by multiplies a term; why says with what.
+// by multiplies a term by times; why explains the factor on the page.
 func (t term) by(times float64, why string) term {
 	t.times, t.why = times, why
 	return t
@@ -84,7 +84,7 @@
 	return text
 }
 
-// value returns the figure.
+// value returns the scaled sum of the terms.
 func (f figure) value(s Samples) (float64, error) {
 	v, err := sum(s, f.terms)
 	if f.scale != 0 {
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// Factors and rates that figures are worked out with.
+// Factors and rates from which the figures are computed.
 const (
 	toMB = 1e-6
-	// heapFactor is the memory of the process for each live byte, with Go's default collector.
+	// heapFactor is the ratio of process memory to live heap with the default garbage collector settings.
 	heapFactor = 2
 	// agentsOfBalancer is the number of agents for each balancer.
 	agentsOfBalancer = float64(fleetTargets) / fleetBalancers
-	// memberChanges is the number of changes of members on an ordinary day: a failed VM dies, joins and becomes active;
-	// a restarted one leaves first.
+	// memberChanges is the number of member changes on an ordinary day: a failed VM dies, joins and becomes active;
+	// a restarted one leaves, joins and becomes active.
 	memberChanges = (fleetVMFailures + fleetRestarts) * changesOfRestart
 	configsPerSec = float64(fleetConfigs) / secondsOfDay
 	membersPerSec = float64(memberChanges) / secondsOfDay
-	// restartRate is the number of changes of members a second while all agents restart.
+	// restartRate is the number of member changes per second while all agents restart.
 	restartRate = fleetTargets * changesOfRestart / (restartMinutes * 60.0)
-	// callRate is the calls a second that a daemon may make (settings.DefaultObjectAPI).
+	// callRate is the maximum number of object API calls per second of a daemon (settings.DefaultObjectAPI).
 	callRate = 6
-	// fleetClaims is the claims a second of all agents (agentd.FleetClaims).
+	// fleetClaims is the maximum number of claims per second of all agents together (agentd.FleetClaims).
 	fleetClaims = 150
-	// claimBurst is the claims that an agent may make at once (agentd.ClaimBurst).
+	// claimBurst is the maximum number of claims that an agent may make at once (agentd.ClaimBurst).
 	claimBurst = 5
-	// groupRate is the writes a second of a data centre's members at most (membership.DefaultGroupInterval).
+	// groupRate is the maximum number of writes per second of a data centre's member group (membership.DefaultGroupInterval).
 	groupRate = 1
 	// statusRate is revision.DefaultStatusRate.
 	statusRate = 50
@@ -35,7 +35,7 @@
 	readRate   = 1000
 )
 
-// figures are the costs at the size to design for.
+// figures returns the costs at the size to design for.
 func figures() []figure {
 	return slices.Concat(balancerFigures(), agentFigures(), dutyFigures(), storeFigures(), operatorFigures(), burstFigures())
 }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -1,12 +1,12 @@
 package capacity
 
-// Fit is a line through measured points.
+// Fit is a least-squares line through measured points.
 type Fit struct {
-	// Intercept and Slope give the line.
+	// Intercept and Slope define the line.
 	Intercept, Slope float64
 	// Residual is the standard deviation of the points from the line, in the unit of the values.
 	Residual float64
-	// Spread is the largest distance between repeats of one size, as a part of their mean.
+	// Spread is the largest range of the repeats of one size, as a fraction of their mean.
 	Spread float64
 }
 
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("region-%d", dc%fleetRegions), fmt.Sprintf("data-centre-%d", dc)
 }
 
-// newMember returns a record of the i-th process of a role.
+// newMember returns a member record for the i-th process of a role.
 func newMember(role membership.Role, i int) membership.Member {
 	now := time.Now().Truncate(time.Millisecond).UTC()
 	m := membership.Member{
@@ -30,7 +30,7 @@
 	return m
 }
 
-// newTargets returns count targets of the given number of services.
+// newTargets returns count targets, distributed over the given number of services.
 func newTargets(count, services int) []membership.Member {
 	members := make([]membership.Member, 0, count)
 	for i := range count {
@@ -42,7 +42,6 @@
 	return members
 }
 
-// newBalancers returns count balancers.
 func newBalancers(count int) []membership.Member {
 	members := make([]membership.Member, 0, count)
 	for i := range count {
--- a/internal/lab/capacity/limit.go
+++ b/internal/lab/capacity/limit.go
@@ -7,23 +7,24 @@
 	"strings"
 )
 
-// limit is the size at which a budget is used up.
+// limit describes a budget and the quantity that exhausts it.
 type limit struct {
-	// budget names what is used up, and grows what it grows with.
+	// budget names the exhausted budget, and grows the quantity that its use grows with.
 	budget, grows string
-	// series is the line that reaches allowed, in the unit of the series; without a series, reached is the size.
+	// series is the line that reaches allowed, which is in the unit of the series. Without series and each, reached is
+	// the size.
 	series  string
 	allowed float64
 	reached float64
-	// rest is taken off allowed.
+	// rest is the use by other causes, subtracted from allowed.
 	rest []term
-	// each is what one costs when they come apart; it replaces the line.
+	// each is the cost of one when they occur separately; it replaces the line.
 	each []term
 	// planned is the size to design for.
 	planned float64
 }
 
-// at returns the size at which the budget is used up.
+// at returns the size at which the budget is exhausted.
 func (l limit) at(s Samples) (float64, error) {
 	rest, err := sum(s, l.rest)
 	if err != nil {
@@ -56,9 +57,9 @@
 	return total, nil
 }
 
-// limits are what may break first.
+// limits returns the budgets that may be exhausted first.
 func limits() []limit {
-	// The budgets of bytes are meant over the ten seconds that peer.DefaultBudget is saved up for.
+	// Budgets of bytes apply to the ten seconds over which peer.DefaultBudget accumulates.
 	const burst = 10 * budgetBytes
 	return []limit{
 		{budget: "300 writes, by claims asked for at one moment", grows: "agents that use up their burst at once", reached: budgetWrites / claimBurst, planned: fleetTargets},
@@ -87,7 +88,7 @@
 	}
 }
 
-// reachedLimit is a limit with its size.
+// reachedLimit is a limit with the size at which it is reached.
 type reachedLimit struct {
 	limit
 	size float64
@@ -95,7 +96,7 @@
 
 func (r reachedLimit) factor() float64 { return r.size / r.planned }
 
-// limitTable lists the limits, the one that is reached first on top.
+// limitTable lists the limits in ascending order of their size relative to the plan.
 func limitTable(s Samples) (string, error) {
 	var list []reachedLimit
 	for _, l := range limits() {
@@ -114,7 +115,7 @@
 	return b.String(), nil
 }
 
-// exceededList names the figures that are above their budgets.
+// exceededList lists the figures that exceed their budgets.
 func exceededList(s Samples) (string, error) {
 	var b strings.Builder
 	for _, f := range figures() {
--- a/internal/lab/capacity/mechanisms_test.go
+++ b/internal/lab/capacity/mechanisms_test.go
@@ -11,8 +11,8 @@
 
 var testName = regexp.MustCompile("`([a-z]+)\\.(Test[A-Za-z0-9]+)`")
 
-// Each figure must name fault tests that exist.
-func TestNamedTestsExist(t *testing.T) {
+// Each figure must name a mechanism and at least one fault test, and all named tests must exist.
+func TestFiguresNameExistingTests(t *testing.T) {
 	for _, f := range figures() {
 		names := testName.FindAllStringSubmatch(f.test, -1)
 		require.NotEmpty(t, names, "%s names no test", f.name)
--- a/internal/lab/capacity/options.go
+++ b/internal/lab/capacity/options.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Options say what to measure and where to write.
+// Options configures a run: what to measure and where to write.
 type Options struct {
-	// Out is the page whose tables are written; samples go to the file of the same name ending in .json.
+	// Out is the page whose tables are replaced; the samples are in the file of the same name with the suffix .json.
 	Out string
-	// Plots is the directory for the plots; empty draws none.
+	// Plots is the directory for the plots; if empty, none are drawn.
 	Plots string
-	// Only holds the names of the probes to run; the samples of the others are taken from the file. Empty runs all.
+	// Only holds the names of the probes to run; the samples of the others are kept. If empty, all probes run.
 	Only []string
-	// Render writes the tables from the samples of the file and measures nothing.
+	// Render writes the tables from the stored samples without measuring.
 	Render bool
-	// Progress gets a line before each probe; nil drops them.
+	// Progress receives a line for each probe; it may be nil.
 	Progress io.Writer
 }
 
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -7,13 +7,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Marks between which a table of the page is written.
+// Markers that delimit a generated section of the page.
 const (
 	markBegin = "<!-- capacity %s begin: written by auburnwood-lab capacity -->"
 	markEnd   = "<!-- capacity %s end -->"
 )
 
-// section is one generated part of the page.
+// section is a generated section of the page.
 type section struct {
 	name string
 	text string
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// writePage replaces the generated parts of the page.
+// writePage replaces the generated sections of the page.
 func writePage(path string, s Samples) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return trace.Wrap(os.WriteFile(path, []byte(text), 0o644), "write page")
 }
 
-// render returns the page with its generated parts made from the samples.
+// render returns the page with its generated sections computed from the samples.
 func render(page string, s Samples) (string, error) {
 	parts, err := sections(s)
 	if err != nil {
@@ -74,11 +74,11 @@
 	end := strings.Replace(markEnd, "%s", p.name, 1)
 	before, rest, ok := strings.Cut(page, begin)
 	if !ok {
-		return "", trace.BadParameter("page has no mark %q", begin)
+		return "", trace.BadParameter("page has no marker %q", begin)
 	}
 	_, after, ok := strings.Cut(rest, end)
 	if !ok {
-		return "", trace.BadParameter("page has no mark %q", end)
+		return "", trace.BadParameter("page has no marker %q", end)
 	}
 	return before + begin + "\n" + p.text + end + after, nil
 }
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -10,7 +10,7 @@
 
 var pagePath = filepath.Join("..", "..", "..", "docs", "CAPACITY.md")
 
-// The tables of the page must be what the kept samples give.
+// The tables of the page must match the stored samples.
 func TestPageMatchesTheSamples(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
@@ -18,10 +18,10 @@
 	require.NoError(t, err)
 	again, err := render(string(page), s)
 	require.NoError(t, err)
-	require.Equal(t, string(page), again, "write the page again: go run ./cmd/auburnwood-lab capacity --render")
+	require.Equal(t, string(page), again, "regenerate the page: go run ./cmd/auburnwood-lab capacity --render")
 }
 
-// Each series must have been measured at three sizes or more.
+// Each series must have been measured at three or more sizes.
 func TestSamplesAreComplete(t *testing.T) {
 	s, err := ReadSamples(pagePath)
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestReplaceNeedsBothMarks(t *testing.T) {
+func TestReplaceRequiresBothMarkers(t *testing.T) {
 	const begin, end = "<!-- capacity x begin: written by auburnwood-lab capacity -->", "<!-- capacity x end -->"
 	got, err := replace("a\n"+begin+"\nold\n"+end+"\nb", section{name: "x", text: "new\n"})
 	require.NoError(t, err)
@@ -70,7 +70,7 @@
 	require.ErrorContains(t, err, `"b"`)
 }
 
-func TestLimitIsWhereTheLineMeetsTheBudget(t *testing.T) {
+func TestLimitAt(t *testing.T) {
 	s := Samples{Probes: []ProbeSamples{{Series: []Series{
 		{Name: "a", Points: []Point{{1, 12}, {2, 14}, {3, 16}}}, {Name: "b", Points: []Point{{1, 5}, {2, 5}, {3, 5}}},
 	}}}}
--- a/internal/lab/capacity/plots.go
+++ b/internal/lab/capacity/plots.go
@@ -10,13 +10,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// drawing is one plot: a series, its line and the size to design for.
+// drawing is a plot of a series with its fitted line up to the size to design for.
 type drawing struct {
 	file, series string
 	until        float64
--- a/internal/lab/capacity/point.go
+++ b/internal/lab/capacity/point.go
@@ -2,8 +2,8 @@
 
 // Point is one measured value.
 type Point struct {
-	// Size is the size at which it was measured.
+	// Size is the size at which the value was measured.
 	Size float64 `json:"size"`
-	// Value is what was measured, in the unit of the series.
+	// Value is the measured value, in the unit of the series.
 	Value float64 `json:"value"`
 }
--- a/internal/lab/capacity/probe.go
+++ b/internal/lab/capacity/probe.go
@@ -7,31 +7,31 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// output names one value that a probe returns.
+// output describes one value that a probe returns.
 type output struct {
 	name, unit string
-	// doublings says that the cost grows with the logarithm of the size.
+	// doublings is set if the cost grows with the logarithm of the size.
 	doublings bool
 }
 
-// probe measures some costs at several sizes.
+// probe measures one or more costs at several sizes.
 type probe struct {
 	// name selects the probe on the command line.
 	name string
-	// per is what a size counts.
+	// per is the unit of the sizes, for example "service".
 	per string
-	// source is the package whose code is measured.
+	// source names the packages whose code is measured.
 	source  string
 	sizes   []float64
 	repeats int
 	outputs []output
-	// parallel measures all sizes at the same time: for counts that do not depend on the processor's load.
+	// parallel measures all sizes concurrently; only for counts that do not depend on processor load.
 	parallel bool
-	// run measures at one size and returns one value for each output.
+	// run measures one size and returns a value for each output.
 	run func(ctx context.Context, size float64) ([]float64, error)
 }
 
-// measure runs the probe at all its sizes.
+// measure runs the probe at all sizes, repeats times.
 func (p probe) measure(ctx context.Context) ([]Series, error) {
 	series := make([]Series, len(p.outputs))
 	for i, o := range p.outputs {
--- a/internal/lab/capacity/refusals.go
+++ b/internal/lab/capacity/refusals.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// newRefusal is the refusal of the i-th caller.
+// newRefusal returns a refusal record for the i-th caller.
 func newRefusal(i int) refusal.Record {
 	caller := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 	return refusal.Record{
@@ -26,7 +26,7 @@
 	}
 }
 
-// refusalRecords measures held and written records.
+// refusalRecords measures the cost of held and written refusal records.
 func refusalRecords() probe {
 	return probe{
 		name: "refusal-records", per: "refusal", source: "pkg/refusal",
@@ -48,14 +48,14 @@
 			var err error
 			writing := timed(func() { err = l.Drain(ctx) })
 			if err == nil && l.Stats().WrittenRefusals != uint64(size) {
-				err = trace.NotFound("%d of %g refusals were written", l.Stats().WrittenRefusals, size)
+				err = trace.NotFound("only %d of %g refusals were written", l.Stats().WrittenRefusals, size)
 			}
 			return []float64{held, float64(sizes.bytes), float64(sizes.objects), recording * 1000, writing * 1000}, err
 		},
 	}
 }
 
-// sizes notes the sizes of created objects.
+// sizes counts created objects and the bytes of their values.
 type sizes struct {
 	objectapi.Store
 	mu             sync.Mutex
@@ -71,7 +71,7 @@
 	return s.Store.Create(ctx, kind, name, value)
 }
 
-// refusalStorm measures a log that gets more records than it may hold.
+// refusalStorm measures a log that receives more records than it may hold while the store is unavailable.
 func refusalStorm() probe {
 	return probe{
 		name: "refusal-storm", per: "refusal", source: "pkg/refusal",
@@ -92,7 +92,7 @@
 			stats := l.Stats()
 			var err error
 			if stats.HeldRefusals != uint64(size) {
-				err = trace.NotFound("%d of %g refusals are held", stats.HeldRefusals, size)
+				err = trace.NotFound("only %d of %g refusals are held", stats.HeldRefusals, size)
 			}
 			memory := liveHeap() - before
 			runtime.KeepAlive(l)
@@ -102,15 +102,17 @@
 }
 
 const (
-	// paceMin and paceMax replace the bounds of a log's pace, so that it is reached sooner.
+	// paceMin and paceMax replace the default bounds of a log's write interval, so that the upper bound is reached
+	// sooner.
 	paceMin = 500 * time.Millisecond
 	paceMax = 4 * time.Second
-	// paceSettle is the time until the pace is at its bound, and paceWindow the time of counting.
+	// paceSettle is the time until the interval is at its upper bound, and paceWindow the time over which writes are
+	// counted.
 	paceSettle = 8 * time.Second
 	paceWindow = 12 * time.Second
 )
 
-// refusalPace measures the objects of processes that refuse all the time, with a longest interval of 4 s.
+// refusalPace measures the objects written by processes that refuse continuously, with a write interval of up to 4 s.
 func refusalPace() probe {
 	return probe{
 		name: "refusal-pace", per: "process that refuses", source: "pkg/refusal",
@@ -140,7 +142,7 @@
 	}
 }
 
-// refuseUntil records some refusals a second.
+// refuseUntil records a refusal every 50 ms until ctx ends.
 func refuseUntil(ctx context.Context, l *refusal.Log) {
 	for i := 0; ctx.Err() == nil; i++ {
 		l.Record(newRefusal(i))
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes are all measurements, in the order in which they run.
+// probes returns all probes, in the order in which they run.
 func probes() []probe {
 	return []probe{
 		balancerView(),
@@ -20,7 +20,7 @@
 		memberTable(),
 		balancerPackets(),
 		balancerWorkers(),
-		controlRest(),
+		controlIdle(),
 		controlAgents(),
 		controlMembers(),
 		controlRevisions(),
@@ -52,7 +52,7 @@
 	return names
 }
 
-// Run measures and writes the page, the samples and the plots.
+// Run measures, unless o.Render is set, and writes the samples, the page and the plots.
 func Run(ctx context.Context, o Options) error {
 	s, err := ReadSamples(o.Out)
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// machine describes where the samples were taken.
+// machine describes the machine on which the samples were taken.
 func machine() string {
 	return fmt.Sprintf("%d cores, %s, %s/%s, %s", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH, processorModel())
 }
@@ -136,5 +136,5 @@
 	return float64(u.Maxrss) * 1024
 }
 
-// errMissing is returned for a figure without its series.
+// errMissing is returned for a figure, a limit or a plot whose series has no samples.
 func errMissing(name string) error { return trace.NotFound("series %q was not measured", name) }
--- a/internal/lab/capacity/samples.go
+++ b/internal/lab/capacity/samples.go
@@ -16,9 +16,9 @@
 	Machine string `json:"machine"`
 	// Measured is the date of the last run.
 	Measured string `json:"measured"`
-	// Seconds is how long the last whole run took.
+	// Seconds is the duration of the last full run.
 	Seconds float64 `json:"seconds"`
-	// PeakMemory is the largest resident memory of the last whole run, in bytes.
+	// PeakMemory is the peak resident memory of the last full run, in bytes.
 	PeakMemory float64 `json:"peakMemory"`
 	// Probes are the measured series, by probe.
 	Probes []ProbeSamples `json:"probes"`
@@ -28,13 +28,13 @@
 type ProbeSamples struct {
 	// Probe is the name of the probe.
 	Probe string `json:"probe"`
-	// Seconds is how long the probe took.
+	// Seconds is the duration of the probe.
 	Seconds float64 `json:"seconds"`
-	// Series are its outputs.
+	// Series has one entry for each output of the probe.
 	Series []Series `json:"series"`
 }
 
-// put replaces the samples of a probe.
+// put adds the samples of a probe, replacing earlier ones.
 func (s *Samples) put(one ProbeSamples) {
 	for i := range s.Probes {
 		if s.Probes[i].Probe == one.Probe {
@@ -45,7 +45,7 @@
 	s.Probes = append(s.Probes, one)
 }
 
-// Series returns the series of a name.
+// Series returns the series with the given name.
 func (s Samples) Series(name string) (Series, bool) {
 	for _, p := range s.Probes {
 		for _, one := range p.Series {
@@ -57,12 +57,12 @@
 	return Series{}, false
 }
 
-// samplesPath returns the file of the samples that belong to a page.
+// samplesPath returns the path of the samples that belong to a page.
 func samplesPath(page string) string {
 	return strings.TrimSuffix(page, ".md") + ".json"
 }
 
-// ReadSamples reads the samples that belong to a page; a missing file holds none.
+// ReadSamples reads the samples that belong to a page. A missing file is not an error and yields no samples.
 func ReadSamples(page string) (Samples, error) {
 	var s Samples
 	b, err := os.ReadFile(samplesPath(page))
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -9,21 +9,21 @@
 
 // Series is one cost measured at several sizes.
 type Series struct {
-	// Name says what is measured.
+	// Name describes the measured cost; figures, limits and plots refer to the series by it.
 	Name string `json:"name"`
 	// Unit is the unit of the values.
 	Unit string `json:"unit"`
-	// Per is what a size counts.
+	// Per is the unit of the sizes, for example "service".
 	Per string `json:"per"`
-	// Source is the package whose code was measured.
+	// Source names the packages whose code was measured.
 	Source string `json:"source"`
-	// Doublings fits the line over the logarithm of the size to base 2.
+	// Doublings is set if the line is fitted over the base-2 logarithm of the size.
 	Doublings bool `json:"doublings,omitempty"`
-	// Points are the measured values, in the order in which they were measured.
+	// Points are the measured values, in order of measurement.
 	Points []Point `json:"points"`
 }
 
-// Sizes returns the measured sizes, sorted, each once.
+// Sizes returns the distinct measured sizes in ascending order.
 func (s Series) Sizes() []float64 {
 	var sizes []float64
 	for _, p := range s.Points {
@@ -33,7 +33,7 @@
 	return slices.Compact(sizes)
 }
 
-// scale returns where a size stands on the axis of the line.
+// scale returns the x value of a size: its base-2 logarithm if Doublings is set, else the size.
 func (s Series) scale(size float64) float64 {
 	if s.Doublings {
 		return math.Log2(size)
@@ -41,7 +41,7 @@
 	return size
 }
 
-// perText says what the slope counts.
+// perText returns the unit that the slope is per.
 func (s Series) perText() string {
 	if s.Doublings {
 		return "doubling of " + s.Per + "s"
@@ -49,7 +49,7 @@
 	return s.Per
 }
 
-// values returns what was measured at a size.
+// values returns the values measured at a size.
 func (s Series) values(size float64) []float64 {
 	var out []float64
 	for _, p := range s.Points {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// Fit returns the line through the points by least squares.
+// Fit fits a line through the points by least squares.
 func (s Series) Fit() Fit {
 	x, y := make([]float64, len(s.Points)), make([]float64, len(s.Points))
 	for i, p := range s.Points {
@@ -79,7 +79,7 @@
 	return f
 }
 
-// spread returns the largest distance between repeats of one size as a part of their mean.
+// spread returns the largest range of the repeats of one size, as a fraction of their mean.
 func (s Series) spread() float64 {
 	worst := 0.0
 	for _, size := range s.Sizes() {
--- a/internal/lab/capacity/settings_test.go
+++ b/internal/lab/capacity/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// The figures must be worked out with the defaults that the daemons use.
+// The constants behind the figures must equal the defaults of the daemons.
 func TestFiguresUseTheDefaults(t *testing.T) {
 	require.EqualValues(t, callRate, settings.DefaultAgent().ObjectAPI.CallsPerSecond)
 	require.EqualValues(t, callRate, settings.DefaultBalancer().ObjectAPI.CallsPerSecond)
--- a/internal/lab/capacity/store_calls.go
+++ b/internal/lab/capacity/store_calls.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// watchWait is how long a watch waits in the stand-in, and platformWait how long it is taken to wait at the platform.
+	// watchWait is the duration of a watch in the stand-in, and platformWait the assumed duration on the platform.
 	watchWait    = 3 * time.Second
 	platformWait = 30 * time.Second
 	callWindow   = 9 * time.Second
 	callSettle   = 8 * time.Second
 )
 
-// storeReads measures the calls of idle balancers by their number.
+// storeReads measures the object API calls of idle balancers by their number.
 func storeReads() probe {
 	return probe{
 		name: "store-balancers", per: "balancer", source: "pkg/balancerd, pkg/revision, pkg/lease",
@@ -38,7 +38,7 @@
 	}
 }
 
-// storeCentres measures the calls of eight idle balancers by the number of data centres.
+// storeCentres measures the object API calls of idle balancers, three in each data centre, by the number of data centres.
 func storeCentres() probe {
 	return probe{
 		name: "store-data-centres", per: "data centre", source: "pkg/balancerd, pkg/lease, pkg/membership",
@@ -51,7 +51,7 @@
 	}
 }
 
-// idleCalls returns the reads and writes a second of idle balancers.
+// idleCalls returns the reads and writes per second of idle balancers.
 func idleCalls(ctx context.Context, balancers, centres int) ([]float64, error) {
 	f, err := startDaemons(ctx, balancers, centres, watchWait)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return []float64{reads, float64(f.store.Counts().Writes()-writes) / callWindow.Seconds()}, ctx.Err()
 }
 
-// daemonFleet is a number of balancer daemons on one store.
+// daemonFleet is a set of balancer daemons that share one store.
 type daemonFleet struct {
 	store   *store.Store
 	daemons []*balancerd.Daemon
@@ -90,7 +90,7 @@
 	return f, nil
 }
 
-// reads returns the reads a second during a time.
+// reads returns the mean reads per second over the given duration.
 func (f *daemonFleet) reads(ctx context.Context, during time.Duration) float64 {
 	before := f.store.Counts().Reads()
 	_ = wait.For(ctx, during)
@@ -120,7 +120,7 @@
 	return d, trace.Wrap(err)
 }
 
-// storeAdoption measures the reads of the balancers for one change of configuration.
+// storeAdoption measures the reads of the balancers for one configuration change.
 func storeAdoption() probe {
 	return probe{
 		name: "store-change", per: "balancer", source: "pkg/balancerd, pkg/revision",
@@ -128,7 +128,7 @@
 		outputs: []output{{name: "change of configuration, reads", unit: "reads"}},
 		run: func(ctx context.Context, size float64) ([]float64, error) {
 			const changes = 5
-			// The watches wait longer than the measurement, so that only changes end them.
+			// Watches outlast the measurement, so that only changes end them.
 			f, err := startDaemons(ctx, int(size), 1, time.Hour)
 			if err != nil {
 				return nil, err
@@ -152,7 +152,7 @@
 	}
 }
 
-// operatorCalls measures the calls of auburnwoodctl apply.
+// operatorCalls measures the object API calls of "auburnwoodctl apply".
 func operatorCalls() probe {
 	return probe{
 		name: "operator", per: "service", source: "pkg/ctl",
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// machineText says where and when the samples were taken.
+// machineText states where and when the samples were taken.
 func machineText(s Samples) string {
 	return fmt.Sprintf("Measured %s on %s. A whole run took %.0f s and %.2f GB of memory at most.\n",
 		s.Measured, s.Machine, s.Seconds, s.PeakMemory/1e9)
 }
 
-// slopeTable lists all measured lines.
+// slopeTable lists the fitted lines of all series.
 func slopeTable(s Samples) string {
 	var b strings.Builder
 	b.WriteString("| probe | cost | unit | sizes | slope | intercept | residual | spread of repeats | code measured |\n")
@@ -35,7 +35,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// number prints a value with three significant digits.
+// number formats a value with about three significant digits; integers below 1e6 are exact.
 func number(v float64) string {
 	abs := math.Abs(v)
 	switch {
--- a/internal/lab/capacity/usage.go
+++ b/internal/lab/capacity/usage.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// liveHeap returns the bytes of the objects that are in use.
+// liveHeap returns the bytes of live heap objects, after garbage collection.
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -17,7 +17,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// liveMemory returns the bytes of the objects and of the goroutine stacks in use.
+// liveMemory returns the bytes of live heap objects and of goroutine stacks.
 func liveMemory() float64 {
 	heap := liveHeap()
 	s := []metrics.Sample{{Name: "/memory/classes/heap/stacks:bytes"}}
@@ -25,10 +25,10 @@
 	return heap + float64(s[0].Value.Uint64())
 }
 
-// processorTime returns what the process has used.
+// processorTime returns the processor time that the process has used.
 func processorTime() time.Duration { return usedBy(unix.RUSAGE_SELF) }
 
-// threadTime returns what the calling thread has used; the goroutine must be locked to it.
+// threadTime returns the processor time that the calling thread has used; the goroutine must be locked to the thread.
 func threadTime() time.Duration { return usedBy(unix.RUSAGE_THREAD) }
 
 func usedBy(who int) time.Duration {
--- a/internal/lab/command/bound.go
+++ b/internal/lab/command/bound.go
@@ -12,16 +12,16 @@
 type boundCommand struct {
 	Balancers int           `long:"balancers" default:"5" description:"Number of balancers"`
 	Targets   int           `long:"targets" default:"12" description:"Number of targets"`
-	Slots     int           `long:"slots" default:"2" description:"Requests that a target serves concurrently"`
-	Work      time.Duration `long:"work" default:"25ms" description:"Mean service time of a request"`
+	Slots     int           `long:"slots" default:"2" description:"Requests that a target works on at once"`
+	Work      time.Duration `long:"work" default:"25ms" description:"Mean time of a request"`
 	Rate      float64       `long:"rate" default:"400" description:"Requests a second"`
-	Aim       time.Duration `long:"aim" default:"120ms" description:"Response time promised to callers"`
-	Budget    time.Duration `long:"budget" default:"1200ms" description:"Time after which callers abandon a request"`
+	Aim       time.Duration `long:"aim" default:"120ms" description:"Response time that callers are promised"`
+	Budget    time.Duration `long:"budget" default:"1200ms" description:"Time after which callers give up"`
 	Caller    time.Duration `long:"caller-delay" default:"3ms" description:"One-way delay between callers and balancers"`
-	Outage      time.Duration `long:"dark" default:"1400ms" description:"Duration of the power loss, until the processes run again"`
+	Outage    time.Duration `long:"dark" default:"1400ms" description:"Duration of the power loss, until the processes run again"`
 	ColdTime  time.Duration `long:"cold-time" default:"2s" description:"How long targets are cold (slow) after their start"`
 	Cold      float64       `long:"cold-factor" default:"1.6" description:"Factor on the service time of a cold target"`
-	ColdRate  float64       `long:"cold-per-second" description:"New flows that a cold target accepts per second; 0 for no limit"`
+	ColdRate  float64       `long:"cold-per-second" description:"New flows that a cold target takes in a second; 0 for no limit"`
 	Length    time.Duration `long:"length" default:"12s" description:"How long callers send requests; power is lost after 3 s"`
 	Seeds     int           `long:"seeds" default:"3" description:"Number of seeds"`
 }
--- a/internal/lab/command/capacity.go
+++ b/internal/lab/command/capacity.go
@@ -8,10 +8,10 @@
 )
 
 type capacityCommand struct {
-	Out    string   `long:"out" value-name:"FILE" default:"docs/CAPACITY.md" description:"Page in which the tables are replaced"`
+	Out    string   `long:"out" value-name:"FILE" default:"docs/CAPACITY.md" description:"Page whose tables are written"`
 	Plots  string   `long:"plots" value-name:"DIRECTORY" default:"docs/img" description:"Directory of the plots"`
-	Only   []string `long:"only" value-name:"PROBE" description:"Measure only this probe and keep the samples of the others; may be given several times"`
-	Render bool     `long:"render" description:"Write the tables from the stored samples without measuring"`
+	Only   []string `long:"only" value-name:"PROBE" description:"Measure this probe only and keep the other samples; may be given several times"`
+	Render bool     `long:"render" description:"Write the tables from the kept samples and measure nothing"`
 }
 
 func (c *capacityCommand) run(e env) error {
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -11,7 +11,7 @@
 
 type demoCommand struct {
 	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" choice:"both" default:"both" description:"Deployment whose services and targets are used"`
-	Seed       uint64 `long:"seed" default:"1" description:"Seed of the random choices"`
+	Seed       uint64 `long:"seed" default:"1" description:"Makes the run repeatable"`
 }
 
 // Parameters of the demo's pass-through run.
--- a/internal/lab/command/flows.go
+++ b/internal/lab/command/flows.go
@@ -14,10 +14,10 @@
 	Flows      int           `long:"flows" default:"1000" description:"Flows in the whole run"`
 	Faults     string        `long:"faults" default:"planned" description:"Faults, separated by commas; or planned, or none"`
 	Rounds     int           `long:"rounds" default:"1" description:"Number of consecutive rounds in which targets join and drain"`
-	Seed       uint64        `long:"seed" default:"1" description:"Seed of the random choice of faults"`
+	Seed       uint64        `long:"seed" default:"1" description:"Makes the choice of faults repeatable"`
 	Window     time.Duration `long:"window" default:"15s" description:"Period in which faults are injected"`
-	Lying      bool          `long:"lying-target" description:"Let one target of each service falsely report a load of 0"`
-	Direct     bool          `long:"direct" description:"Pass views directly to balancers and agents, without the control plane"`
+	Lying      bool          `long:"lying-target" description:"Let one target of each service report a load of 0"`
+	Direct     bool          `long:"direct" description:"Give views to balancers and agents without the control plane"`
 	Trace      bool          `long:"trace" description:"Print the packets of the slowest flows"`
 	Mode       string        `long:"mode" choice:"stream" choice:"passthrough" default:"stream" description:"Whether agents terminate connections (stream) or pass packets to targets unchanged (passthrough)"`
 }
--- a/internal/lab/command/main.go
+++ b/internal/lab/command/main.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Main runs the command line and returns the exit code: 0 if all guarantees held, 1 if one was violated or the run failed,
-// 2 for an invalid command line.
+// Main runs the command line and returns the exit code: 0 if all guarantees held, 1 if one was violated or the run
+// failed, 2 for an invalid command line.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var g global
 	p := flags.NewParser(&g, flags.HelpFlag|flags.PassDoubleDash)
--- a/internal/lab/command/policy.go
+++ b/internal/lab/command/policy.go
@@ -17,10 +17,10 @@
 // policyCommand compares the decisions of pass-through services with and without individual mechanisms.
 type policyCommand struct {
 	Scenarios []string `long:"scenario" value-name:"NAME" description:"Scenario to run; may be given several times; default: all"`
-	Without   []string `long:"without" value-name:"MECHANISM" description:"Mechanism to switch off in separate runs, or 'each'; may be given several times"`
-	Seeds     int      `long:"seeds" default:"3" description:"Number of seeds for each run"`
-	Jobs      int      `long:"jobs" default:"4" description:"Maximum number of concurrent runs"`
-	Plot      string   `long:"plot" value-name:"FILE" description:"PNG file for the time windows of the first scenario"`
+	Without   []string `long:"without" value-name:"MECHANISM" description:"Mechanism to switch off in runs of their own, or 'each'; may be given several times"`
+	Seeds     int      `long:"seeds" default:"3" description:"Number of seeds of each run"`
+	Jobs      int      `long:"jobs" default:"4" description:"Runs at a time"`
+	Plot      string   `long:"plot" value-name:"FILE" description:"PNG file for the windows of the first scenario"`
 }
 
 func (c *policyCommand) run(e env) error {
--- a/internal/lab/command/run.go
+++ b/internal/lab/command/run.go
@@ -18,7 +18,7 @@
 )
 
 type runCommand struct {
-	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"Output format"`
+	Format string `long:"format" choice:"table" choice:"json" default:"table" description:"Form of the output"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"yes" description:"Experiment file (TOML)"`
 	} `positional-args:"yes"`
@@ -58,8 +58,8 @@
 	return r.run(e)
 }
 
-// parseRun parses a command line and returns its command. It rejects "standin", which does not end, and "run", which would
-// nest experiments.
+// parseRun parses a command line and returns its command. It rejects "standin", which does not end, and "run", which
+// would nest experiments.
 func parseRun(args []string) (runner, error) {
 	p := flags.NewParser(&struct{}{}, flags.PassDoubleDash)
 	all := commands()
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -9,11 +9,11 @@
 
 // soakCommand runs the daemon binaries of pass-through services under random faults.
 type soakCommand struct {
-	Seed      uint64        `long:"seed" default:"1" description:"Seed of the faults and of the callers"`
-	Length    time.Duration `long:"length" default:"30s" description:"Period in which faults are injected"`
+	Seed      uint64        `long:"seed" default:"1" description:"Seed of the faults and the callers"`
+	Length    time.Duration `long:"length" default:"30s" description:"How long faults are made"`
 	Balancers int           `long:"balancers" default:"4" description:"Number of balancers"`
 	Targets   int           `long:"targets" default:"9" description:"Number of targets, each with its agent"`
-	Rate      int           `long:"rate" default:"40" description:"New flows per second"`
+	Rate      int           `long:"rate" default:"40" description:"New flows a second"`
 	Programs  string        `long:"programs" value-name:"DIR" required:"yes" description:"Directory with auburnwood-dsr-balancer and auburnwood-dsr-agent"`
 	Dir       string        `long:"dir" value-name:"DIR" required:"yes" description:"Directory for settings and logs"`
 }
--- a/internal/lab/command/standin.go
+++ b/internal/lab/command/standin.go
@@ -11,9 +11,9 @@
 type standinCommand struct {
 	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Deployment whose services and targets are used"`
 	Balancers  int    `long:"balancers" default:"3" description:"Number of balancers"`
-	BasePort   int    `long:"base-port" default:"27000" description:"First of 700 consecutive ports on 127.0.0.1"`
-	Write      string `long:"write" value-name:"DIR" description:"Write the daemons' settings and the services to a directory and exit"`
-	Call       string `long:"call" value-name:"PATH" description:"Call running stand-ins, for example /downloads?service=route-svc&count=10&bytes=1000, and exit"`
+	BasePort   int    `long:"base-port" default:"27000" description:"First of 700 ports on 127.0.0.1"`
+	Write      string `long:"write" value-name:"DIR" description:"Write the daemons' settings and the services to a directory, and end"`
+	Call       string `long:"call" value-name:"PATH" description:"Call running stand-ins, for example /downloads?service=route-svc&count=10&bytes=1000, and end"`
 }
 
 func (c *standinCommand) run(e env) error {
