--- a/internal/lab/capacity/agent_bench.go
+++ b/internal/lab/capacity/agent_bench.go
@@ -42,8 +42,8 @@
 	conns []net.Conn
 }
 
-// newAgentBench starts the bench. Buffer is the buffer size of the caller's stack (0 selects its default); serve is called
-// with each connection that the target accepts and may be nil.
+// newAgentBench starts the bench. Buffer is the buffer size of the caller's stack (0 selects its default); serve is
+// called with each connection that the target accepts and may be nil.
 func newAgentBench(ctx context.Context, buffer int, serve func(net.Conn)) (*agentBench, error) {
 	x := &agentBench{}
 	ctx, x.stop = context.WithCancel(ctx)
--- a/internal/lab/capacity/balancer_packets.go
+++ b/internal/lab/capacity/balancer_packets.go
@@ -32,11 +32,11 @@
 		sizes: []float64{20000, 40000, 80000}, repeats: 3,
 		outputs: []output{{name: "packets of known flows, processor time", unit: "us"}, {name: "packets that open flows, processor time", unit: "us"}},
 		run: func(_ context.Context, size float64) ([]float64, error) {
-			known, err := packetTime(int(size), 1, header.TCPFlagAck)
+			known, err := measurePackets(int(size), 1, header.TCPFlagAck)
 			if err != nil {
 				return nil, err
 			}
-			opening, err := packetTime(int(size), 1, header.TCPFlagSyn)
+			opening, err := measurePackets(int(size), 1, header.TCPFlagSyn)
 			if err != nil {
 				return nil, err
 			}
@@ -53,7 +53,7 @@
 		outputs: []output{{name: "packets forwarded a second", unit: "packets/s"}},
 		run: func(_ context.Context, size float64) ([]float64, error) {
 			const packets = 100000
-			r, err := packetTime(packets, int(size), header.TCPFlagAck)
+			r, err := measurePackets(packets, int(size), header.TCPFlagAck)
 			if err != nil {
 				return nil, err
 			}
@@ -79,7 +79,7 @@
 	wg       sync.WaitGroup
 }
 
-func packetTime(packets, workers int, flags header.TCPFlags) (packetRun, error) {
+func measurePackets(packets, workers int, flags header.TCPFlags) (packetRun, error) {
 	agents, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
 	if err != nil {
 		return packetRun{}, trace.Wrap(err)
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// reconfigure publishes a revision in which the first number services are changed. It returns the seconds until all balancers have adopted it, and
-// until all of them know that it is in force on all.
+// reconfigure publishes a revision in which the first number services are changed. It returns the seconds until all
+// balancers have adopted it, and until all of them know that it is in force on all.
 func (f *controlFleet) reconfigure(number uint64) (adopted, counted float64, err error) {
 	r := newRevision(number, fleetServices)
 	for i := range r.Services[:int(number)] {
--- a/internal/lab/capacity/control_fleet.go
+++ b/internal/lab/capacity/control_fleet.go
@@ -67,7 +67,7 @@
 		f.done.Go(func() { _ = n.node.WatchViews(f.ctx, func(v *view.View) { n.node.Confirm(v.Revision) }) })
 	}
 	f.nodes[0].adopter.Offer(newRevision(1, max(o.services, 1)), revision.SourceHead)
-	return f, f.await("all members active and revision in force on all", func() bool { return f.lowestActive() == o.records+o.balancers && f.inForce(1) })
+	return f, f.await("all members active and revision in force on all", func() bool { return f.count() == o.records+o.balancers && f.inForce(1) })
 }
 
 func newControlNode(i int, seeds []string, records []membership.Member) (*controlNode, error) {
@@ -111,11 +111,11 @@
 		f.sessions = append(f.sessions, metrics)
 		f.done.Go(func() { _ = s.Run(f.ctx) })
 	}
-	return f.await("all agents active", func() bool { return f.lowestActive() == count+len(f.nodes) })
+	return f.await("all agents active", func() bool { return f.count() == count+len(f.nodes) })
 }
 
-// lowestActive returns the lowest number of active members in any node's table.
-func (f *controlFleet) lowestActive() int {
+// count returns the lowest number of active members in any node's table.
+func (f *controlFleet) count() int {
 	lowest := -1
 	for _, n := range f.nodes {
 		active := 0
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -22,7 +22,8 @@
 	fleetClaims = 150
 	// claimBurst is the maximum number of claims that an agent may make at once (agentd.ClaimBurst).
 	claimBurst = 5
-	// groupRate is the maximum number of writes per second of a data centre's member group (membership.DefaultGroupInterval).
+	// groupRate is the maximum number of writes per second of a data centre's member group
+	// (membership.DefaultGroupInterval).
 	groupRate = 1
 	// statusRate is revision.DefaultStatusRate.
 	statusRate = 50
--- a/internal/lab/capacity/size.go
+++ b/internal/lab/capacity/size.go
@@ -27,8 +27,8 @@
 	membersDataCentre = fleetMembers / fleetDataCentres
 )
 
-// Control budgets: processor time (% of a core), memory (MB) and bytes per second of one daemon, and object API writes and
-// reads per second of all processes.
+// Budgets for control: processor time (% of a core), memory (MB) and bytes per second of one daemon, and object API
+// writes and reads per second of all processes.
 const (
 	budgetCore   = 2.0
 	budgetMemory = 256.0
--- a/internal/lab/capacity/store_calls.go
+++ b/internal/lab/capacity/store_calls.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// storeCentres measures the object API calls of idle balancers, three in each data centre, by the number of data centres.
+// storeCentres measures the object API calls of idle balancers, three for each data centre, by the number of data
+// centres.
 func storeCentres() probe {
 	return probe{
 		name: "store-data-centres", per: "data centre", source: "pkg/balancerd, pkg/lease, pkg/membership",
--- a/internal/lab/command/bound.go
+++ b/internal/lab/command/bound.go
@@ -7,8 +7,8 @@
 	"github.com/auburnwood/auburnwood/internal/lab/policy"
 )
 
-// boundCommand computes an upper bound on the requests that any system could serve around a power loss, and simulates the
-// decisions of pass-through services under the same load for comparison.
+// boundCommand computes an upper bound on the requests that any system could serve around a power loss, and simulates
+// the decisions of pass-through services under the same load for comparison.
 type boundCommand struct {
 	Balancers int           `long:"balancers" default:"5" description:"Number of balancers"`
 	Targets   int           `long:"targets" default:"12" description:"Number of targets"`
