--- a/internal/lab/capacity/balancer_packets.go
+++ b/internal/lab/capacity/balancer_packets.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// packetRun is the result of packetTime.
+// packetRun is the result of measurePackets.
 type packetRun struct {
 	// used is the processor time of the process without the threads of the senders and of the agents' receiver.
 	used time.Duration
