--- a/internal/lab/capacity/refusals.go
+++ b/internal/lab/capacity/refusals.go
@@ -48,7 +48,7 @@
 			var err error
 			writing := timed(func() { err = l.Drain(ctx) })
 			if err == nil && l.Stats().WrittenRefusals != uint64(size) {
-				err = trace.NotFound("only %d of %g refusals were written", l.Stats().WrittenRefusals, size)
+				err = trace.NotFound("%d refusals were written, want %g", l.Stats().WrittenRefusals, size)
 			}
 			return []float64{held, float64(sizes.bytes), float64(sizes.objects), recording * 1000, writing * 1000}, err
 		},
@@ -92,7 +92,7 @@
 			stats := l.Stats()
 			var err error
 			if stats.HeldRefusals != uint64(size) {
-				err = trace.NotFound("only %d of %g refusals are held", stats.HeldRefusals, size)
+				err = trace.NotFound("%d refusals are held, want %g", stats.HeldRefusals, size)
 			}
 			memory := liveHeap() - before
 			runtime.KeepAlive(l)
--- a/internal/lab/command/flows.go
+++ b/internal/lab/command/flows.go
@@ -12,7 +12,7 @@
 	Deployment string        `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Deployment whose services and targets are used"`
 	Balancers  int           `long:"balancers" default:"3" description:"Balancers at the start"`
 	Flows      int           `long:"flows" default:"1000" description:"Flows in the whole run"`
-	Faults     string        `long:"faults" default:"planned" description:"Faults, separated by commas; planned stands for all planned changes, none for no faults"`
+	Faults     string        `long:"faults" default:"planned" description:"Faults, separated by commas; planned stands for joins, leaves, drains, delayed views and a store outage, none for no faults"`
 	Rounds     int           `long:"rounds" default:"1" description:"Number of consecutive rounds in which targets join and drain"`
 	Seed       uint64        `long:"seed" default:"1" description:"Makes the choice of faults repeatable"`
 	Window     time.Duration `long:"window" default:"15s" description:"Period in which faults are injected"`
--- a/internal/lab/command/main.go
+++ b/internal/lab/command/main.go
@@ -116,6 +116,7 @@
 	return telemetry.ExitUsage
 }
 
+// exitCode prints err, if there is one, and returns the exit code for it.
 func exitCode(err error, errOut io.Writer) int {
 	if err == nil {
 		return telemetry.ExitOK
