--- a/internal/lab/command/bound.go
+++ b/internal/lab/command/bound.go
@@ -18,9 +18,9 @@
 	Aim       time.Duration `long:"aim" default:"120ms" description:"Response time that callers are promised"`
 	Budget    time.Duration `long:"budget" default:"1200ms" description:"Time after which callers give up"`
 	Caller    time.Duration `long:"caller-delay" default:"3ms" description:"One-way delay between callers and balancers"`
-	Outage    time.Duration `long:"dark" default:"1400ms" description:"Duration of the power loss, until the processes run again"`
-	ColdTime  time.Duration `long:"cold-time" default:"2s" description:"How long targets are cold (slow) after their start"`
-	Cold      float64       `long:"cold-factor" default:"1.6" description:"Factor on the service time of a cold target"`
+	Outage    time.Duration `long:"dark" default:"1400ms" description:"How long everything is without power, until its processes run again"`
+	ColdTime  time.Duration `long:"cold-time" default:"2s" description:"How long targets are slow after their start"`
+	Cold      float64       `long:"cold-factor" default:"1.6" description:"How much longer they work then"`
 	ColdRate  float64       `long:"cold-per-second" description:"New flows that a cold target takes in a second; 0 for no limit"`
 	Length    time.Duration `long:"length" default:"12s" description:"How long callers send requests; power is lost after 3 s"`
 	Seeds     int           `long:"seeds" default:"3" description:"Number of seeds"`
--- a/internal/lab/command/control.go
+++ b/internal/lab/command/control.go
@@ -6,9 +6,9 @@
 	Balancers int    `long:"balancers" default:"8" description:"Balancers at the start"`
 	Targets   int    `long:"targets" default:"20" description:"Targets at the start"`
 	Changes   int    `long:"changes" default:"200" description:"Changes that operators make"`
-	Faults    string `long:"faults" default:"none" description:"Faults, separated by commas; all stands for every fault, none for no faults"`
+	Faults    string `long:"faults" default:"none" description:"Faults, separated by commas; all and none are short forms"`
 	Seed      uint64 `long:"seed" default:"1" description:"Makes the choices repeatable"`
-	Sweep     bool   `long:"sweep" description:"Instead of a checked run, measure several sizes without faults and print the slopes"`
+	Sweep     bool   `long:"sweep" description:"Measure several sizes without faults and print the slopes instead"`
 }
 
 func (c *controlCommand) run(e env) error {
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -10,7 +10,7 @@
 )
 
 type demoCommand struct {
-	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" choice:"both" default:"both" description:"Deployment whose services and targets are used"`
+	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" choice:"both" default:"both" description:"Whose services and targets"`
 	Seed       uint64 `long:"seed" default:"1" description:"Makes the run repeatable"`
 }
 
--- a/internal/lab/command/flows.go
+++ b/internal/lab/command/flows.go
@@ -9,17 +9,17 @@
 )
 
 type flowsCommand struct {
-	Deployment string        `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Deployment whose services and targets are used"`
+	Deployment string        `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Whose services and targets"`
 	Balancers  int           `long:"balancers" default:"3" description:"Balancers at the start"`
 	Flows      int           `long:"flows" default:"1000" description:"Flows in the whole run"`
-	Faults     string        `long:"faults" default:"planned" description:"Faults, separated by commas; planned stands for joins, leaves, drains, delayed views and a store outage, none for no faults"`
-	Rounds     int           `long:"rounds" default:"1" description:"Number of consecutive rounds in which targets join and drain"`
+	Faults     string        `long:"faults" default:"planned" description:"Faults, separated by commas; planned and none are short forms"`
+	Rounds     int           `long:"rounds" default:"1" description:"Joins and drains of targets in a row"`
 	Seed       uint64        `long:"seed" default:"1" description:"Makes the choice of faults repeatable"`
-	Window     time.Duration `long:"window" default:"15s" description:"Period in which faults are injected"`
+	Window     time.Duration `long:"window" default:"15s" description:"Time of the faults"`
 	Lying      bool          `long:"lying-target" description:"Let one target of each service report a load of 0"`
 	Direct     bool          `long:"direct" description:"Give views to balancers and agents without the control plane"`
 	Trace      bool          `long:"trace" description:"Print the packets of the slowest flows"`
-	Mode       string        `long:"mode" choice:"stream" choice:"passthrough" default:"stream" description:"Whether agents terminate connections (stream) or pass packets to targets unchanged (passthrough)"`
+	Mode       string        `long:"mode" choice:"stream" choice:"passthrough" default:"stream" description:"Whether agents end connections, or hand packets to targets as they are"`
 }
 
 func (c *flowsCommand) run(e env) error {
--- a/internal/lab/command/policy.go
+++ b/internal/lab/command/policy.go
@@ -16,7 +16,7 @@
 
 // policyCommand compares the decisions of pass-through services with and without individual mechanisms.
 type policyCommand struct {
-	Scenarios []string `long:"scenario" value-name:"NAME" description:"Scenario to run; may be given several times; default: all"`
+	Scenarios []string `long:"scenario" value-name:"NAME" description:"Scenario to play; may be given several times, all without it"`
 	Without   []string `long:"without" value-name:"MECHANISM" description:"Mechanism to switch off in runs of their own, or 'each'; may be given several times"`
 	Seeds     int      `long:"seeds" default:"3" description:"Number of seeds of each run"`
 	Jobs      int      `long:"jobs" default:"4" description:"Runs at a time"`
--- a/internal/lab/command/requests.go
+++ b/internal/lab/command/requests.go
@@ -7,7 +7,7 @@
 
 type requestsCommand struct {
 	requests.Options
-	Daemons bool `long:"daemons" description:"run requests through balancers and agents; the baselines run without them"`
+	Daemons bool `long:"daemons" description:"run through balancers and agents; the baselines stay without"`
 }
 
 func (c *requestsCommand) run(e env) error {
--- a/internal/lab/command/standin.go
+++ b/internal/lab/command/standin.go
@@ -9,7 +9,7 @@
 
 // standinCommand serves the object API and the fabric for daemons that run as separate processes.
 type standinCommand struct {
-	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Deployment whose services and targets are used"`
+	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Whose services and targets"`
 	Balancers  int    `long:"balancers" default:"3" description:"Number of balancers"`
 	BasePort   int    `long:"base-port" default:"27000" description:"First of 700 ports on 127.0.0.1"`
 	Write      string `long:"write" value-name:"DIR" description:"Write the daemons' settings and the services to a directory, and end"`
