--- a/internal/lab/command/capacity.go
+++ b/internal/lab/command/capacity.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// terminalOf returns w when it is a terminal, and nil otherwise.
+// terminalOf returns w if it is a character device such as a terminal, and nil otherwise.
 func terminalOf(w io.Writer) io.Writer {
 	f, ok := w.(*os.File)
 	if !ok {
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -7,7 +7,7 @@
 	"github.com/auburnwood/auburnwood/internal/lab/soak"
 )
 
-// soakCommand runs the real programs of pass-through services under faults.
+// soakCommand runs the daemon binaries of pass-through services under random faults.
 type soakCommand struct {
 	Seed      uint64        `long:"seed" default:"1" description:"Seed of the faults and the callers"`
 	Length    time.Duration `long:"length" default:"30s" description:"How long faults are made"`
@@ -30,7 +30,7 @@
 	}
 	fmt.Fprintln(e.out, r)
 	if r.Broken > 0 {
-		return fmt.Errorf("seed %d: %d promises were broken; the logs are in %s", c.Seed, r.Broken, c.Dir)
+		return fmt.Errorf("seed %d: %d guarantees were violated; the logs are in %s", c.Seed, r.Broken, c.Dir)
 	}
 	return nil
 }
--- a/internal/lab/command/standin.go
+++ b/internal/lab/command/standin.go
@@ -7,7 +7,7 @@
 	"github.com/auburnwood/auburnwood/internal/lab/processes"
 )
 
-// standinCommand accompanies daemons that run as processes of their own.
+// standinCommand serves the object API and the fabric for daemons that run as separate processes.
 type standinCommand struct {
 	Deployment string `long:"deployment" choice:"zarqa" choice:"saobien" default:"zarqa" description:"Whose services and targets"`
 	Balancers  int    `long:"balancers" default:"3" description:"Number of balancers"`
