--- a/internal/lab/command/bound.go
+++ b/internal/lab/command/bound.go
@@ -54,7 +54,7 @@
 		name string
 		of   policy.Counts
 	}{{"bound", bound}, {"reached", reached}} {
-		fmt.Fprintf(e.out, "%s: asked=%d in_time=%d late=%d lost=%d worth=%.4f\n", line.name, line.of.Asked, line.of.InTime, line.of.Late, line.of.Lost, line.of.Worth())
+		fmt.Fprintf(e.out, "%s: asked=%d in_time=%d late=%d lost=%d worth=%.4f\n", line.name, line.of.Requests, line.of.InTime, line.of.Late, line.of.Lost, line.of.Worth())
 	}
 	return nil
 }
--- a/internal/lab/command/policy.go
+++ b/internal/lab/command/policy.go
@@ -47,7 +47,7 @@
 			return err
 		}
 	}
-	return bounds(e, policy.Broken(rows))
+	return bounds(e, policy.Violations(rows))
 }
 
 // bounds prints what is broken; the error makes the exit code.
--- a/internal/lab/policy/bound.go
+++ b/internal/lab/policy/bound.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// boundStep is the step of time in which the bound is worked out.
+// boundStep is the time resolution of Bound.
 const boundStep = 5 * time.Millisecond
 
-// wanted is a request as the bound sees it.
-type wanted struct {
-	// first is when its first packet can reach a living balancer; inTime and budget are when its work must begin at the latest.
+// demand is a request as Bound sees it.
+type demand struct {
+	// first is when its first packet can reach a running balancer; inTime and budget are the latest times at which its
+	// work must begin for an answer in time and within the budget.
 	first, inTime, budget time.Time
 }
 
-// Bound is about the most that any system could serve in a run: it knows every request and its tries, divides the targets' slots
-// without loss, never waits for a packet between VMs, and gives every slot to a request that can still be answered in time, the most
-// urgent first, before any late one. Callers' packets reach it only while there is power, at the times at which callers send them.
-// Failing, mute, wrong and slow targets are left out by it from the first moment; agents that die cost it nothing.
+// Bound estimates the maximum that any system could serve in a run. It knows all requests and their tries in advance,
+// shares the slots without loss or delay between VMs, and serves requests that can still be answered in time before
+// late ones, in order of arrival. Packets of callers arrive at the times at which callers send them, and only while
+// there is power. Failing, mute, wrong and slow targets are excluded for the duration of the fault; agents that die cost
+// nothing. Packet loss is ignored.
 func Bound(o Options) (Counts, error) {
 	if err := o.check(); err != nil {
 		return Counts{}, err
 	}
-	requests := o.wanted()
-	out := Counts{Asked: len(requests)}
-	var timely, late []wanted
+	requests := o.demand()
+	out := Counts{Requests: len(requests)}
+	var timely, late []demand
 	done, capacity := 0, 0.0
 	for at := epoch; !at.After(epoch.Add(o.Length + o.Budget)); at = at.Add(boundStep) {
 		capacity = min(capacity+o.capacityAt(at.Sub(epoch))*boundStep.Seconds(), float64(o.Targets*o.Slots))
@@ -36,21 +38,21 @@
 		timely, capacity, out.InTime = serve(timely, capacity, out.InTime)
 		late, capacity, out.Late = serve(late, capacity, out.Late)
 	}
-	out.Lost = out.Asked - out.InTime - out.Late
+	out.Lost = out.Requests - out.InTime - out.Late
 	return out, nil
 }
 
-// wanted are the requests of a run that reach a living balancer at all, and those that do not, in order of their first packet.
-func (o Options) wanted() []wanted {
+// demand returns all requests of a run, ordered by the arrival of their first packet.
+func (o Options) demand() []demand {
 	arrivals := rand.New(rand.NewPCG(o.Seed, 2))
-	trip := 2*o.Caller + 2*localDelay
-	var out []wanted
+	roundTrip := 2*o.Caller + 2*localDelay
+	var out []demand
 	for at := time.Duration(0); at < o.Length; {
 		began := epoch.Add(at)
-		out = append(out, wanted{
+		out = append(out, demand{
 			first:  o.firstPacket(at),
-			inTime: began.Add(o.Aim - trip - o.Work),
-			budget: began.Add(o.Budget - trip - o.Work),
+			inTime: began.Add(o.Aim - roundTrip - o.Work),
+			budget: began.Add(o.Budget - roundTrip - o.Work),
 		})
 		at += time.Duration(arrivals.ExpFloat64() / (o.rate() * o.burstAt(at)) * float64(time.Second))
 	}
@@ -58,12 +60,13 @@
 	return out
 }
 
-// firstPacket is when the first packet of a request arrives while there is power: a copy of the opening packet, or a further try.
+// firstPacket returns when the first packet of a request arrives while there is power: an opening packet, a
+// retransmission or a further try. If none does, it returns the end of the budget.
 func (o Options) firstPacket(began time.Duration) time.Time {
 	for try := range o.Tries {
-		for _, copied := range copyTimes {
-			sent := began + time.Duration(try)*(openTime+o.RetryPause) + copied
-			if !o.dark(sent + o.Caller) {
+		for _, offset := range openingPacketTimes {
+			sent := began + time.Duration(try)*(openTimeout+o.RetryPause) + offset
+			if !o.isPowerLost(sent + o.Caller) {
 				return epoch.Add(sent + 2*o.Caller)
 			}
 		}
@@ -71,8 +74,8 @@
 	return epoch.Add(began + o.Budget)
 }
 
-// dark reports whether a power loss is at work, starts of daemons included.
-func (o Options) dark(at time.Duration) bool {
+// isPowerLost reports whether there is a power loss, including the start of the daemons after it.
+func (o Options) isPowerLost(at time.Duration) bool {
 	for _, f := range o.Faults {
 		if f.Kind == PowerLoss && at >= f.At && at < f.At+f.For+startDelay {
 			return true
@@ -81,7 +84,7 @@
 	return false
 }
 
-// burstAt is the multiple of the load.
+// burstAt returns the multiple of the load.
 func (o Options) burstAt(at time.Duration) float64 {
 	for _, f := range o.Faults {
 		if f.Kind == Burst && at >= f.At && at < f.At+f.For {
@@ -91,9 +94,9 @@
 	return 1
 }
 
-// capacityAt is the number of requests a second that all targets can work off.
+// capacityAt returns the number of requests per second that all targets can serve.
 func (o Options) capacityAt(at time.Duration) float64 {
-	whole := float64(o.Targets*o.Slots) / o.Work.Seconds()
+	capacity := float64(o.Targets*o.Slots) / o.Work.Seconds()
 	for _, f := range o.Faults {
 		during := at >= f.At && at < f.At+f.For
 		cold := at >= f.At+f.For && at < f.At+f.For+o.ColdTime
@@ -101,27 +104,27 @@
 		case f.Kind == PowerLoss && during:
 			return 0
 		case f.Kind == PowerLoss && cold:
-			whole = o.coldCapacity(whole)
+			capacity = o.coldCapacity(capacity)
 		case f.Kind == Restart && during, during && (f.Kind == Fails || f.Kind == Mute || f.Kind == Slow || f.Kind == Wrong):
-			whole *= 1 - f.Share
+			capacity *= 1 - f.Share
 		case f.Kind == Restart && cold:
-			whole = whole*(1-f.Share) + f.Share*o.coldCapacity(whole)
+			capacity = capacity*(1-f.Share) + f.Share*o.coldCapacity(capacity)
 		}
 	}
-	return whole
+	return capacity
 }
 
-// coldCapacity is the number of requests a second that all targets can work off when they are cold.
-func (o Options) coldCapacity(whole float64) float64 {
-	slow := whole / o.ColdFactor
+// coldCapacity returns the number of requests per second that all targets can serve while they are cold.
+func (o Options) coldCapacity(capacity float64) float64 {
+	slow := capacity / o.ColdFactor
 	if o.ColdPerSecond == 0 {
 		return slow
 	}
 	return min(slow, float64(o.Targets)*o.ColdPerSecond)
 }
 
-// expire moves requests that cannot be answered in time any more to the late ones, and leaves those out whose callers have left.
-func expire(at time.Time, timely, late []wanted) (stillTimely, stillLate []wanted) {
+// expire moves requests that can no longer be answered in time to the late ones, and removes those beyond their budget.
+func expire(at time.Time, timely, late []demand) (stillTimely, stillLate []demand) {
 	for _, w := range timely {
 		if at.After(w.inTime) {
 			late = append(late, w)
@@ -137,8 +140,8 @@
 	return stillTimely, stillLate
 }
 
-// serve gives the capacity to requests in their order.
-func serve(list []wanted, capacity float64, served int) (rest []wanted, left float64, total int) {
+// serve serves requests in order, as far as the capacity goes.
+func serve(list []demand, capacity float64, served int) (rest []demand, left float64, total int) {
 	n := min(len(list), int(capacity))
 	return list[n:], capacity - float64(n), served + n
 }
--- a/internal/lab/policy/caller.go
+++ b/internal/lab/policy/caller.go
@@ -9,20 +9,20 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// Times of callers, as the protocol fixes them.
+// Timeouts of callers, fixed by the protocol.
 const (
-	// openTime is how long a caller waits for an answer to its opening packet.
-	openTime = 1400 * time.Millisecond
-	// resendTime is how long a request may be unanswered until it is sent again; the time doubles with each.
-	resendTime = 200 * time.Millisecond
-	// callersPerAddress is the number of requests that share a source address.
+	// openTimeout is how long a caller waits for an answer to its opening packets.
+	openTimeout = 1400 * time.Millisecond
+	// retransmitTimeout is the time until the first retransmission of a request; it doubles with each.
+	retransmitTimeout = 200 * time.Millisecond
+	// callersPerAddress is the number of flows that share a source address.
 	callersPerAddress = 400
 )
 
-// copyTimes are when the opening packet is sent again.
-var copyTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+// openingPacketTimes are the times at which the opening packet and its retransmissions are sent.
+var openingPacketTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// request is what a caller wants: one answer, by one or several tries.
+// request is a request of a caller; it is answered by one of several tries.
 type request struct {
 	w     *world
 	began time.Time
@@ -39,30 +39,30 @@
 	ack     uint32
 }
 
-// ask begins a request.
-func (w *world) ask() {
+// startRequest begins a request.
+func (w *world) startRequest() {
 	r := &request{w: w, began: w.now()}
-	w.result.asked(r.began)
+	w.result.recordRequest(r.began)
 	r.try()
 	w.after(w.o.Budget, func() {
 		if !r.done {
 			r.done = true
-			w.result.lost(r.began)
+			w.result.recordLost(r.began)
 		}
 	})
 }
 
-// askOften begins requests at the load's rate until the run is over.
-func (w *world) askOften() {
+// generateRequests begins requests at the current rate, with exponentially distributed gaps, for the length of the run.
+func (w *world) generateRequests() {
 	if w.now().Sub(epoch) >= w.o.Length {
 		return
 	}
-	w.ask()
+	w.startRequest()
 	gap := w.arrivals.ExpFloat64() / (w.o.rate() * w.burst)
-	w.after(time.Duration(gap*float64(time.Second)), w.askOften)
+	w.after(time.Duration(gap*float64(time.Second)), w.generateRequests)
 }
 
-// try opens the next flow of a request.
+// try opens the next flow of a request, unless tries or budget are used up.
 func (r *request) try() {
 	if r.done || r.tries >= r.w.o.Tries || r.w.now().Sub(r.began) >= r.w.o.Budget {
 		return
@@ -73,17 +73,17 @@
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), uint16(1024+r.w.ports%callersPerAddress))
 	t := &try{request: r, key: flow.Key{Source: source, Destination: serviceAddress, Protocol: flow.ProtocolTCP}}
 	r.w.callers[source] = t
-	for i, at := range copyTimes {
+	for i, at := range openingPacketTimes {
 		r.w.after(at, func() { t.open(byte(i)) })
 	}
-	r.w.after(openTime, func() {
+	r.w.after(openTimeout, func() {
 		if !t.opened {
-			t.end()
+			t.abandon()
 		}
 	})
 }
 
-// open sends a copy of the opening packet, unless the flow is open or its caller has left.
+// open sends an opening packet, unless the flow is open or has ended.
 func (t *try) open(number byte) {
 	if t.opened || t.ended || t.request.done {
 		return
@@ -96,7 +96,7 @@
 	t.request.w.send(t.key, dsrtest.Encode(p))
 }
 
-// receive takes a packet of a target, or a reset.
+// receive handles a packet from a target, or a reset.
 func (t *try) receive(raw []byte) {
 	s, err := (dsrtest.Codec{}).Decode(raw)
 	if err != nil || t.ended || t.request.done {
@@ -104,33 +104,33 @@
 	}
 	switch {
 	case s.Has(segment.RST):
-		t.end()
+		t.abandon()
 	case s.Has(segment.SYN) && !t.opened:
 		t.opened, t.ack = true, s.Sequence+1
-		t.demand(resendTime)
+		t.sendRequest(retransmitTimeout)
 	case s.Length > 0 && t.opened && s.Sequence == t.ack:
 		t.send(dsrtest.Packet{Flags: segment.ACK | segment.FIN, Acknowledgement: t.ack + uint32(s.Length)})
 		if string(dsrtest.Data(raw)) == wrongAnswer {
 			t.request.w.result.Wrong++
-			t.end()
+			t.abandon()
 			return
 		}
-		t.request.answered()
+		t.request.recordAnswer()
 		t.ended = true
 	}
 }
 
-// demand sends the request, and again until the answer comes.
-func (t *try) demand(again time.Duration) {
+// sendRequest sends the request and retransmits it with exponential backoff until the flow ends.
+func (t *try) sendRequest(retransmitAfter time.Duration) {
 	if t.ended || t.request.done {
 		return
 	}
 	t.send(dsrtest.Packet{Flags: segment.ACK, Acknowledgement: t.ack, Data: []byte("GET")})
-	t.request.w.after(again, func() { t.demand(2 * again) })
+	t.request.w.after(retransmitAfter, func() { t.sendRequest(2 * retransmitAfter) })
 }
 
-// end gives the flow up; the next one is opened after a pause.
-func (t *try) end() {
+// abandon ends the flow; the next one is opened after RetryPause.
+func (t *try) abandon() {
 	if t.ended {
 		return
 	}
@@ -138,10 +138,10 @@
 	t.request.w.after(t.request.w.o.RetryPause, t.request.try)
 }
 
-// answered notes the answer.
-func (r *request) answered() {
+// recordAnswer counts the first answer of a request, unless its budget is used up.
+func (r *request) recordAnswer() {
 	if !r.done {
 		r.done = true
-		r.w.result.answered(r.began, r.w.now().Sub(r.began) <= r.w.o.Aim)
+		r.w.result.recordAnswer(r.began, r.w.now().Sub(r.began) <= r.w.o.Aim)
 	}
 }
--- a/internal/lab/policy/compare.go
+++ b/internal/lab/policy/compare.go
@@ -12,17 +12,17 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/policy"
 )
 
-// Row is one scenario under one policy, over several seeds.
+// Row holds the results of one scenario under one policy, one for each seed.
 type Row struct {
 	Scenario Scenario
-	// Without names the mechanism that is switched off; empty when all are at work.
+	// Without names the mechanism that is switched off; it is empty when all are on.
 	Without string
 	Results []*Result
-	// Bound is the mean worth that any system could reach, as Bound has it.
+	// Bound is the mean worth of Bound over the seeds.
 	Bound float64
 }
 
-// Worth is the mean worth over the seeds, and half the difference between the best and the worst.
+// Worth returns the mean worth over the seeds, and half the difference between the best and the worst.
 func (r Row) Worth() (mean, spread float64) {
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, one := range r.Results {
@@ -33,7 +33,7 @@
 	return mean, (high - low) / 2
 }
 
-// sum adds a count over the seeds.
+// sum adds up a count over the seeds.
 func (r Row) sum(count func(*Result) int) int {
 	n := 0
 	for _, one := range r.Results {
@@ -42,7 +42,8 @@
 	return n
 }
 
-// Compare plays each scenario with all mechanisms, and without each of the named ones, on seeds from 1 on.
+// Compare runs each scenario with all mechanisms, and without each of the given ones, on seeds 1 to seeds. At most jobs
+// runs are concurrent.
 func Compare(ctx context.Context, scenarios []Scenario, without []policy.Mechanism, seeds, jobs int) ([]Row, error) {
 	mechanisms := append([]policy.Mechanism{{}}, without...)
 	rows := make([]Row, 0, len(scenarios)*len(mechanisms))
@@ -75,7 +76,7 @@
 	return rows, g.Wait()
 }
 
-// meanBound is the mean of the bound over the seeds.
+// meanBound returns the mean worth of Bound over the seeds.
 func meanBound(s Scenario, seeds int) (float64, error) {
 	sum := 0.0
 	for seed := range seeds {
@@ -88,7 +89,7 @@
 	return sum / float64(seeds), nil
 }
 
-// Print writes a table of the rows.
+// Print writes the rows as a table.
 func Print(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "scenario\twithout\tworth\tspread\tbound\tworst\tin time\tlate\tlost\ttold\tgiven up\ttwice")
@@ -100,20 +101,21 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%.4f\t%.4f\t%.4f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\n", r.Scenario.Name, r.Without, worth, spread, r.Bound, worst,
 			r.sum(func(o *Result) int { return o.InTime }), r.sum(func(o *Result) int { return o.Late }),
-			r.sum(func(o *Result) int { return o.Lost }), r.sum(func(o *Result) int { return o.Told }),
-			r.sum(func(o *Result) int { return o.GivenUp }), r.sum(func(o *Result) int { return o.Twice }))
+			r.sum(func(o *Result) int { return o.Lost }), r.sum(func(o *Result) int { return o.CallersNotified }),
+			r.sum(func(o *Result) int { return o.Abandoned }), r.sum(func(o *Result) int { return o.RanTwice }))
 	}
 	return t.Flush()
 }
 
-// Broken returns the rows with all mechanisms that are below their bound, or in which a flow ran at two targets.
-func Broken(rows []Row) []string {
+// Violations describes the rows with all mechanisms whose worth is below MinWorth, and all rows in which a flow ran at
+// two targets.
+func Violations(rows []Row) []string {
 	var out []string
 	for _, r := range rows {
-		if worth, _ := r.Worth(); r.Without == "" && worth < r.Scenario.Least {
-			out = append(out, fmt.Sprintf("%s: worth %.4f is below %.2f", r.Scenario.Name, worth, r.Scenario.Least))
+		if worth, _ := r.Worth(); r.Without == "" && worth < r.Scenario.MinWorth {
+			out = append(out, fmt.Sprintf("%s: worth %.4f is below %.2f", r.Scenario.Name, worth, r.Scenario.MinWorth))
 		}
-		if n := r.sum(func(o *Result) int { return o.Twice }); n > 0 {
+		if n := r.sum(func(o *Result) int { return o.RanTwice }); n > 0 {
 			out = append(out, fmt.Sprintf("%s without %q: %d flows ran at two targets", r.Scenario.Name, r.Without, n))
 		}
 	}
--- a/internal/lab/policy/events.go
+++ b/internal/lab/policy/events.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// event is something that happens at a time; order keeps events of one time in the order in which they were made.
+// event is a scheduled call; order keeps events of the same time in the order in which they were scheduled.
 type event struct {
 	at    time.Time
 	order int
 	do    func()
 }
 
-// events is a queue of events by time. The zero value is empty.
+// events is an event queue with a virtual clock. The zero value is empty.
 type events struct {
-	list  []event
-	made  int
-	clock time.Time
+	list      []event
+	scheduled int
+	clock     time.Time
 }
 
 func (e *events) Len() int { return len(e.list) }
@@ -32,22 +32,22 @@
 	return last
 }
 
-// now is the virtual time.
+// now returns the virtual time.
 func (e *events) now() time.Time { return e.clock }
 
-// after lets something happen after a while.
+// after schedules do after d.
 func (e *events) after(d time.Duration, do func()) { e.at(e.clock.Add(d), do) }
 
-// at lets something happen at a time, at the earliest now.
+// at schedules do at t, or now if t has passed.
 func (e *events) at(t time.Time, do func()) {
 	if t.Before(e.clock) {
 		t = e.clock
 	}
-	e.made++
-	heap.Push(e, event{at: t, order: e.made, do: do})
+	e.scheduled++
+	heap.Push(e, event{at: t, order: e.scheduled, do: do})
 }
 
-// run plays everything that happens until a time.
+// run runs all events up to a time and sets the clock to it.
 func (e *events) run(until time.Time) {
 	for len(e.list) > 0 && !e.list[0].at.After(until) {
 		next := heap.Pop(e).(event)
--- a/internal/lab/policy/nodes.go
+++ b/internal/lab/policy/nodes.go
@@ -28,7 +28,7 @@
 	b := &balancerNode{w: w, index: i, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 7100)}
 	w.balancers = append(w.balancers, b)
 	b.start()
-	b.stayAwake()
+	b.markRunningPeriodically()
 }
 
 func (b *balancerNode) start() {
@@ -38,19 +38,20 @@
 	b.schedule()
 }
 
-// stayAwake notes for ever that the balancer runs.
-func (b *balancerNode) stayAwake() {
+// markRunningPeriodically calls MarkRunning at each markRunningInterval while the balancer is up.
+func (b *balancerNode) markRunningPeriodically() {
 	if b.up {
 		b.core.MarkRunning(b.w.now())
 	}
-	b.w.after(awakeTime, b.stayAwake)
+	b.w.after(markRunningInterval, b.markRunningPeriodically)
 }
 
 func dataCentre(index int) string { return [...]string{"dc-1", "dc-2"}[index%2] }
 
-// inRotation reports whether the routers use the balancer.
+// inRotation reports whether the routers send packets to the balancer. During a power loss all balancers are in
+// rotation.
 func (b *balancerNode) inRotation(now time.Time) bool {
-	return b.up || now.Sub(b.downAt) < outOfRotation || b.w.dark
+	return b.up || now.Sub(b.downAt) < failoverDelay || b.w.powerLost
 }
 
 func (b *balancerNode) fromCaller(raw []byte) {
@@ -66,22 +67,22 @@
 		b.core.FromAgent(b.w.now(), from, &m)
 		b.schedule()
 		if m.Kind == dsrpb.Kind_KIND_ANNOUNCE {
-			b.welcome(from)
+			b.sendMedianResponses(from)
 		}
 	}
 }
 
-// welcome answers an announcement with what other targets' answers are like.
-func (b *balancerNode) welcome(to netip.AddrPort) {
-	usual := b.core.MedianResponses(b.w.now(), to)
+// sendMedianResponses answers an announcement with the median responses of the other targets.
+func (b *balancerNode) sendMedianResponses(to netip.AddrPort) {
+	median := b.core.MedianResponses(b.w.now(), to)
 	for _, a := range b.w.agents {
 		if a.address == to {
-			b.w.carry(b.w.between(b.index, a.index), func() { a.table.SetMedianAnswers(usual) })
+			b.w.deliver(b.w.delayBetween(b.index, a.index), func() { a.table.SetMedianAnswers(median) })
 		}
 	}
 }
 
-// schedule makes sure that Tick is called in time.
+// schedule schedules the next call of Tick at the deadline of the core.
 func (b *balancerNode) schedule() {
 	at := b.core.Deadline()
 	if !b.tickAt.IsZero() && !at.Before(b.tickAt) {
@@ -104,7 +105,7 @@
 	raw, _ := m.MarshalVT()
 	for _, a := range b.w.agents {
 		if a.address == to {
-			b.w.carry(b.w.between(b.index, a.index), func() { a.fromBalancer(b.address, raw) })
+			b.w.deliver(b.w.delayBetween(b.index, a.index), func() { a.fromBalancer(b.address, raw) })
 		}
 	}
 }
@@ -118,7 +119,7 @@
 func (b *balancerNode) Refused(r dispatch.Refusal) {
 	b.w.result.Refusals++
 	if r.Notified {
-		b.w.result.Told++
+		b.w.result.CallersNotified++
 	}
 }
 
@@ -129,10 +130,10 @@
 	}
 }
 
-// Outdated implements dispatch.Output; the configuration never changes.
+// Outdated implements dispatch.Output; the configuration never changes during a run.
 func (b *balancerNode) Outdated(uint64) {}
 
-// agentNode is a target's VM.
+// agentNode is a target's VM with its agent.
 type agentNode struct {
 	w       *world
 	index   int
@@ -149,14 +150,14 @@
 	w.agents = append(w.agents, a)
 	a.target.start(true)
 	a.start(true)
-	a.announceOften()
+	a.announcePeriodically()
 }
 
 func (a *agentNode) start(first bool) {
-	a.w.lives++
+	a.w.incarnations++
 	a.table = ownership.NewTable(ownership.Config{
-		Service: serviceName, HeartbeatInterval: heartbeatTime, First: first, DataCentre: dataCentre(a.index),
-		Incarnation: a.w.lives, Without: a.w.o.Without,
+		Service: serviceName, HeartbeatInterval: heartbeatInterval, First: first, DataCentre: dataCentre(a.index),
+		Incarnation: a.w.incarnations, Without: a.w.o.Without,
 	}, dsrtest.Codec{}, a, a.w.now())
 	a.up, a.tickAt = true, time.Time{}
 	table := a.table
@@ -168,21 +169,20 @@
 	a.schedule()
 }
 
-// heard hands the agent a heartbeat of its target.
-func (a *agentNode) heard(n announcement.Announcement) {
+// receiveHeartbeat passes a heartbeat of the target to the agent.
+func (a *agentNode) receiveHeartbeat(n announcement.Announcement) {
 	if !a.up {
 		return
 	}
-	if tell, err := a.table.Announce(a.w.now(), n); tell && err == nil {
+	if notify, err := a.table.Announce(a.w.now(), n); notify && err == nil {
 		a.announce()
 	}
 	a.schedule()
 }
 
-// announceOften tells the balancers of the agent for ever.
-func (a *agentNode) announceOften() {
+func (a *agentNode) announcePeriodically() {
 	a.announce()
-	a.w.after(a.w.announceInterval(), a.announceOften)
+	a.w.after(a.w.announceInterval(), a.announcePeriodically)
 }
 
 func (a *agentNode) announce() {
@@ -191,7 +191,7 @@
 	}
 	raw, _ := a.table.Announcement(a.w.now(), true, a.w.announceInterval()).MarshalVT()
 	for _, b := range a.w.balancers {
-		a.w.carry(a.w.between(a.index, b.index), func() { b.fromAgent(a.address, raw) })
+		a.w.deliver(a.w.delayBetween(a.index, b.index), func() { b.fromAgent(a.address, raw) })
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 }
 
-// schedule makes sure that Tick is called in time.
+// schedule schedules the next call of Tick at the deadline of the table.
 func (a *agentNode) schedule() {
 	at := a.table.Deadline()
 	if !a.tickAt.IsZero() && !at.Before(a.tickAt) {
@@ -252,7 +252,7 @@
 	raw, _ := m.MarshalVT()
 	for _, b := range a.w.balancers {
 		if b.address == to {
-			a.w.carry(a.w.between(a.index, b.index), func() { b.fromAgent(a.address, raw) })
+			a.w.deliver(a.w.delayBetween(a.index, b.index), func() { b.fromAgent(a.address, raw) })
 		}
 	}
 }
@@ -260,9 +260,9 @@
 // Decided implements ownership.Output.
 func (a *agentNode) Decided(d ownership.Decision) {
 	if d.Event == ownership.EventAbandoned {
-		a.w.result.GivenUp++
+		a.w.result.Abandoned++
 	}
 }
 
-// HealthChanged implements ownership.Output.
+// HealthChanged implements ownership.Output: it announces the new state at once.
 func (a *agentNode) HealthChanged(ownership.HealthChange) { a.w.after(0, a.announce) }
--- a/internal/lab/policy/options.go
+++ b/internal/lab/policy/options.go
@@ -8,83 +8,83 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/policy"
 )
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
 	Seed uint64
-	// Without says which mechanisms are switched off.
+	// Without selects the mechanisms that are switched off.
 	Without policy.Without
 	// Length is how long callers send requests.
 	Length time.Duration
-	// Balancers and Targets are the numbers of VMs; half of the targets are in each of two data centres.
+	// Balancers and Targets are the numbers of VMs; those of either kind alternate between two data centres.
 	Balancers int
 	Targets   int
-	// Slots is what a target works on at once, Queue the requests that it takes beyond.
+	// Slots is the number of requests that a target processes concurrently, Queue the number that it queues beyond
+	// these.
 	Slots int
 	Queue int
-	// Work is the mean time of a request, spread like a log-normal distribution with Spread.
+	// Work is the mean service time of a request, log-normally distributed with coefficient of variation Spread.
 	Work   time.Duration
 	Spread float64
-	// Rate is the number of requests a second, as a share of what all targets can work off.
+	// Load is the request rate as a share of the capacity of all targets.
 	Load float64
-	// Aim is the response time promised to callers, Budget the time after which they give up, Tries the number of flows that they
-	// open at most for a request.
+	// Aim is the response time promised to callers, Budget the timeout of a request, Tries the maximum number of flows
+	// that a caller opens for it.
 	Aim    time.Duration
 	Budget time.Duration
 	Tries  int
-	// RetryPause is the time between the end of a try and the next.
+	// RetryPause is the time between the end of a try and the next one.
 	RetryPause time.Duration
-	// Near, Far and Caller are the one-way delays within a data centre, between two, and to callers. Loss is the share of packets
-	// that are lost between VMs.
+	// Near, Far and Caller are the one-way delays within a data centre, between the two, and to callers.
+	// Loss is the packet loss ratio between VMs and on the path to and from callers.
 	Near, Far, Caller time.Duration
 	Loss              float64
-	// ColdTime is how long a target is slow after its start, by the factor ColdFactor.
+	// ColdTime is the warm-up time of a target, during which requests take ColdFactor times as long.
 	ColdTime   time.Duration
 	ColdFactor float64
-	// ColdPerSecond is the number of new flows that a cold target takes in any second, 0 for no limit. One that gets more than
-	// coldMargin allows crashes: it ends, and starts anew after CrashTime.
+	// ColdPerSecond is the declared number of new flows a second that a cold target accepts, 0 for no limit. A target
+	// that gets more than coldCrashThreshold in a second crashes and restarts after CrashTime.
 	ColdPerSecond float64
 	CrashTime     time.Duration
-	// Undeclared is set when the service does not say so.
+	// Undeclared omits the warm-up time and ColdPerSecond from the service configuration.
 	Undeclared bool
-	// Announce is the time between two announcements of an agent; 0 means as the daemons pace them by the number of VMs.
+	// Announce is the interval between two announcements of an agent; 0 means the interval that the daemons derive from
+	// the number of VMs.
 	Announce time.Duration
-	// Faults are what happens.
-	Faults []Fault
+	Faults   []Fault
 }
 
-// Fault is one thing that happens during a run.
+// Fault is one fault injected during a run.
 type Fault struct {
 	Kind FaultKind
-	// At is when it begins, counted from the start, For how long it lasts.
+	// At is when it begins, relative to the start of the run; For is its duration.
 	At, For time.Duration
-	// Share is the part of the VMs or targets that it hits, Factor how strong it is.
+	// Share is the share of targets or agents affected; Factor depends on Kind.
 	Share, Factor float64
 }
 
-// FaultKind names a kind of fault.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	// PowerLoss: balancers, agents and targets are dark, and have forgotten everything afterwards.
+	// PowerLoss stops all balancers, agents and targets, which lose their state.
 	PowerLoss FaultKind = "power-loss"
-	// Restart: targets end, and start anew after For.
+	// Restart stops targets and starts them again after For.
 	Restart FaultKind = "restart"
-	// Burst: callers send Factor times the requests.
+	// Burst multiplies the request rate by Factor.
 	Burst FaultKind = "burst"
-	// Slow: targets work Factor times as long.
+	// Slow multiplies the service time of targets by Factor.
 	Slow FaultKind = "slow"
-	// Fails: targets reset the share Factor of their requests.
+	// Fails lets targets reset the share Factor of their requests.
 	Fails FaultKind = "fails"
-	// Mute: targets answer nothing to the share Factor of their requests.
+	// Mute lets targets leave the share Factor of their requests unanswered.
 	Mute FaultKind = "mute"
-	// Wrong: targets answer the share Factor of their requests with a short error at once.
+	// Wrong lets targets answer the share Factor of their requests immediately with a short error.
 	Wrong FaultKind = "wrong"
-	// AgentDies: agents are away while their targets live.
+	// AgentDies stops agents while their targets keep running.
 	AgentDies FaultKind = "agent-dies"
 )
 
-// Defaults are a small deployment at two thirds of its load.
+// Defaults returns a small deployment at about two thirds of its capacity.
 func Defaults() Options {
 	return Options{
 		Length: 8 * time.Second, Balancers: 5, Targets: 12, Slots: 2, Queue: 8,
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// rate is the number of requests a second.
+// rate returns the number of requests per second without a burst.
 func (o Options) rate() float64 {
 	return o.Load * float64(o.Targets*o.Slots) / o.Work.Seconds()
 }
--- a/internal/lab/policy/plot.go
+++ b/internal/lab/policy/plot.go
@@ -14,10 +14,10 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Draw writes a plot of the worth of each window of one scenario, a line for each policy, into a PNG file.
+// Draw plots the worth per window of the scenario of the first row into a PNG file, with a line for each policy.
 func Draw(file string, rows []Row) error {
 	if len(rows) == 0 {
-		return trace.BadParameter("there is nothing to draw")
+		return trace.BadParameter("there are no rows to plot")
 	}
 	p := plot.New()
 	p.Title.Text = rows[0].Scenario.Name
@@ -36,21 +36,21 @@
 		lines = append(lines, name, r.points())
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return trace.Wrap(err, "drawing %s", file)
+		return trace.Wrap(err, "plotting %s", file)
 	}
 	return trace.Wrap(p.Save(plotWidth, plotHeight, file), "writing %s", file)
 }
 
-// points are the means of the windows over the seeds.
+// points returns the mean worth of each window over all seeds; windows without requests are omitted.
 func (r Row) points() plotter.XYs {
 	var out plotter.XYs
 	for i := range r.Results[0].Windows {
 		var all Counts
 		for _, one := range r.Results {
 			c := one.Windows[i]
-			all.Asked, all.InTime, all.Late = all.Asked+c.Asked, all.InTime+c.InTime, all.Late+c.Late
+			all.Requests, all.InTime, all.Late = all.Requests+c.Requests, all.InTime+c.InTime, all.Late+c.Late
 		}
-		if all.Asked > 0 {
+		if all.Requests > 0 {
 			out = append(out, plotter.XY{X: float64(i) * windowTime.Seconds(), Y: all.Worth()})
 		}
 	}
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -16,24 +16,25 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/policy"
 )
 
-// played keeps the runs that several tests look at.
-var played sync.Map
+// runCache holds the outcomes that several tests share.
+var runCache sync.Map
 
-// outcome is the sum of what callers got on three seeds, and their mean worth.
+// outcome is the sum of the results over all seeds of a scenario, and their mean worth.
 type outcome struct {
 	sum   Result
 	worth float64
 }
 
-// longScenarios begin the names of scenarios of which a run has as many requests as three others.
+// longScenarios are the name prefixes of scenarios whose runs have about three times the usual number of requests.
 var longScenarios = []string{"large", "overload", "all-cold"}
 
-// unevenSeeds are the numbers of seeds of scenarios whose worth differs between seeds by more than the gains that are looked for.
-var unevenSeeds = map[string]uint64{"burst": 12}
+// highVarianceSeeds are the numbers of seeds of scenarios whose worth varies between seeds by more than the tested
+// gains.
+var highVarianceSeeds = map[string]uint64{"burst": 12}
 
-// seedsOf is the number of seeds on which a scenario is played.
+// seedsOf returns the number of seeds on which a scenario is run.
 func seedsOf(name string) uint64 {
-	if seeds, uneven := unevenSeeds[name]; uneven {
+	if seeds, ok := highVarianceSeeds[name]; ok {
 		return seeds
 	}
 	long := func(prefix string) bool { return strings.HasPrefix(name, prefix) }
@@ -43,10 +44,10 @@
 	return 3
 }
 
-// play runs a scenario with everything, or without one mechanism.
+// play runs a scenario without the given mechanisms, once per test binary.
 func play(t *testing.T, name string, without policy.Without) (Result, float64) {
 	t.Helper()
-	once, _ := played.LoadOrStore(fmt.Sprint(name, without), sync.OnceValue(func() outcome { return playOnce(t, name, without) }))
+	once, _ := runCache.LoadOrStore(fmt.Sprint(name, without), sync.OnceValue(func() outcome { return playOnce(t, name, without) }))
 	o := once.(func() outcome)()
 	return o.sum, o.worth
 }
@@ -60,8 +61,8 @@
 		o.Without = without
 		r, err := Run(o)
 		require.NoError(t, err)
-		require.Zero(t, r.Twice, "no flow runs at two targets")
-		require.Equal(t, r.Asked, r.InTime+r.Late+r.Lost, "every request has one end")
+		require.Zero(t, r.RanTwice, "flows that ran at two targets")
+		require.Equal(t, r.Requests, r.InTime+r.Late+r.Lost, "every request has one outcome")
 		sum := &out.sum
 		sum.Counts = sum.Plus(r.Counts)
 		sum.Crashed, sum.Wrong = sum.Crashed+r.Crashed, sum.Wrong+r.Wrong
@@ -70,20 +71,19 @@
 	return out
 }
 
-// Each scenario keeps the bound that the command's exit code stands for.
-func TestEveryScenarioKeepsItsBound(t *testing.T) {
+func TestScenariosMeetMinimumWorth(t *testing.T) {
 	t.Parallel()
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			_, worth := play(t, s.Name, policy.Without{})
-			require.GreaterOrEqual(t, worth, s.Least)
+			require.GreaterOrEqual(t, worth, s.MinWorth)
 		})
 	}
 }
 
-// No run serves more than the bound, within what the draw of the work may favour.
-func TestNoRunServesMoreThanTheBound(t *testing.T) {
+// Guards against a bound that is too low; the tolerance covers service times drawn below their mean.
+func TestWorthDoesNotExceedBound(t *testing.T) {
 	t.Parallel()
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -96,8 +96,7 @@
 	}
 }
 
-// A run is a function of its options.
-func TestARunRepeats(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
 	o := Scenarios()[1].Options(7)
 	first, err := Run(o)
@@ -107,8 +106,8 @@
 	require.Equal(t, first.String(), second.String())
 }
 
-// The gains that stay, each under its load: callers must get more than without the mechanism.
-func TestMechanismsServeCallersBetter(t *testing.T) {
+// Each mechanism must improve the worth under the load that it is meant for.
+func TestMechanismsImproveWorth(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		scenario string
@@ -141,8 +140,8 @@
 	}
 }
 
-// Beyond what the targets can take, as many requests are answered in time as at full load, and far more than first in, first out
-// answers.
+// Under overload, as many requests must be answered in time as at full load, and far more than with first in, first
+// out.
 func TestGoodputUnderOverload(t *testing.T) {
 	t.Parallel()
 	const peak = 0.98
@@ -162,7 +161,7 @@
 	}
 }
 
-// Targets that reset everything they are given lose a few requests each until they are left out, not a share of all.
+// Targets that reset all requests must be ejected after a few, instead of losing a share of all requests.
 func TestFailingTargetsLoseFewRequests(t *testing.T) {
 	t.Parallel()
 	with, _ := play(t, "targets-fail", policy.Without{})
@@ -171,9 +170,9 @@
 	require.Greater(t, without.Lost+without.Late, 3*(with.Lost+with.Late))
 }
 
-// Targets that answer everything at once with an error look free; each of the two is found by a handful of requests, and by one more at
-// each try.
-func TestWrongAnswersAreFew(t *testing.T) {
+// Targets that immediately answer with errors look idle. Each of the two must get only a handful of requests, and one
+// more at each further try.
+func TestErrorAnswersAreLimited(t *testing.T) {
 	t.Parallel()
 	with, _ := play(t, "targets-wrong", policy.Without{})
 	without, _ := play(t, "targets-wrong", policy.Without{FailedAnswers: true})
@@ -181,8 +180,7 @@
 	require.Greater(t, without.Wrong, 20*with.Wrong)
 }
 
-// Targets that all start cold and get their full load crash, start cold once more, and never recover. With the bound that their
-// service declares none does.
+// Cold targets under full load crash, restart cold and never recover, unless the declared or learnt limit is respected.
 func TestColdTargetsDoNotCrash(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"all-cold", "half-cold"} {
@@ -190,12 +188,12 @@
 		require.Zero(t, with.Crashed, name)
 	}
 	without, _ := play(t, "all-cold", policy.Without{ColdLimit: true, LearntLimit: true})
-	require.Greater(t, without.Crashed, 3*12, "each of twelve targets crashes again and again")
+	require.Greater(t, without.Crashed, 3*12, "each of twelve targets crashes repeatedly")
 	learnt, _ := play(t, "all-cold-undeclared", policy.Without{})
-	require.Less(t, learnt.Crashed, 4*12, "each of twelve targets ends a few times until its limit is known")
+	require.Less(t, learnt.Crashed, 4*12, "each of twelve targets crashes a few times until its limit is learnt")
 }
 
-// Full goodput is back within twice the warm-up of targets that all start cold.
+// Full goodput must return within twice the warm-up time after all targets restart.
 func TestGoodputReturnsWhenTargetsAreWarm(t *testing.T) {
 	t.Parallel()
 	found, err := Find([]string{"all-cold"})
@@ -205,14 +203,14 @@
 	require.NoError(t, err)
 	restarted := o.Faults[0].At + o.Faults[0].For
 	for i, c := range r.Windows {
-		if time.Duration(i)*windowTime >= restarted+2*o.ColdTime && c.Asked > 0 {
+		if time.Duration(i)*windowTime >= restarted+2*o.ColdTime && c.Requests > 0 {
 			require.Greater(t, c.Worth(), 0.99, "window %d", i)
 		}
 	}
 }
 
-// Work three times longer or shorter, and targets of 1 and 16 slots, are served like those that the start values fit.
-func TestNoFigureIsThatOfOneDeployment(t *testing.T) {
+// Guards against parameters that fit only one service time, number of slots or distance.
+func TestWorthAcrossDeployments(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"work-long", "work-short", "slots-1", "slots-16", "far"} {
 		t.Run(name, func(t *testing.T) {
@@ -223,19 +221,19 @@
 	}
 }
 
-func TestTheTableNamesWhatIsBroken(t *testing.T) {
+func TestComparisonReportsViolations(t *testing.T) {
 	t.Parallel()
 	found, err := Find([]string{"calm"})
 	require.NoError(t, err)
 	rows, err := Compare(t.Context(), found, policy.Mechanisms()[:1], 2, 2)
 	require.NoError(t, err)
-	require.Empty(t, Broken(rows))
+	require.Empty(t, Violations(rows))
 	var out bytes.Buffer
 	require.NoError(t, Print(&out, rows))
 	require.Contains(t, out.String(), "hedged-offers")
-	rows[0].Scenario.Least = 1.1
-	rows[1].Results[0].Twice = 1
-	require.Len(t, Broken(rows), 2)
+	rows[0].Scenario.MinWorth = 1.1
+	rows[1].Results[0].RanTwice = 1
+	require.Len(t, Violations(rows), 2)
 	file := filepath.Join(t.TempDir(), "windows.png")
 	require.NoError(t, Draw(file, rows))
 	info, err := os.Stat(file)
@@ -244,7 +242,7 @@
 	require.Error(t, Draw(file, nil))
 }
 
-func TestBadOptionsAreRefused(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*Options){
 		"no targets":    func(o *Options) { o.Targets = 0 },
--- a/internal/lab/policy/result.go
+++ b/internal/lab/policy/result.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// windowTime is the length of the windows of which the worst counts.
+	// windowTime is the length of the windows that requests are counted in.
 	windowTime = 2 * time.Second
-	// lateWorth is what an answer beyond the promised time is worth, an answer in time being worth 1.
+	// lateWorth is the worth of an answer after Aim; an answer in time is worth 1.
 	lateWorth = 0.3
 )
 
-// Counts are the ends of requests.
+// Counts are the numbers of requests by outcome.
 type Counts struct {
-	Asked, InTime, Late, Lost int
+	Requests, InTime, Late, Lost int
 }
 
-// Plus adds counts.
+// Plus returns the sum of two counts.
 func (c Counts) Plus(o Counts) Counts {
-	return Counts{Asked: c.Asked + o.Asked, InTime: c.InTime + o.InTime, Late: c.Late + o.Late, Lost: c.Lost + o.Lost}
+	return Counts{Requests: c.Requests + o.Requests, InTime: c.InTime + o.InTime, Late: c.Late + o.Late, Lost: c.Lost + o.Lost}
 }
 
-// Worth is the mean worth of a request.
+// Worth returns the mean worth of a request, and 1 if there were none.
 func (c Counts) Worth() float64 {
-	if c.Asked == 0 {
+	if c.Requests == 0 {
 		return 1
 	}
-	return (float64(c.InTime) + lateWorth*float64(c.Late)) / float64(c.Asked)
+	return (float64(c.InTime) + lateWorth*float64(c.Late)) / float64(c.Requests)
 }
 
-// Result is what callers got in a run.
+// Result holds the outcome of a run.
 type Result struct {
 	Counts
-	// Windows are the counts of requests by when they began.
+	// Windows are the counts by the time at which requests began.
 	Windows []Counts
-	// Refusals is the number of refused flows, Told those whose callers were told; GivenUp of flows that waited in vain,
-	// Unanswered of offers without an answer.
-	Refusals, Told, GivenUp, Unanswered int
-	// Twice is the number of flows that ran at two targets, which must not be.
-	Twice int
-	// Crashed is the number of times that a cold target ended since it got too many flows, Wrong that of errors that callers got.
+	// Refusals is the number of refused flows, CallersNotified that of refusals of which the caller was notified,
+	// Abandoned that of queued flows abandoned by agents, Unanswered that of offers without an answer.
+	Refusals, CallersNotified, Abandoned, Unanswered int
+	// RanTwice counts runs of a request beyond the first of its flow. Any is a fault of the policy.
+	RanTwice int
+	// Crashed is the number of crashes of cold targets, Wrong that of error answers received by callers.
 	Crashed, Wrong int
 	runs           map[netip.AddrPort]int
 }
@@ -54,17 +54,17 @@
 	return &r.Windows[min(len(r.Windows)-1, int(began.Sub(epoch)/windowTime))]
 }
 
-func (r *Result) asked(began time.Time) {
-	r.Asked++
-	r.window(began).Asked++
+func (r *Result) recordRequest(began time.Time) {
+	r.Requests++
+	r.window(began).Requests++
 }
 
-func (r *Result) lost(began time.Time) {
+func (r *Result) recordLost(began time.Time) {
 	r.Lost++
 	r.window(began).Lost++
 }
 
-func (r *Result) answered(began time.Time, inTime bool) {
+func (r *Result) recordAnswer(began time.Time, inTime bool) {
 	for _, c := range []*Counts{&r.Counts, r.window(began)} {
 		if inTime {
 			c.InTime++
@@ -74,26 +74,26 @@
 	}
 }
 
-func (r *Result) ran(source netip.AddrPort) {
+func (r *Result) recordRun(source netip.AddrPort) {
 	r.runs[source]++
 	if r.runs[source] > 1 {
-		r.Twice++
+		r.RanTwice++
 	}
 }
 
-// Worst is the worth of the worst window.
+// Worst returns the worth of the worst window.
 func (r *Result) Worst() float64 {
 	worst := 1.0
 	for _, c := range r.Windows {
-		if c.Asked > 0 {
+		if c.Requests > 0 {
 			worst = min(worst, c.Worth())
 		}
 	}
 	return worst
 }
 
-// String describes the result in one line.
+// String formats the result as one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("asked=%d in_time=%d late=%d lost=%d worth=%.4f worst=%.3f refusals=%d told=%d given_up=%d unanswered=%d twice=%d",
-		r.Asked, r.InTime, r.Late, r.Lost, r.Worth(), r.Worst(), r.Refusals, r.Told, r.GivenUp, r.Unanswered, r.Twice)
+		r.Requests, r.InTime, r.Late, r.Lost, r.Worth(), r.Worst(), r.Refusals, r.CallersNotified, r.Abandoned, r.Unanswered, r.RanTwice)
 }
--- a/internal/lab/policy/run.go
+++ b/internal/lab/policy/run.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// settleTime is how long a run goes on after the last request.
+// settleTime is how long a run continues after the budget of the last request.
 const settleTime = 4 * time.Second
 
-// Run plays one run.
+// Run simulates one run. The error is that of invalid options.
 func Run(o Options) (*Result, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	w := newWorld(o)
-	// Agents and balancers have met before the first request.
-	w.after(0, w.askOften)
+	// Agents have sent their first announcements before the first request.
+	w.after(0, w.generateRequests)
 	for _, f := range o.Faults {
-		w.after(f.At, func() { w.begin(f) })
+		w.after(f.At, func() { w.inject(f) })
 	}
 	w.run(epoch.Add(o.Length + o.Budget + settleTime))
 	return w.result, nil
 }
 
-// begin lets a fault begin, and end in time.
-func (w *world) begin(f Fault) {
+// inject starts a fault and schedules its end.
+func (w *world) inject(f Fault) {
 	switch f.Kind {
 	case PowerLoss:
 		w.powerLoss(f)
 	case Restart:
-		for _, a := range w.some(f.Share) {
-			a.target.end()
+		for _, a := range w.sampleAgents(f.Share) {
+			a.target.stop()
 			w.after(f.For, func() { a.target.start(false) })
 		}
 	case Burst:
 		w.burst = f.Factor
 		w.after(f.For, func() { w.burst = 1 })
 	case Slow:
-		w.during(f, func(t *target, on bool) { t.slow = pick(on, f.Factor, 1) })
+		w.degradeTargets(f, func(t *target, on bool) { t.slow = pick(on, f.Factor, 1) })
 	case Fails:
-		w.during(f, func(t *target, on bool) { t.failing = pick(on, f.Factor, 0) })
+		w.degradeTargets(f, func(t *target, on bool) { t.failing = pick(on, f.Factor, 0) })
 	case Mute:
-		w.during(f, func(t *target, on bool) { t.mute = pick(on, f.Factor, 0) })
+		w.degradeTargets(f, func(t *target, on bool) { t.mute = pick(on, f.Factor, 0) })
 	case Wrong:
-		w.during(f, func(t *target, on bool) { t.wrong = pick(on, f.Factor, 0) })
+		w.degradeTargets(f, func(t *target, on bool) { t.wrong = pick(on, f.Factor, 0) })
 	case AgentDies:
-		for _, a := range w.some(f.Share) {
+		for _, a := range w.sampleAgents(f.Share) {
 			a.up = false
 			w.after(f.For, func() { a.start(false) })
 		}
@@ -56,8 +56,8 @@
 	return b
 }
 
-// some is a random share of the targets' VMs.
-func (w *world) some(share float64) []*agentNode {
+// sampleAgents returns a random share of the agents.
+func (w *world) sampleAgents(share float64) []*agentNode {
 	n := int(share*float64(len(w.agents)) + 0.5)
 	var out []*agentNode
 	for _, i := range w.random.Perm(len(w.agents))[:n] {
@@ -66,9 +66,9 @@
 	return out
 }
 
-// during changes a share of the targets for the time of a fault.
-func (w *world) during(f Fault, change func(t *target, on bool)) {
-	hit := w.some(f.Share)
+// degradeTargets applies a change to a random share of the targets for the duration of a fault.
+func (w *world) degradeTargets(f Fault, change func(t *target, on bool)) {
+	hit := w.sampleAgents(f.Share)
 	for _, a := range hit {
 		change(a.target, true)
 	}
@@ -79,15 +79,15 @@
 	})
 }
 
-// powerLoss takes the power of everything and gives it back.
+// powerLoss stops all VMs, and starts targets after f.For, balancers and agents startDelay later.
 func (w *world) powerLoss(f Fault) {
-	w.dark = true
+	w.powerLost = true
 	for _, b := range w.balancers {
 		b.up, b.downAt = false, w.now()
 	}
 	for _, a := range w.agents {
 		a.up = false
-		a.target.end()
+		a.target.stop()
 	}
 	w.after(f.For, func() {
 		for _, a := range w.agents {
@@ -95,7 +95,7 @@
 		}
 	})
 	w.after(f.For+startDelay, func() {
-		w.dark = false
+		w.powerLost = false
 		for _, b := range w.balancers {
 			b.start()
 		}
--- a/internal/lab/policy/scenario.go
+++ b/internal/lab/policy/scenario.go
@@ -6,52 +6,52 @@
 	"github.com/gravitational/trace"
 )
 
-// Scenario is a named load with its faults, and the least mean worth that a run must reach.
+// Scenario is a named workload with faults and the minimum mean worth that a run must reach.
 type Scenario struct {
 	Name string
-	// Least is the bound of the exit code: below what every seed from 1 to 3 reached by 0.01 or more.
-	Least   float64
-	options func() Options
+	// MinWorth is compared by Violations; seeds 1 to 3 exceed it by at least 0.01 each.
+	MinWorth float64
+	options  func() Options
 }
 
-// Options are the scenario's options for a seed.
+// Options returns the options of the scenario with the given seed.
 func (s Scenario) Options(seed uint64) Options {
 	o := s.options()
 	o.Seed = seed
 	return o
 }
 
-// scenario is the default deployment with a change.
-func scenario(name string, least float64, change func(*Options)) Scenario {
-	return Scenario{Name: name, Least: least, options: func() Options {
+// scenario applies a change to the default options.
+func scenario(name string, minWorth float64, change func(*Options)) Scenario {
+	return Scenario{Name: name, MinWorth: minWorth, options: func() Options {
 		o := Defaults()
 		change(&o)
 		return o
 	}}
 }
 
-// overload sends more than all targets can work off, by callers that do not come back.
+// overload returns a change that sets the request rate to load times the capacity of all targets.
 func overload(load float64) func(*Options) {
 	return func(o *Options) {
 		o.Targets, o.Balancers, o.Load, o.Length, o.Aim, o.Caller = 20, 8, load, 6*time.Second, 250*time.Millisecond, time.Millisecond
 	}
 }
 
-// large is a deployment of 59 balancers that place flows at 110 targets independently of each other. They hear of each target as the daemons
-// pace it, seconds apart, or in the given time.
-func large(name string, least float64, announce time.Duration, faults []Fault) Scenario {
-	return scenario(name, least, func(o *Options) {
+// large is a deployment of 59 balancers that independently place flows on 110 targets. An interval of 0 means that
+// agents announce as the daemons do, seconds apart.
+func large(name string, minWorth float64, announce time.Duration, faults []Fault) Scenario {
+	return scenario(name, minWorth, func(o *Options) {
 		o.Balancers, o.Targets, o.Length, o.Faults, o.Announce = 59, 110, 4*time.Second, faults, announce
 		o.Aim, o.Budget, o.Caller = 250*time.Millisecond, 1500*time.Millisecond, time.Millisecond
 	})
 }
 
-// faultAt is a fault after three seconds.
+// faultAt returns a fault that begins after three seconds.
 func faultAt(kind FaultKind, length time.Duration, share, factor float64) []Fault {
 	return []Fault{{Kind: kind, At: 3 * time.Second, For: length, Share: share, Factor: factor}}
 }
 
-// Scenarios are the loads and losses against which policies are compared.
+// Scenarios returns the workloads and faults on which policies are compared.
 func Scenarios() []Scenario {
 	return []Scenario{
 		scenario("calm", 0.98, func(*Options) {}),
@@ -105,7 +105,8 @@
 	}
 }
 
-// Find returns the scenarios with the given names; no names mean all.
+// Find returns the scenarios with the given names, or all if there are none. It returns a not-found error for an
+// unknown name.
 func Find(names []string) ([]Scenario, error) {
 	if len(names) == 0 {
 		return Scenarios(), nil
@@ -119,7 +120,7 @@
 			}
 		}
 		if !found {
-			return nil, trace.NotFound("there is no scenario %q", name)
+			return nil, trace.NotFound("unknown scenario %q", name)
 		}
 	}
 	return out, nil
--- a/internal/lab/policy/target.go
+++ b/internal/lab/policy/target.go
@@ -11,66 +11,68 @@
 )
 
 const (
-	// localDelay is the time of a packet between an agent and the target on the same VM.
+	// localDelay is the delay of a packet between an agent and the target on the same VM.
 	localDelay = 100 * time.Microsecond
-	// initialStep keeps the numbers at which targets open flows apart.
-	initialStep = 1 << 20
+	// initialSequenceStep separates the initial sequence numbers of the flows of a target.
+	initialSequenceStep = 1 << 20
 )
 
-// target is a target: it opens flows, works on requests in order of their arrival and returns what it does not hold.
+// target simulates a target: it opens flows, serves requests first in, first out, and returns packets of flows that it
+// does not hold.
 type target struct {
 	w     *world
 	agent *agentNode
 	up    bool
 	id    string
 	born  uint64
-	// coldUntil is when the target is as fast as usual; slow is the present multiple of its work.
+	// coldUntil is when the warm-up ends; slow is the current multiple of the service time.
 	coldUntil time.Time
 	slow      float64
-	// failing, mute and wrong are the shares of requests that are reset, never answered, or answered with an error at once.
+	// failing, mute and wrong are the shares of requests that are reset, left unanswered, or answered immediately with
+	// an error.
 	failing, mute, wrong float64
 	share                float64
-	// opened are the times of the last new flows while the target is cold.
-	opened   []time.Time
-	sequence uint64
-	initial  uint32
-	busy     int
-	waiting  []waiting
-	flows    map[netip.AddrPort]*held
+	// recentFlows are the times of the new flows of the last second while the target is cold.
+	recentFlows []time.Time
+	sequence    uint64
+	initial     uint32
+	busy        int
+	waiting     []waiting
+	flows       map[netip.AddrPort]*flowState
 }
 
-// held is one flow at a target.
-type held struct {
+// flowState is the state of one flow at a target.
+type flowState struct {
 	initial  uint32
 	answered bool
 	asked    bool
 }
 
-// waiting is a request that waits for a slot.
+// waiting is a request queued for a slot.
 type waiting struct {
-	flow    *held
+	flow    *flowState
 	request segment.Segment
 }
 
-// start begins a new process.
+// start starts a new incarnation.
 func (t *target) start(warm bool) {
-	t.w.lives++
+	t.w.incarnations++
 	t.id = fmt.Sprintf("target-%d", t.agent.index)
-	t.born = uint64(t.w.now().UnixMilli()) + t.w.lives
-	t.up, t.sequence, t.busy, t.waiting, t.opened = true, 0, 0, nil, nil
-	t.flows = make(map[netip.AddrPort]*held)
+	t.born = uint64(t.w.now().UnixMilli()) + t.w.incarnations
+	t.up, t.sequence, t.busy, t.waiting, t.recentFlows = true, 0, 0, nil, nil
+	t.flows = make(map[netip.AddrPort]*flowState)
 	t.initial = t.w.random.Uint32()
 	t.coldUntil = t.w.now()
 	if !warm {
 		t.coldUntil = t.w.now().Add(t.w.o.ColdTime)
 	}
-	t.beat(t.born)
+	t.sendHeartbeats(t.born)
 }
 
-func (t *target) end() { t.up = false }
+func (t *target) stop() { t.up = false }
 
-// beat announces the process until it ends.
-func (t *target) beat(born uint64) {
+// sendHeartbeats sends heartbeats to the agent until the incarnation ends.
+func (t *target) sendHeartbeats(born uint64) {
 	if !t.up || t.born != born {
 		return
 	}
@@ -79,8 +81,8 @@
 		ID: t.id, StartedMs: t.born, Service: serviceName, Slots: t.w.o.Slots, Sequence: t.sequence,
 		WarmUp: max(0, t.coldUntil.Sub(t.w.now())),
 	}
-	t.w.after(localDelay, func() { t.agent.heard(n) })
-	t.w.after(heartbeatTime, func() { t.beat(born) })
+	t.w.after(localDelay, func() { t.agent.receiveHeartbeat(n) })
+	t.w.after(heartbeatInterval, func() { t.sendHeartbeats(born) })
 }
 
 func (t *target) receive(raw []byte) {
@@ -92,7 +94,7 @@
 	switch {
 	case s.IsOpening():
 		t.open(f, s)
-	case f == nil || s.Acknowledgement-f.initial-1 > initialStep/2:
+	case f == nil || s.Acknowledgement-f.initial-1 > initialSequenceStep/2:
 		raw[0] |= byte(segment.Returned)
 		t.send(raw)
 	case s.Length > 0 && !f.asked:
@@ -103,44 +105,46 @@
 	}
 }
 
-func (t *target) open(f *held, s segment.Segment) {
+func (t *target) open(f *flowState, s segment.Segment) {
 	if f == nil {
-		if t.overloaded() {
+		if t.exceedsColdLimit() {
 			t.crash()
 			return
 		}
-		t.initial += initialStep
-		f = &held{initial: t.initial}
+		t.initial += initialSequenceStep
+		f = &flowState{initial: t.initial}
 		t.flows[s.Source] = f
 	}
 	t.reply(s, segment.SYN|segment.ACK, f.initial, "")
 }
 
-// coldMargin is what a cold target bears beyond the rate that its service declares.
-func coldMargin(perSecond float64) int { return int(1.5*perSecond) + 5 }
+// coldCrashThreshold returns the number of new flows in a second that a cold target takes without a crash.
+func coldCrashThreshold(perSecond float64) int { return int(1.5*perSecond) + 5 }
 
-// overloaded counts a new flow; it reports whether a cold target has got more in a second than it bears.
-func (t *target) overloaded() bool {
+// exceedsColdLimit counts a new flow; it reports whether a cold target has received more of them in a second than
+// coldCrashThreshold.
+func (t *target) exceedsColdLimit() bool {
 	now := t.w.now()
 	if t.w.o.ColdPerSecond == 0 || !now.Before(t.coldUntil) {
 		return false
 	}
-	t.opened = append(t.opened, now)
-	for now.Sub(t.opened[0]) >= time.Second {
-		t.opened = t.opened[1:]
+	t.recentFlows = append(t.recentFlows, now)
+	for now.Sub(t.recentFlows[0]) >= time.Second {
+		t.recentFlows = t.recentFlows[1:]
 	}
-	return len(t.opened) > coldMargin(t.w.o.ColdPerSecond)
+	return len(t.recentFlows) > coldCrashThreshold(t.w.o.ColdPerSecond)
 }
 
-// crash ends the process; the next one starts cold.
+// crash ends the incarnation; the next one starts cold after CrashTime.
 func (t *target) crash() {
 	t.w.result.Crashed++
-	t.end()
+	t.stop()
 	t.w.after(t.w.o.CrashTime, func() { t.start(false) })
 }
 
-// request queues a request for a slot, or sheds it by a reset when the queue is full.
-func (t *target) request(f *held, s segment.Segment) {
+// request runs a request if a slot is free, and otherwise queues it, or resets it if the queue is full. Failing, mute
+// and wrong requests need no slot.
+func (t *target) request(f *flowState, s segment.Segment) {
 	switch draw := t.w.random.Float64(); {
 	case draw < t.failing:
 		t.reply(s, segment.RST|segment.ACK, s.Acknowledgement, "")
@@ -163,15 +167,15 @@
 	t.waiting = append(t.waiting, waiting{flow: f, request: s})
 }
 
-// run works on a request.
-func (t *target) run(f *held, s segment.Segment) {
+// run occupies a slot for the service time of a request, answers it and starts the next one in the queue.
+func (t *target) run(f *flowState, s segment.Segment) {
 	t.busy++
 	work := float64(t.w.work()) * t.slow
 	if t.w.now().Before(t.coldUntil) {
 		work *= t.w.o.ColdFactor
 	}
 	born := t.born
-	t.w.result.ran(s.Source)
+	t.w.result.recordRun(s.Source)
 	t.w.after(time.Duration(work), func() {
 		if !t.up || t.born != born {
 			return
@@ -187,7 +191,7 @@
 	})
 }
 
-// Texts of answers; an error is a fifth of the size of an answer.
+// Texts of answers; an error is about a tenth of the size of a regular answer.
 const (
 	rightAnswer = "an answer that took some work, and so is of some size"
 	wrongAnswer = "error"
--- a/internal/lab/policy/world.go
+++ b/internal/lab/policy/world.go
@@ -15,15 +15,15 @@
 
 // Times of the daemons, as pkg/dsrd sets them.
 const (
-	heartbeatTime = time.Second
-	// probeDelay is how long after its start an agent knows from a health check that its target lives.
+	heartbeatInterval = time.Second
+	// probeDelay is the time from the start of an agent to its first health check result.
 	probeDelay = 20 * time.Millisecond
-	// startDelay is how long a daemon takes until it reads packets.
+	// startDelay is the time from the start of a daemon until it reads packets.
 	startDelay = 30 * time.Millisecond
-	// awakeTime is the time between two notes of a balancer that it runs.
-	awakeTime = 50 * time.Millisecond
-	// outOfRotation is how long packets still go to a balancer that is dark: two checks at two a second.
-	outOfRotation = time.Second
+	// markRunningInterval is the time between two calls of MarkRunning.
+	markRunningInterval = 50 * time.Millisecond
+	// failoverDelay is how long routers still send packets to a balancer that is down: two checks at two per second.
+	failoverDelay = time.Second
 )
 
 const serviceName = "route-svc"
@@ -33,22 +33,22 @@
 	epoch          = time.Unix(1_790_000_000, 0)
 )
 
-// world is everything that takes part in a run.
+// world is the simulated installation.
 type world struct {
 	events
 	o      Options
 	random *rand.Rand
-	// arrivals draws the times of requests apart from all else, so that every policy gets the same ones.
-	arrivals  *rand.Rand
-	balancers []*balancerNode
-	agents    []*agentNode
-	callers   map[netip.AddrPort]*try
-	ports     uint32
-	lives     uint64
-	result    *Result
-	// dark is set while balancers, agents and targets have no power; burst is the present multiple of the load.
-	dark  bool
-	burst float64
+	// arrivals draws the request times from a generator of their own, so that all policies get the same ones.
+	arrivals     *rand.Rand
+	balancers    []*balancerNode
+	agents       []*agentNode
+	callers      map[netip.AddrPort]*try
+	ports        uint32
+	incarnations uint64
+	result       *Result
+	// powerLost is set during a power loss; burst is the current multiple of the load.
+	powerLost bool
+	burst     float64
 }
 
 func newWorld(o Options) *world {
@@ -66,7 +66,7 @@
 	return w
 }
 
-// routes is the only configuration.
+// routes returns the only configuration of a run.
 func (w *world) routes() *routing.Table {
 	return routing.NewTable(configuration.Configuration{Version: 1, Routes: []configuration.Route{{
 		Name: "r", Destination: serviceAddress, Shares: []configuration.Share{{Service: serviceName, Weight: 1}},
@@ -74,7 +74,7 @@
 	}}, Services: []configuration.Service{w.service()}})
 }
 
-// service is what operators declare of the only service.
+// service returns the configuration of the only service.
 func (w *world) service() configuration.Service {
 	s := configuration.Service{Name: serviceName}
 	if !w.o.Undeclared {
@@ -83,31 +83,31 @@
 	return s
 }
 
-// carry delivers a packet after a delay, or never.
-func (w *world) carry(d time.Duration, do func()) {
+// deliver runs do after about d, unless the packet is lost.
+func (w *world) deliver(d time.Duration, do func()) {
 	if w.o.Loss > 0 && w.random.Float64() < w.o.Loss {
 		return
 	}
-	// A tenth more or less, so that packets of one moment do not keep their order by chance.
+	// Jitter of ±10% reorders packets that are sent at the same time.
 	w.after(time.Duration(float64(d)*(0.9+0.2*w.random.Float64())), do)
 }
 
-// between is the delay between two VMs.
-func (w *world) between(a, b int) time.Duration {
+// delayBetween returns the one-way delay between two VMs.
+func (w *world) delayBetween(a, b int) time.Duration {
 	if a%2 == b%2 {
 		return w.o.Near
 	}
 	return w.o.Far
 }
 
-// work draws the time of a request.
+// work draws the service time of a request.
 func (w *world) work() time.Duration {
 	s := math.Sqrt(math.Log(1 + w.o.Spread*w.o.Spread))
 	return time.Duration(float64(w.o.Work) * math.Exp(s*w.random.NormFloat64()-s*s/2))
 }
 
-// router hands a caller's packet to the balancer of its flow. Flows of a dark balancer move after a while.
-func (w *world) router(key flow.Key, raw []byte) {
+// route passes a caller's packet to the balancer in rotation with the highest rendezvous hash for its flow.
+func (w *world) route(key flow.Key, raw []byte) {
 	var best *balancerNode
 	var bestHash uint64
 	for _, b := range w.balancers {
@@ -121,22 +121,23 @@
 	}
 }
 
-// send carries a caller's packet to a balancer.
+// send carries a packet from a caller to the routers.
 func (w *world) send(key flow.Key, raw []byte) {
-	w.carry(w.o.Caller, func() { w.router(key, raw) })
+	w.deliver(w.o.Caller, func() { w.route(key, raw) })
 }
 
-// toCaller carries a packet to the caller of a flow.
+// toCaller carries a packet to a caller.
 func (w *world) toCaller(to netip.AddrPort, raw []byte) {
 	raw = append([]byte(nil), raw...)
-	w.carry(w.o.Caller, func() {
+	w.deliver(w.o.Caller, func() {
 		if c := w.callers[to]; c != nil {
 			c.receive(raw)
 		}
 	})
 }
 
-// announceInterval is the time between two announcements of an agent, as the daemons pace them.
+// announceInterval returns the time between two announcements of an agent: Options.Announce if set, otherwise that of
+// the daemons.
 func (w *world) announceInterval() time.Duration {
 	if w.o.Announce > 0 {
 		return w.o.Announce
