--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -29,8 +29,8 @@
 		fmt.Fprintln(e.out, v)
 	}
 	fmt.Fprintln(e.out, r)
-	if r.Broken > 0 {
-		return fmt.Errorf("seed %d: %d promises were broken; the logs are in %s", c.Seed, r.Broken, c.Dir)
+	if r.TotalViolations > 0 {
+		return fmt.Errorf("seed %d: %d promises were broken; the logs are in %s", c.Seed, r.TotalViolations, c.Dir)
 	}
 	return nil
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -15,21 +15,22 @@
 
 // Times of a caller.
 const (
-	openTime = 1400 * time.Millisecond
-	// firstResend is the time until a request is sent again; it doubles up to lastResend.
-	firstResend = 200 * time.Millisecond
-	lastResend  = 1600 * time.Millisecond
-	// requestTime is how long an answer may take: longer than any fault lasts, so that a flow whose target lives goes on.
-	requestTime = 15 * time.Second
-	maxThink    = 900 * time.Millisecond
-	maxRequests = 12
+	openTimeout = 1400 * time.Millisecond
+	// minRetransmitTimeout is the time until the first retransmission of a request; it doubles up to
+	// maxRetransmitTimeout.
+	minRetransmitTimeout = 200 * time.Millisecond
+	maxRetransmitTimeout = 1600 * time.Millisecond
+	// requestTimeout is longer than any fault, so that a flow whose target keeps running must be answered within it.
+	requestTimeout = 15 * time.Second
+	maxThinkTime   = 900 * time.Millisecond
+	maxRequests    = 12
 )
 
 // caller is one flow: it opens, sends requests one after the other, and closes.
 type caller struct {
 	w       *world
 	vm      *callerVM
-	end     netip.AddrPort
+	address netip.AddrPort
 	to      netip.AddrPort
 	in      chan segment.Segment
 	ack     uint32
@@ -39,40 +40,40 @@
 }
 
 func (c *caller) run(ctx context.Context) {
-	c.end, c.in = c.vm.add()
-	defer c.vm.remove(c.end)
+	c.address, c.in = c.vm.add()
+	defer c.vm.remove(c.address)
 	c.w.counts.add(func(r *Result) { r.Flows++ })
 	if !c.open(ctx) {
 		return
 	}
 	for i := range 1 + c.random.IntN(maxRequests) {
-		if !c.request(ctx, fmt.Sprintf("%s#%d", c.end, i)) {
+		if !c.request(ctx, fmt.Sprintf("%s#%d", c.address, i)) {
 			return
 		}
-		_ = wait.For(ctx, time.Duration(c.random.Int64N(int64(maxThink))))
+		_ = wait.For(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
 	}
 	c.send(segment.FIN|segment.ACK, c.ack, nil)
 	c.w.counts.add(func(r *Result) { r.Finished++ })
 }
 
-// send sends a packet by way of the routers.
+// send sends a packet through the routers.
 func (c *caller) send(flags segment.Flags, ack uint32, data []byte) {
-	to, ok := c.w.routers.route(c.end, c.to)
+	to, ok := c.w.routers.route(c.address, c.to)
 	if !ok {
 		return
 	}
-	raw := platformtest.Encode(platformtest.Packet{Source: c.end, Destination: c.to, Flags: flags, Sequence: 7, Acknowledgement: ack, Data: data})
+	raw := platformtest.Encode(platformtest.Packet{Source: c.address, Destination: c.to, Flags: flags, Sequence: 7, Acknowledgement: ack, Data: data})
 	_, _ = c.vm.conn.WriteToUDPAddrPort(raw, to)
 }
 
-// receive waits for a packet until a time.
+// receive waits for a packet until a deadline.
 func (c *caller) receive(ctx context.Context, until time.Time) (segment.Segment, bool) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
 	case s := <-c.in:
 		if s.Source != c.to {
-			c.w.counts.violation("caller %s got a packet of %s", c.end, s.Source)
+			c.w.counts.violation("caller %s received a packet from %s", c.address, s.Source)
 		}
 		return s, true
 	case <-timer.C:
@@ -81,12 +82,12 @@
 	return segment.Segment{}, false
 }
 
-// open opens the flow; it counts one that was refused or not answered.
+// open opens the flow; it counts a flow that is refused or not answered.
 func (c *caller) open(ctx context.Context) bool {
 	began := time.Now()
 	for i := range platformtest.CopyTimes {
 		c.send(segment.SYN, uint32(i), nil)
-		until := began.Add(openTime)
+		until := began.Add(openTimeout)
 		if i+1 < len(platformtest.CopyTimes) {
 			until = began.Add(platformtest.CopyTimes[i+1])
 		}
@@ -109,24 +110,24 @@
 	return false
 }
 
-// request sends a request until it is answered.
+// request sends a request and retransmits it until it is answered or requestTimeout has passed.
 func (c *caller) request(ctx context.Context, text string) bool {
 	began := time.Now()
-	wait := firstResend
-	for time.Since(began) < requestTime && ctx.Err() == nil {
+	wait := minRetransmitTimeout
+	for time.Since(began) < requestTimeout && ctx.Err() == nil {
 		c.send(segment.ACK, c.ack, []byte(text))
 		until := time.Now().Add(wait)
-		wait = min(2*wait, lastResend)
+		wait = min(2*wait, maxRetransmitTimeout)
 		for {
 			s, ok := c.receive(ctx, until)
 			if !ok {
 				break
 			}
 			if s.Has(segment.RST) {
-				return c.lost("was reset")
+				return c.recordLost("was reset")
 			}
 			if s.Length > 0 {
-				if done, good := c.answered(string(platformtest.Data(s.Raw)), text); done {
+				if done, good := c.checkAnswer(string(platformtest.Data(s.Raw)), text); done {
 					return good
 				}
 			}
@@ -135,24 +136,24 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	if !c.w.knew(began) {
+	if !c.w.ownersKnownSince(began) {
 		c.w.counts.add(func(r *Result) { r.Silent++ })
 		return false
 	}
-	return c.lost("got no answer")
+	return c.recordLost("got no answer")
 }
 
-// answered checks an answer; done is false for a copy of an earlier one.
-func (c *caller) answered(answer, text string) (done, good bool) {
+// checkAnswer checks an answer; done is false if it does not belong to the current request.
+func (c *caller) checkAnswer(answer, text string) (done, good bool) {
 	owner, request, _ := strings.Cut(answer, " ")
 	if request != text {
-		if !strings.HasPrefix(request, c.end.String()+"#") {
-			c.w.counts.violation("caller %s got the answer %q", c.end, answer)
+		if !strings.HasPrefix(request, c.address.String()+"#") {
+			c.w.counts.violation("caller %s received the answer %q", c.address, answer)
 		}
 		return false, false
 	}
 	if !strings.HasPrefix(owner, c.service+"-") || (c.owner != "" && c.owner != owner) {
-		c.w.counts.violation("flow %s of target %q was answered by %s", c.end, c.owner, owner)
+		c.w.counts.violation("flow %s of target %q was answered by %s", c.address, c.owner, owner)
 		return true, false
 	}
 	c.owner = owner
@@ -160,11 +161,11 @@
 	return true, true
 }
 
-// lost counts a flow that ended early: a promise was broken when its target lives. The target of a flow without an answer is
-// not known; it may have died.
-func (c *caller) lost(why string) bool {
-	if c.owner != "" && c.w.lives(c.owner) {
-		c.w.counts.violation("flow %s of the living target %s %s", c.end, c.owner, why)
+// recordLost counts a flow that ended early. It is a violation if the owning target is running. The owner is unknown,
+// and may have ended, if no request of the flow was answered.
+func (c *caller) recordLost(reason string) bool {
+	if c.owner != "" && c.w.isTargetRunning(c.owner) {
+		c.w.counts.violation("flow %s of the running target %s %s", c.address, c.owner, reason)
 		return false
 	}
 	c.w.counts.add(func(r *Result) { r.Ended++ })
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/callervm.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/platform"
 )
 
-// callerVM is a VM with many callers; packets for them all come to one socket.
+// callerVM is a VM with many callers that share one socket.
 type callerVM struct {
 	conn *net.UDPConn
 	ip   netip.Addr
@@ -19,8 +19,8 @@
 	flows map[uint16]chan segment.Segment
 }
 
-// inbox is the number of packets that wait for a caller.
-const inbox = 32
+// inboxSize is the number of packets buffered for a caller; more are dropped.
+const inboxSize = 32
 
 func newCallerVM(address netip.AddrPort) (*callerVM, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
@@ -53,12 +53,12 @@
 	}
 }
 
-// add returns the next end of a flow, and what comes for it.
+// add returns the source address of a new flow, and the channel on which its packets arrive.
 func (m *callerVM) add() (netip.AddrPort, chan segment.Segment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.port++
-	c := make(chan segment.Segment, inbox)
+	c := make(chan segment.Segment, inboxSize)
 	m.flows[m.port] = c
 	return netip.AddrPortFrom(m.ip, m.port), c
 }
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,7 +1,8 @@
-// Package soak runs the real programs of pass-through services as separate processes and injects faults from outside them:
-// signals (stop, kill, pause, hang up), restarts, and connections to the object API that are refused, slow, silent, reset or
-// cut one way by a proxy. Meanwhile it checks, from what callers and targets see, what the daemons promise.
+// Package soak runs the real programs of pass-through services as separate processes and injects faults from outside:
+// signals (SIGTERM, SIGKILL, SIGSTOP, SIGHUP), restarts, and connections to the object API that a proxy refuses,
+// resets, delays, or drops in one or both directions. From the view of callers and targets it checks what the daemons
+// guarantee.
 //
-// The faults of a run follow from its seed. The timing of real processes does not, so that a seed that failed may pass the
-// next time: a failed run keeps its logs.
+// The seed determines the faults of a run, but not the timing of the processes: a seed that failed may pass the next
+// time. The logs are therefore kept in Options.Dir.
 package soak
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -13,32 +13,33 @@
 
 // Times of the faults.
 const (
-	// minGap and maxGap are the times between two faults; a fault lasts longer, so that several are at work at once.
+	// minGap and maxGap bound the time between two faults; faults can last longer, so that they overlap.
 	minGap = 100 * time.Millisecond
 	maxGap = 900 * time.Millisecond
-	// maxDown is how long a daemon stays away, maxPause how long it stands still, maxCut how long a link is disturbed.
+	// maxDown is the maximum downtime of a daemon, maxPause that of a pause, maxCut that of a link fault.
 	maxDown  = 1500 * time.Millisecond
 	maxPause = 2 * time.Second
 	maxCut   = 4 * time.Second
-	// drainTime is how long a target goes on after its notice, targetDown how long until another takes its place.
+	// drainTime is how long a target continues after it starts to drain, targetDown the maximum time until its
+	// replacement starts.
 	drainTime  = 4 * time.Second
 	targetDown = 1500 * time.Millisecond
-	// stopSlack is added to the grace time of a daemon for a pause that another fault makes.
+	// stopSlack is added to graceTime for a concurrent pause.
 	stopSlack = 3 * time.Second
 )
 
-// faults makes faults until ctx ends, and waits for their end.
+// faults injects random faults.
 type faults struct {
 	w      *world
 	random *rand.Rand
 	wg     sync.WaitGroup
-	// script lists what was done, for the run's log.
+	// script writes a line to faults.log.
 	script func(text string)
 }
 
 func (f *faults) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.one(ctx)
+		f.injectRandom(ctx)
 		f.w.counts.add(func(r *Result) { r.Faults++ })
 		_ = wait.For(ctx, f.between(minGap, maxGap))
 	}
@@ -47,20 +48,21 @@
 
 func (f *faults) between(low, high time.Duration) time.Duration { return between(f.random, low, high) }
 
-// between draws a time from low to below high.
+// between returns a random duration in [low, high).
 func between(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// one starts one fault. All that is random is drawn before it is started.
-func (f *faults) one(ctx context.Context) {
+// injectRandom starts one random fault. All random values are drawn first, so that the sequence depends on the seed
+// only.
+func (f *faults) injectRandom(ctx context.Context) {
 	b := f.w.balancers[f.random.IntN(len(f.w.balancers))]
 	a := f.w.agents[f.random.IntN(len(f.w.agents))]
 	process, link := b.process, b.link
 	if f.random.IntN(2) == 0 {
 		process, link = a.process, a.link
 	}
-	down, still, cut := f.between(0, maxDown), f.between(minGap, maxPause), f.between(minGap, maxCut)
+	down, pause, cut := f.between(0, maxDown), f.between(minGap, maxPause), f.between(minGap, maxCut)
 	mode := linkMode(1 + f.random.IntN(int(linkModes)-1))
 	switch kind := f.random.IntN(100); {
 	case kind < 20:
@@ -68,7 +70,7 @@
 	case kind < 35:
 		f.start("kill "+process.name, func() { f.kill(ctx, down, process) })
 	case kind < 50:
-		f.start("pause "+process.name, func() { f.still(ctx, process, still) })
+		f.start("pause "+process.name, func() { f.pause(ctx, process, pause) })
 	case kind < 57:
 		f.start("hang up "+process.name, func() { process.signal(syscall.SIGHUP) })
 	case kind < 69:
@@ -83,12 +85,12 @@
 		f.start("kill all balancers", func() { f.kill(ctx, down, f.w.processes(true, false)...) })
 	case kind < 99:
 		f.start("kill all agents", func() {
-			f.w.forget()
+			f.w.recordAgentsKilled()
 			f.kill(ctx, down, f.w.processes(false, true)...)
 		})
 	default:
 		f.start("kill all", func() {
-			f.w.forget()
+			f.w.recordAgentsKilled()
 			f.kill(ctx, down, f.w.processes(true, true)...)
 		})
 	}
@@ -103,8 +105,8 @@
 	}()
 }
 
-// again starts a daemon, and notes a failure to.
-func (f *faults) again(p *process) {
+// startAgain starts a daemon; a failure is a violation.
+func (f *faults) startAgain(p *process) {
 	if err := p.start(); err != nil {
 		f.w.counts.violation("%v", err)
 	}
@@ -113,7 +115,7 @@
 func (f *faults) restart(ctx context.Context, p *process, down time.Duration) {
 	p.stop(graceTime + stopSlack)
 	_ = wait.For(ctx, down)
-	f.again(p)
+	f.startAgain(p)
 }
 
 func (f *faults) kill(ctx context.Context, down time.Duration, list ...*process) {
@@ -125,11 +127,11 @@
 	}
 	_ = wait.For(ctx, down)
 	for _, p := range list {
-		f.again(p)
+		f.startAgain(p)
 	}
 }
 
-func (f *faults) still(ctx context.Context, p *process, d time.Duration) {
+func (f *faults) pause(ctx context.Context, p *process, d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	_ = wait.For(ctx, d)
 	p.signal(syscall.SIGCONT)
@@ -145,26 +147,26 @@
 	}
 }
 
-// drain replaces a target by plan; one that is away or leaves already is left alone.
+// drain drains and replaces a target, unless it is down or already draining.
 func (f *faults) drain(ctx context.Context, t *target, down time.Duration) {
-	if t.healthy() == "" {
+	if t.activeName() == "" {
 		return
 	}
-	t.leave(ctx, drainTime)
+	t.drainAndStop(ctx, drainTime)
 	f.replace(ctx, t, down)
 }
 
 func (f *faults) die(ctx context.Context, t *target, down time.Duration) {
-	if t.healthy() == "" {
+	if t.activeName() == "" {
 		return
 	}
-	t.end()
+	t.stopProcess()
 	f.replace(ctx, t, down)
 }
 
 func (f *faults) replace(ctx context.Context, t *target, down time.Duration) {
 	_ = wait.For(ctx, min(down, targetDown))
-	if err := t.begin(); err != nil {
+	if err := t.startProcess(); err != nil {
 		f.w.counts.violation("starting a target: %v", err)
 	}
 }
--- a/internal/lab/soak/files.go
+++ b/internal/lab/soak/files.go
@@ -11,28 +11,28 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// graceTime is how long a daemon may take to end.
+// graceTime is the GraceTime setting of all daemons: how long shutdown may take.
 const graceTime = 6 * time.Second
 
 func (w *world) writeBalancer(b *balancer) error {
 	s := settings.DefaultDSRBalancer()
-	w.fill(&s.DSRProcess, b.process, b.address, b.link)
+	w.fillProcessSettings(&s.DSRProcess, b.process, b.address, b.link)
 	s.ControlAddress = netip.AddrPortFrom(b.address, w.ports.control).String()
 	return write(b.settings, s)
 }
 
 func (w *world) writeAgent(a *agent) error {
 	s := settings.DefaultDSRAgent()
-	w.fill(&s.DSRProcess, a.process, a.address, a.link)
+	w.fillProcessSettings(&s.DSRProcess, a.process, a.address, a.link)
 	s.Service = a.target.service
 	s.TargetAddress = w.targetAddress(a.target).String()
 	s.OutboundAddress = a.target.outbound.String()
 	s.AnnounceAddress = a.target.control
-	s.HeartbeatInterval = settings.NewDuration(heartbeatTime)
+	s.HeartbeatInterval = settings.NewDuration(heartbeatInterval)
 	return write(a.settings, s)
 }
 
-func (w *world) fill(s *settings.DSRProcess, p *process, address netip.Addr, link *proxy) {
+func (w *world) fillProcessSettings(s *settings.DSRProcess, p *process, address netip.Addr, link *proxy) {
 	at := func(port uint16) string { return netip.AddrPortFrom(address, port).String() }
 	s.Name, s.Region, s.DataCentre = p.name, "soak", "dc-1"
 	s.StatusAddress = at(w.ports.status)
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -19,17 +19,17 @@
 
 // Times of the operator.
 const (
-	// changeTime is the least time between two changes.
-	changeTime = 1500 * time.Millisecond
-	// inForceTime is how long after its acceptance a configuration may not be in force on a balancer that has been running
-	// and reached the store all the time.
-	inForceTime = 5 * time.Second
-	statusTime  = 200 * time.Millisecond
-	// idleTimeout is what the configuration says; no flow of the run is silent for as long.
+	// minChangeInterval is the minimum time between two changes.
+	minChangeInterval = 1500 * time.Millisecond
+	// inForceTimeout is the time after its acceptance within which a configuration must be in force on a balancer that
+	// has been running and connected to the store throughout.
+	inForceTimeout = 5 * time.Second
+	statusInterval = 200 * time.Millisecond
+	// idleTimeout is the configured idle timeout; no flow of a run is idle that long.
 	idleTimeout = 20 * time.Second
 )
 
-// addressOf is the address that only configuration v has.
+// addressOf returns the address that only configuration v contains.
 func addressOf(v int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(1 + v>>8), byte(v)}), 80)
 }
@@ -43,7 +43,7 @@
 	for address, service := range map[netip.AddrPort]string{addressA: serviceA, addressB: serviceB, addressOf(v): serviceA} {
 		c.Routes = append(c.Routes, configuration.Route{
 			Name: address.String(), Destination: address, Shares: []configuration.Share{{Service: service, Weight: 1}},
-			Aim: 150 * time.Millisecond, Timeout: openTime,
+			Aim: 150 * time.Millisecond, Timeout: openTimeout,
 		})
 	}
 	c.Services = []configuration.Service{{Name: serviceA, HealthPath: "/health"}, {Name: serviceB, HealthPath: "/health"}}
@@ -51,8 +51,8 @@
 	if err != nil {
 		return err
 	}
-	w.operating.Lock()
-	defer w.operating.Unlock()
+	w.configMu.Lock()
+	defer w.configMu.Unlock()
 	if err := w.put(ctx, b); err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// put stores the configuration.
+// put creates or updates the configuration object.
 func (w *world) put(ctx context.Context, b []byte) error {
 	o, err := w.store.Get(ctx, platformtest.ConfigurationKind, platformtest.ConfigurationName)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -78,52 +78,52 @@
 	return err
 }
 
-// operate changes the configuration until ctx ends.
-func (w *world) operate(ctx context.Context, random *rand.Rand) {
+// changeConfiguration writes new configurations until ctx ends.
+func (w *world) changeConfiguration(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		if err := w.configure(ctx); err != nil && !errors.Is(err, objectapi.ErrUnavailable) && ctx.Err() == nil {
 			w.counts.violation("the stand-in for the object API failed: %v", err)
 		}
-		_ = wait.For(ctx, between(random, changeTime, changeTime+inForceTime))
+		_ = wait.For(ctx, between(random, minChangeInterval, minChangeInterval+inForceTimeout))
 	}
 }
 
-// accepted is the newest configuration and the time since it was accepted.
-func (w *world) accepted() (version int, age time.Duration) {
+// latestAccepted returns the latest accepted configuration and the time since it was last written.
+func (w *world) latestAccepted() (version int, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version, time.Since(w.acceptedAt)
 }
 
-// watch checks what one balancer says about its configuration: it never goes back in one life of the process, and is the
-// newest one in time when nothing has disturbed the balancer.
-func (w *world) watch(ctx context.Context, b *balancer) {
-	life, last, undisturbed := 0, 0, time.Now()
-	for ; ctx.Err() == nil; _ = wait.For(ctx, statusTime) {
-		if b.lives() != life {
-			life, last = b.lives(), 0
+// checkConfiguration checks the configuration in force on a balancer: it must not go back within one incarnation of the
+// process, and must become the latest one within inForceTimeout while no fault affects the balancer.
+func (w *world) checkConfiguration(ctx context.Context, b *balancer) {
+	incarnation, last, undisturbed := 0, 0, time.Now()
+	for ; ctx.Err() == nil; _ = wait.For(ctx, statusInterval) {
+		if b.starts() != incarnation {
+			incarnation, last = b.starts(), 0
 		}
-		if !b.running() || b.link.current() != linkPasses {
+		if !b.running() || b.link.currentMode() != linkPasses {
 			undisturbed = time.Now()
 			continue
 		}
-		version, age := w.accepted()
+		version, age := w.latestAccepted()
 		label, err := b.label(ctx)
-		if err != nil || b.lives() != life {
+		if err != nil || b.starts() != incarnation {
 			continue
 		}
 		if label < last {
 			w.counts.violation("%s went back from configuration %d to %d", b.name, last, label)
 		}
 		last = max(last, label)
-		if age > inForceTime && time.Since(undisturbed) > inForceTime && label < version {
-			w.counts.violation("%s has configuration %d, and %d was accepted %s ago", b.name, label, version, age)
+		if age > inForceTimeout && time.Since(undisturbed) > inForceTimeout && label < version {
+			w.counts.violation("%s has configuration %d in force, but %d was accepted %s ago", b.name, label, version, age)
 			undisturbed = time.Now()
 		}
 	}
 }
 
-// label asks a balancer which configuration is in force.
+// label returns the configuration in force according to the status of a balancer, 0 if there is none.
 func (b *balancer) label(ctx context.Context) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -136,7 +136,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close() //nolint:errcheck // What could be read was read.
+	defer resp.Body.Close() //nolint:errcheck // The body has been read.
 	var s struct {
 		State struct {
 			Label string `json:"label"`
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -8,18 +8,18 @@
 
 // Options describe a run.
 type Options struct {
-	// Seed decides the faults and what callers do.
+	// Seed determines the faults and the behaviour of callers.
 	Seed uint64
-	// Length is how long faults are made; the run ends some seconds later.
+	// Length is how long faults are injected; the run ends some seconds later.
 	Length time.Duration
-	// Balancers and Targets are the numbers of VMs of either kind; the targets are shared among two services.
+	// Balancers and Targets are the numbers of VMs; a third of the targets belong to the second service.
 	Balancers int
 	Targets   int
 	// Rate is the number of new flows a second.
 	Rate int
-	// Programs is the directory with the daemons' programs.
+	// Programs is the directory with the daemons' executables.
 	Programs string
-	// Dir is where settings and logs go.
+	// Dir is the directory for settings and logs.
 	Dir string
 }
 
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -11,23 +11,22 @@
 	"github.com/gravitational/trace"
 )
 
-// process is one daemon, which may be started many times.
+// process is a daemon that can be started repeatedly.
 type process struct {
 	name    string
 	program string
-	// settings and log are the paths of its files.
+	// settings and log are file paths.
 	settings string
 	log      string
 	counts   *counts
 
 	mu sync.Mutex
-	// command is the running process, nil when there is none; ending is set once it was told to end.
-	command *exec.Cmd
-	done    chan struct{}
-	ending  bool
-	paused  bool
-	// started is the number of starts.
-	started int
+	// command is the running process, nil if there is none; ending is set once SIGTERM or SIGKILL was sent.
+	command    *exec.Cmd
+	done       chan struct{}
+	ending     bool
+	paused     bool
+	startCount int
 }
 
 func newProcess(o Options, name, program string, c *counts) *process {
@@ -37,7 +36,7 @@
 	}
 }
 
-// start starts the daemon; its log goes on.
+// start starts the daemon unless it is running; it appends to the log.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,25 +54,25 @@
 		return trace.Wrap(err, "starting %s", p.name)
 	}
 	p.command, p.done, p.ending, p.paused = c, make(chan struct{}), false, false
-	p.started++
+	p.startCount++
 	go p.wait(c, out, p.done)
 	return nil
 }
 
-// wait takes the end of the process; one that nobody asked for breaks a promise.
+// wait waits for the process to exit; an exit without a signal to do so is a violation.
 func (p *process) wait(c *exec.Cmd, out *os.File, done chan struct{}) {
 	err := c.Wait()
 	_ = out.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.ending {
-		p.counts.violation("%s ended by itself: %v", p.name, err)
+		p.counts.violation("%s exited unexpectedly: %v", p.name, err)
 	}
 	p.command = nil
 	close(done)
 }
 
-// signal sends a signal to the running process; it reports whether there is one.
+// signal sends a signal to the running process; it reports whether that succeeded.
 func (p *process) signal(s syscall.Signal) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,21 +90,21 @@
 	return p.command.Process.Signal(s) == nil
 }
 
-// lives is the number of starts.
-func (p *process) lives() int {
+// starts returns the number of starts so far.
+func (p *process) starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.started
+	return p.startCount
 }
 
-// running reports whether the process runs and is not paused.
+// running reports whether the process runs and is neither paused nor ending.
 func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.command != nil && !p.paused && !p.ending
 }
 
-// ended waits until the process has ended; it reports false when that takes too long.
+// ended waits for the process to exit; it reports false on a timeout.
 func (p *process) ended(within time.Duration) bool {
 	p.mu.Lock()
 	done, alive := p.done, p.command != nil
@@ -121,13 +120,13 @@
 	}
 }
 
-// stop asks the process to end and waits for it; one that takes longer than its grace time breaks a promise.
+// stop sends SIGTERM and waits for the process to exit; one that takes longer is killed, which is a violation.
 func (p *process) stop(within time.Duration) {
 	if !p.signal(syscall.SIGTERM) {
 		return
 	}
 	if !p.ended(within) {
-		p.counts.violation("%s was still there %s after it was told to end", p.name, within)
+		p.counts.violation("%s was still running %s after SIGTERM", p.name, within)
 		p.kill()
 	}
 }
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// linkMode is what a proxy does to connections.
+// linkMode is how a proxy treats connections.
 type linkMode int
 
 // Modes of a proxy.
 const (
 	linkPasses linkMode = iota
-	// linkRefuses resets new connections and those that are open.
+	// linkRefuses resets new and open connections.
 	linkRefuses
-	// linkSilent accepts connections and passes nothing in either direction.
+	// linkSilent accepts connections and forwards nothing in either direction.
 	linkSilent
-	// linkOneWay passes requests and drops answers.
+	// linkOneWay forwards requests and drops answers.
 	linkOneWay
-	// linkSlow holds each piece of an answer back for slowTime.
+	// linkSlow delays each chunk of an answer by slowDelay.
 	linkSlow
 	linkModes
 )
 
-const slowTime = 300 * time.Millisecond
+const slowDelay = 300 * time.Millisecond
 
-// proxy stands between a daemon and the object API.
+// proxy forwards connections of a daemon to the object API, subject to its mode.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -47,13 +47,13 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) current() linkMode {
+func (p *proxy) currentMode() linkMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// set changes the mode for all connections, open ones included.
+// set changes the mode of all connections, including open ones.
 func (p *proxy) set(m linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 		if err != nil {
 			return
 		}
-		if p.current() == linkRefuses {
+		if p.currentMode() == linkRefuses {
 			reset(c)
 			continue
 		}
@@ -108,7 +108,7 @@
 	p.mu.Unlock()
 }
 
-// copy passes what it reads on, as the mode says, until either end is closed.
+// copy forwards data in one direction, subject to the mode, until either connection is closed.
 func (p *proxy) copy(to, from net.Conn, answers bool) {
 	defer to.Close()   //nolint:errcheck // The other direction ends with this one.
 	defer from.Close() //nolint:errcheck // The other direction ends with this one.
@@ -118,11 +118,11 @@
 		if err != nil {
 			return
 		}
-		switch m := p.current(); {
+		switch m := p.currentMode(); {
 		case m == linkSilent, m == linkOneWay && answers:
 			continue
 		case m == linkSlow && answers:
-			time.Sleep(slowTime)
+			time.Sleep(slowDelay)
 		}
 		if _, err := to.Write(b[:n]); err != nil {
 			return
--- a/internal/lab/soak/refusals.go
+++ b/internal/lab/soak/refusals.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// refusalLine is what a balancer's log says of a refused flow.
+// refusalLine is the log entry of a refused flow.
 type refusalLine struct {
 	Op     string `json:"op"`
 	Caller string `json:"caller"`
@@ -15,7 +15,7 @@
 	Record string `json:"record"`
 }
 
-// checkRefusals looks for flows of which a balancer said that nothing was run though a target has worked on a request.
+// checkRefusals checks that no request ran of the flows that balancers logged as refused with run "no".
 func (w *world) checkRefusals() error {
 	worked := make(map[string]string)
 	w.mu.Lock()
@@ -25,21 +25,21 @@
 	}
 	w.mu.Unlock()
 	for _, b := range w.balancers {
-		lines, err := refusalsOf(b.log)
+		lines, err := readRefusals(b.log)
 		if err != nil {
 			return err
 		}
 		for _, l := range lines {
 			if id, ran := worked[l.Caller]; ran && l.Run == "no" {
-				w.counts.violation("%s says in %s that nothing was run of %s, but %s worked on it", b.name, l.Record, l.Caller, id)
+				w.counts.violation("%s logged in %s that no request of %s ran, but %s ran one", b.name, l.Record, l.Caller, id)
 			}
 		}
 	}
 	return nil
 }
 
-// refusalsOf reads the refusals from a log. A line that was cut by the end of its process is left out.
-func refusalsOf(path string) ([]refusalLine, error) {
+// readRefusals reads the refusals from a log. It skips lines that are truncated because the process ended.
+func readRefusals(path string) ([]refusalLine, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -16,67 +16,71 @@
 
 // Times of the restores of the object API.
 const (
-	// minRestoreGap and maxRestoreGap are the times between two restores, maxCopyAge how old a copy is.
+	// A copy is restored after minRestoreGap and up to maxCopyAge more; the next one is made up to
+	// maxRestoreGap-minRestoreGap after that.
 	minRestoreGap = time.Second
 	maxRestoreGap = 6 * time.Second
 	maxCopyAge    = 5 * time.Second
-	// maxAway is how long the API is away before it comes back, maxRewrite how long the operator's configuration then takes to be written again.
-	maxAway    = 1500 * time.Millisecond
+	// maxOutage is the maximum outage before a restore, maxRewrite the maximum time until the operator's configuration
+	// is written again after it.
+	maxOutage  = 1500 * time.Millisecond
 	maxRewrite = time.Second
-	// lostWrites is the number of writes by others that are lost with one of manyEvery restores: it takes long until revisions have caught up.
-	lostWrites = 400
-	manyEvery  = 4
-	otherKind  = objectapi.Kind("others")
+	// lostWrites is the number of unrelated writes that every lostWritesEvery-th restore discards, so that revisions
+	// take long to catch up.
+	lostWrites      = 400
+	lostWritesEvery = 4
+	lostKind        = objectapi.Kind("others")
 )
 
-// restore lets the object API come back from older copies until ctx ends. What the daemons wrote since is lost; the operator's configuration is
-// written again at once or a little later.
-func (w *world) restore(ctx context.Context, random *rand.Rand, script func(text string)) {
+// restoreAPI restores the object API from older copies until ctx ends. Writes of the daemons since the copy are lost;
+// the operator's configuration is written again at once or up to maxRewrite later.
+func (w *world) restoreAPI(ctx context.Context, random *rand.Rand, script func(text string)) {
 	for n := 0; ctx.Err() == nil; n++ {
-		older := w.store.Copy()
-		if n%manyEvery == 0 {
-			w.writeOthers(ctx)
+		backup := w.store.Copy()
+		if n%lostWritesEvery == 0 {
+			w.writeLostObjects(ctx)
 		}
-		age, away, rewrite := between(random, 0, maxCopyAge), between(random, 0, maxAway), between(random, 0, maxRewrite)
+		age, outage, rewrite := between(random, 0, maxCopyAge), between(random, 0, maxOutage), between(random, 0, maxRewrite)
 		atOnce := random.IntN(2) == 0
 		_ = wait.For(ctx, minRestoreGap+age)
 		w.store.SetFaults(store.Faults{Outage: true})
-		_ = wait.For(ctx, away)
+		_ = wait.For(ctx, outage)
 		if atOnce {
 			script("restore")
-			w.comeBack(older, platformtest.ConfigurationKind)
+			w.restoreCopy(backup, platformtest.ConfigurationKind)
 		} else {
 			script("restore without the configuration")
-			w.comeBack(older)
+			w.restoreCopy(backup)
 			_ = wait.For(ctx, rewrite)
-			w.configureAgain()
+			w.rewriteConfiguration()
 		}
 		_ = wait.For(ctx, between(random, 0, maxRestoreGap-minRestoreGap))
 	}
 }
 
-// writeOthers writes what will be lost.
-func (w *world) writeOthers(ctx context.Context) {
+// writeLostObjects writes objects that the next restore discards.
+func (w *world) writeLostObjects(ctx context.Context) {
 	for n := range lostWrites {
-		if _, err := w.store.Create(ctx, otherKind, strconv.Itoa(n), nil); err != nil && ctx.Err() == nil {
+		if _, err := w.store.Create(ctx, lostKind, strconv.Itoa(n), nil); err != nil && ctx.Err() == nil {
 			w.counts.violation("the stand-in for the object API failed: %v", err)
 			return
 		}
 	}
 }
 
-// comeBack ends an outage with an older copy.
-func (w *world) comeBack(older store.Copy, rewritten ...objectapi.Kind) {
-	w.operating.Lock()
-	defer w.operating.Unlock()
-	w.store.Restore(older, rewritten...)
+// restoreCopy restores a copy, keeping the objects of the rewritten kinds, and ends the outage.
+func (w *world) restoreCopy(backup store.Copy, rewritten ...objectapi.Kind) {
+	w.configMu.Lock()
+	defer w.configMu.Unlock()
+	w.store.Restore(backup, rewritten...)
 	w.store.SetFaults(store.Faults{})
 }
 
-// configureAgain writes the configuration that was accepted last again. The context is none of the run's: it must be stored at its end.
-func (w *world) configureAgain() {
-	w.operating.Lock()
-	defer w.operating.Unlock()
+// rewriteConfiguration writes the last accepted configuration again. It uses a context of its own, since the
+// configuration must be stored even if the run is ending.
+func (w *world) rewriteConfiguration() {
+	w.configMu.Lock()
+	defer w.configMu.Unlock()
 	if err := w.put(context.Background(), w.document); err != nil {
 		w.counts.violation("writing the configuration again: %v", err)
 	}
@@ -85,7 +89,7 @@
 	w.acceptedAt = time.Now()
 }
 
-// checkMembers notes the balancers that the object API does not know.
+// checkMembers checks that every balancer is among the members in the object API.
 func (w *world) checkMembers(ctx context.Context) {
 	list, _, err := w.store.List(ctx, dsrd.MemberKind)
 	if err != nil {
@@ -94,7 +98,7 @@
 	}
 	for _, b := range w.balancers {
 		if !slices.ContainsFunc(list, func(o objectapi.Object) bool { return o.Name == b.name }) {
-			w.counts.violation("%s is not in the object API at the end", b.name)
+			w.counts.violation("%s is not in the object API at the end of the run", b.name)
 		}
 	}
 }
--- a/internal/lab/soak/routers.go
+++ b/internal/lab/soak/routers.go
@@ -13,21 +13,22 @@
 
 // Times of the readiness checks.
 const (
-	checkTime    = 500 * time.Millisecond
-	checkTimeout = 400 * time.Millisecond
-	// missesUntilOut is the number of missed checks that take a balancer out of rotation.
-	missesUntilOut = 2
+	checkInterval = 500 * time.Millisecond
+	checkTimeout  = 400 * time.Millisecond
+	// missesUntilDown is the number of consecutive failed checks that take a balancer out of rotation.
+	missesUntilDown = 2
 )
 
-// entry is one balancer as the routers see it.
+// entry is the routers' state of a balancer.
 type entry struct {
-	packets netip.AddrPort
-	ready   string
-	misses  int
-	in      bool
+	packets    netip.AddrPort
+	ready      string
+	misses     int
+	inRotation bool
 }
 
-// routers send packets to the balancers in rotation, by rendezvous hashing: only the flows of a balancer that leaves move.
+// routers distribute packets over the balancers in rotation by rendezvous hashing: only the flows of a balancer that
+// leaves move.
 type routers struct {
 	mu      sync.Mutex
 	entries []*entry
@@ -40,7 +41,7 @@
 	r.mu.Unlock()
 }
 
-// check asks a balancer whether it is ready until ctx ends.
+// check polls the readiness of a balancer until ctx ends.
 func (r *routers) check(ctx context.Context, e *entry) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, checkTimeout)
@@ -48,30 +49,30 @@
 		cancel()
 		r.mu.Lock()
 		if err == nil {
-			e.misses, e.in = 0, true
-		} else if e.misses++; e.misses >= missesUntilOut {
-			e.in = false
+			e.misses, e.inRotation = 0, true
+		} else if e.misses++; e.misses >= missesUntilDown {
+			e.inRotation = false
 		}
 		r.mu.Unlock()
-		_ = wait.For(ctx, checkTime)
+		_ = wait.For(ctx, checkInterval)
 	}
 }
 
-// route returns the balancer for a packet. When fewer than half are in rotation, all are used.
+// route returns the balancer for a packet. If fewer than half are in rotation, all are used.
 func (r *routers) route(from, to netip.AddrPort) (netip.AddrPort, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	in := 0
+	inRotation := 0
 	for _, e := range r.entries {
-		if e.in {
-			in++
+		if e.inRotation {
+			inRotation++
 		}
 	}
 	hash := flow.Key{Source: from, Destination: to, Protocol: flow.ProtocolTCP}.Hash()
 	var best *entry
 	var highest uint64
 	for i, e := range r.entries {
-		if 2*in >= len(r.entries) && !e.in {
+		if 2*inRotation >= len(r.entries) && !e.inRotation {
 			continue
 		}
 		if score := flow.Mix(hash + uint64(i)*0x9e3779b97f4a7c15); best == nil || score > highest {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -17,15 +17,15 @@
 
 // Times of a run.
 const (
-	// startTime is how long the installation may take until every balancer is in rotation and every target is served.
-	startTime = 15 * time.Second
-	// settleTime is how long after the last fault everything must be served again.
+	// startTimeout is how long the installation may take until every balancer is in rotation.
+	startTimeout = 15 * time.Second
+	// settleTime is the time after the last fault within which everything must be served again.
 	settleTime = 6 * time.Second
-	// finalFlows is the number of flows that must all be served then.
+	// finalFlows is the number of flows that must all finish after settleTime.
 	finalFlows = 40
 )
 
-// Seeds of the parts of a run, beside Options.Seed.
+// Second seeds of the random generators of a run, beside Options.Seed.
 const (
 	seedCallers = 1 + iota
 	seedOperator
@@ -34,8 +34,8 @@
 	seedRestores
 )
 
-// Run starts the installation, makes faults for o.Length and checks what the daemons promise. The error is one of the run
-// itself; broken promises are in the result.
+// Run starts the installation, injects faults for o.Length and checks the guarantees of the daemons. An error is a
+// failure of the run itself; violated guarantees are in the result.
 func Run(ctx context.Context, o Options) (Result, error) {
 	if err := o.check(); err != nil {
 		return Result{}, err
@@ -52,7 +52,7 @@
 	if err != nil {
 		return Result{}, trace.ConvertSystemError(err)
 	}
-	defer script.Close() //nolint:errcheck // A line that was not written is not needed by the result.
+	defer script.Close() //nolint:errcheck // The result does not depend on the script.
 	if err := w.run(ctx, script); err != nil {
 		return w.counts.result(), err
 	}
@@ -67,30 +67,31 @@
 		return err
 	}
 	background, stop := context.WithCancel(ctx)
-	var watchers sync.WaitGroup
+	var checkers sync.WaitGroup
 	for _, b := range w.balancers {
-		watchers.Go(func() { w.routers.check(background, b.entry) })
-		watchers.Go(func() { w.watch(background, b) })
+		checkers.Go(func() { w.routers.check(background, b.entry) })
+		checkers.Go(func() { w.checkConfiguration(background, b) })
 	}
-	defer watchers.Wait()
+	defer checkers.Wait()
 	defer stop()
-	if err := w.started(ctx); err != nil {
+	if err := w.waitUntilStarted(ctx); err != nil {
 		return err
 	}
-	w.disturbed(ctx, script)
+	w.runFaults(ctx, script)
 	w.settle(ctx)
 	w.stopAll()
 	return nil
 }
 
-// started waits until flows of both services are served.
-func (w *world) started(ctx context.Context) error {
-	end := time.Now().Add(startTime)
+// waitUntilStarted waits until every balancer is in rotation. It returns a limit-exceeded error after startTimeout or
+// when ctx ends.
+func (w *world) waitUntilStarted(ctx context.Context) error {
+	end := time.Now().Add(startTimeout)
 	for {
 		served := 0
 		for _, b := range w.balancers {
 			w.routers.mu.Lock()
-			if b.entry.in {
+			if b.entry.inRotation {
 				served++
 			}
 			w.routers.mu.Unlock()
@@ -99,43 +100,44 @@
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return trace.LimitExceeded("%d of %d balancers are in rotation %s after the start", served, len(w.balancers), startTime)
+			return trace.LimitExceeded("%d of %d balancers are in rotation %s after the start", served, len(w.balancers), startTimeout)
 		}
-		_ = wait.For(ctx, statusTime)
+		_ = wait.For(ctx, statusInterval)
 	}
 }
 
-// disturbed lets callers, the operator and the faults work for the length of the run, and waits for the open flows.
-func (w *world) disturbed(ctx context.Context, script *os.File) {
+// runFaults runs callers, the operator, other writers, restores and faults for the length of the run, ends the faults
+// and waits for the open flows.
+func (w *world) runFaults(ctx context.Context, script *os.File) {
 	during, end := context.WithTimeout(ctx, w.o.Length)
 	defer end()
-	var flows, parts sync.WaitGroup
-	parts.Go(func() { w.operate(during, rand.New(rand.NewPCG(w.o.Seed, seedOperator))) })
-	parts.Go(func() { w.writeStrange(during, rand.New(rand.NewPCG(w.o.Seed, seedWriters))) })
-	parts.Go(func() { w.openFlows(during, ctx, &flows) })
+	var flows, background sync.WaitGroup
+	background.Go(func() { w.changeConfiguration(during, rand.New(rand.NewPCG(w.o.Seed, seedOperator))) })
+	background.Go(func() { w.writeInvalid(during, rand.New(rand.NewPCG(w.o.Seed, seedWriters))) })
+	background.Go(func() { w.openFlows(during, ctx, &flows) })
 	note := func(text string) {
 		_, _ = fmt.Fprintf(script, "%.2f %s\n", time.Since(w.counts.began).Seconds(), text)
 	}
-	parts.Go(func() { w.restore(during, rand.New(rand.NewPCG(w.o.Seed, seedRestores)), note) })
+	background.Go(func() { w.restoreAPI(during, rand.New(rand.NewPCG(w.o.Seed, seedRestores)), note) })
 	f := &faults{w: w, random: w.random, script: note}
 	f.run(during)
-	parts.Wait()
-	w.heal()
+	background.Wait()
+	w.endFaults()
 	flows.Wait()
 }
 
-// openFlows starts flows at the run's rate; each goes on after the faults have ended.
+// openFlows opens flows at the configured rate until during ends; flows continue until whole ends.
 func (w *world) openFlows(during, whole context.Context, flows *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(w.o.Seed, seedCallers))
 	for during.Err() == nil {
-		c := w.call(rand.New(rand.NewPCG(random.Uint64(), seedCallers)))
+		c := w.newCaller(rand.New(rand.NewPCG(random.Uint64(), seedCallers)))
 		flows.Go(func() { c.run(whole) })
 		_ = wait.For(during, time.Second/time.Duration(w.o.Rate))
 	}
 }
 
-// heal ends every fault.
-func (w *world) heal() {
+// endFaults ends all faults and starts what is down.
+func (w *world) endFaults() {
 	for _, l := range w.links() {
 		l.set(linkPasses)
 	}
@@ -147,14 +149,14 @@
 	}
 }
 
-// settle checks that everything is served once the faults have ended.
+// settle checks that everything is served again after settleTime without faults.
 func (w *world) settle(ctx context.Context) {
 	_ = wait.For(ctx, settleTime)
 	before := w.counts.result()
 	random := rand.New(rand.NewPCG(w.o.Seed, seedFinal))
 	var flows sync.WaitGroup
 	for range finalFlows {
-		c := w.call(rand.New(rand.NewPCG(random.Uint64(), seedFinal)))
+		c := w.newCaller(rand.New(rand.NewPCG(random.Uint64(), seedFinal)))
 		flows.Go(func() { c.run(ctx) })
 		_ = wait.For(ctx, time.Second/finalFlows)
 	}
@@ -166,15 +168,15 @@
 		w.counts.violation("%d of %d flows were served %s after the last fault", served, finalFlows, settleTime)
 	}
 	w.checkMembers(ctx)
-	version, _ := w.accepted()
+	version, _ := w.latestAccepted()
 	for _, b := range w.balancers {
 		if label, err := b.label(ctx); err != nil || label != version {
-			w.counts.violation("%s has configuration %d at the end, and %d is accepted: %v", b.name, label, version, err)
+			w.counts.violation("%s has configuration %d in force at the end of the run, but %d is the latest accepted one: %v", b.name, label, version, err)
 		}
 	}
 }
 
-// stopAll asks every daemon to end; balancers first, so that the agents have no flow to wait for.
+// stopAll stops all daemons: balancers first, so that agents have no flows to wait for.
 func (w *world) stopAll() {
 	for _, list := range [][]*process{w.processes(true, false), w.processes(false, true)} {
 		var all sync.WaitGroup
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnwood/auburnwood/platform/platformtest"
 )
 
-// programs builds the daemons.
+// programs builds the daemons and returns the directory of their executables.
 func programs(t *testing.T) string {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+"/", "../../../cmd/auburnwood-dsr-balancer", "../../../cmd/auburnwood-dsr-agent").CombinedOutput()
@@ -23,17 +23,18 @@
 	return dir
 }
 
-// regressionSeeds are the seeds whose runs have failed once.
+// regressionSeeds are seeds that have revealed faults.
 //
-//	1: after all daemons were killed at once, flows of living targets got no answer for 15 s, since the owner was looked for
-//	   at two of six targets each 4 s, in the order of their starts.
-//	342: a balancer that had been paused found opening packets in its socket, took them for new and reset the flows, which
-//	   their copies had opened by way of other balancers.
-//	509: flows of living targets got no answer for 15 s while balancers and agents restarted again and again: packets that nobody claimed
-//	   at once were dropped, and those agents came first that had forgotten that they do not hold the flow.
+//	1: after all daemons were killed at once, flows of running targets got no answer for 15 s, because the owner was
+//	   searched at only two of six targets every 4 s, in the order of their starts.
+//	342: a balancer that had been paused read old opening packets from its socket, took them for new flows and reset
+//	   those that retransmissions had opened through other balancers.
+//	509: while balancers and agents restarted repeatedly, flows of running targets got no answer for 15 s: packets that
+//	   no agent claimed at once were dropped, and agents that had lost the record that they do not hold the flow were
+//	   asked first.
 var regressionSeeds = []uint64{1, 342, 509}
 
-func TestPromisesHoldUnderRandomFaults(t *testing.T) {
+func TestGuaranteesHoldUnderRandomFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes for 30 s")
 	}
@@ -41,16 +42,16 @@
 		dir := t.TempDir()
 		r, err := Run(t.Context(), Options{Seed: seed, Length: 8 * time.Second, Balancers: 3, Targets: 6, Rate: 20, Programs: programs(t), Dir: dir})
 		require.NoError(t, err)
-		if r.Broken > 0 {
+		if r.TotalViolations > 0 {
 			t.Log(logs(t, dir))
 		}
 		require.Empty(t, r.Violations, "seed %d", seed)
-		require.Greater(t, r.Finished, r.Flows/2, "most flows are served")
+		require.Greater(t, r.Finished, r.Flows/2, "more than half of the flows finish")
 		require.Positive(t, r.Faults)
 	}
 }
 
-// logs returns the faults and the daemons' warnings, for a failure that cannot be repeated.
+// logs returns the faults and the log entries of the daemons above level info.
 func logs(t *testing.T, dir string) string {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	require.NoError(t, err)
@@ -71,17 +72,17 @@
 	return &world{counts: &counts{began: time.Now()}, requests: make(map[string]string)}
 }
 
-func TestARequestThatRunsTwiceIsFound(t *testing.T) {
+func TestDuplicateRunIsViolation(t *testing.T) {
 	w := testWorld()
-	w.ran("a#0", "route-svc-1")
-	w.ran("a#1", "route-svc-1")
-	require.Zero(t, w.counts.result().Broken)
-	w.ran("a#0", "route-svc-2")
-	require.Equal(t, 1, w.counts.result().Broken)
+	w.recordRun("a#0", "route-svc-1")
+	w.recordRun("a#1", "route-svc-1")
+	require.Zero(t, w.counts.result().TotalViolations)
+	w.recordRun("a#0", "route-svc-2")
+	require.Equal(t, 1, w.counts.result().TotalViolations)
 }
 
-func TestAnswersOfOthersAreFound(t *testing.T) {
-	end := netip.MustParseAddrPort("10.0.0.1:1001")
+func TestMisroutedAnswerIsViolation(t *testing.T) {
+	address := netip.MustParseAddrPort("10.0.0.1:1001")
 	for _, c := range []struct {
 		owner, answer string
 		done, good    bool
@@ -94,25 +95,25 @@
 		{"route-svc-1", "route-svc-1 10.0.0.2:1001#3", false, false, 1},
 	} {
 		w := testWorld()
-		x := &caller{w: w, end: end, owner: c.owner, service: serviceA}
-		done, good := x.answered(c.answer, "10.0.0.1:1001#3")
+		x := &caller{w: w, address: address, owner: c.owner, service: serviceA}
+		done, good := x.checkAnswer(c.answer, "10.0.0.1:1001#3")
 		require.Equal(t, []bool{c.done, c.good}, []bool{done, good}, c.answer)
-		require.Equal(t, c.broken, w.counts.result().Broken, c.answer)
+		require.Equal(t, c.broken, w.counts.result().TotalViolations, c.answer)
 	}
 }
 
-func TestABrokenFlowOfALivingTargetIsFound(t *testing.T) {
+func TestLostFlowOfRunningTargetIsViolation(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		w := testWorld()
 		w.agents = []*agent{{target: &target{w: w, id: "route-svc-1", alive: alive}}}
 		x := &caller{w: w, owner: "route-svc-1"}
-		require.False(t, x.lost("was reset"))
-		require.Equal(t, alive, w.counts.result().Broken == 1)
+		require.False(t, x.recordLost("was reset"))
+		require.Equal(t, alive, w.counts.result().TotalViolations == 1)
 		require.Equal(t, !alive, w.counts.result().Ended == 1)
 	}
 }
 
-func TestAnUntrueRefusalIsFound(t *testing.T) {
+func TestFalseRefusalIsViolation(t *testing.T) {
 	w := testWorld()
 	log := filepath.Join(t.TempDir(), "b.log")
 	text := `{"op":"refuse","caller":"10.0.0.1:1001","run":"no","record":"r1"}` + "\n" +
@@ -120,30 +121,30 @@
 		`{"op":"refuse","caller":"10.0.0.1:1003","run":"unknown","record":"r3"}` + "\n" + `{"op":"refu`
 	require.NoError(t, os.WriteFile(log, []byte(text), 0o600))
 	w.balancers = []*balancer{{process: &process{name: "b", log: log}}}
-	w.ran("10.0.0.1:1001#0", "route-svc-1")
-	w.ran("10.0.0.1:1003#0", "route-svc-1")
+	w.recordRun("10.0.0.1:1001#0", "route-svc-1")
+	w.recordRun("10.0.0.1:1003#0", "route-svc-1")
 	require.NoError(t, w.checkRefusals())
-	require.Equal(t, 1, w.counts.result().Broken)
+	require.Equal(t, 1, w.counts.result().TotalViolations)
 	require.Contains(t, w.counts.result().Violations[0], "r1")
 }
 
-// A target that leaves, and one of another service, notice what they should not get.
-func TestATargetNoticesWhatIsNotForIt(t *testing.T) {
+// A target must not receive new flows after its draining was acknowledged, nor flows of another service.
+func TestMisdirectedOpeningIsViolation(t *testing.T) {
 	w := testWorld()
-	x := &target{w: w, id: "route-svc-1", service: serviceA, alive: true, flows: make(map[netip.AddrPort]*held)}
+	x := &target{w: w, id: "route-svc-1", service: serviceA, alive: true, flows: make(map[netip.AddrPort]*flowState)}
 	packets, err := newCallerVM(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	defer packets.conn.Close() //nolint:errcheck // Nothing was sent to anybody.
+	defer packets.conn.Close() //nolint:errcheck // Closing at the end of a test.
 	x.packets, x.outbound = packets.conn, packets.conn.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
 	opening := segment.Segment{Source: netip.MustParseAddrPort("10.0.0.1:1001"), Destination: addressA, Flags: segment.SYN}
 	opening.Raw = platformtest.Encode(platformtest.Packet{Source: opening.Source, Destination: opening.Destination, Flags: segment.SYN})
-	x.packet(opening)
-	require.Zero(t, w.counts.result().Broken)
-	x.drainAcknowledged = time.Now().Add(-leaveSlack - time.Second)
+	x.handlePacket(opening)
+	require.Zero(t, w.counts.result().TotalViolations)
+	x.drainAcknowledged = time.Now().Add(-drainSlack - time.Second)
 	opening.Source = netip.MustParseAddrPort("10.0.0.1:1002")
-	x.packet(opening)
-	require.Equal(t, 1, w.counts.result().Broken)
+	x.handlePacket(opening)
+	require.Equal(t, 1, w.counts.result().TotalViolations)
 	opening.Destination = addressB
-	x.packet(opening)
-	require.Equal(t, 2, w.counts.result().Broken)
+	x.handlePacket(opening)
+	require.Equal(t, 2, w.counts.result().TotalViolations)
 }
--- a/internal/lab/soak/target.go
+++ b/internal/lab/soak/target.go
@@ -19,20 +19,21 @@
 
 // Times and sizes of a target.
 const (
-	heartbeatTime = 400 * time.Millisecond
-	workTime      = 20 * time.Millisecond
-	// slots is what a target announces; it takes twice as many flows that wait for an answer.
+	heartbeatInterval = 400 * time.Millisecond
+	workTime          = 20 * time.Millisecond
+	// slots is the announced number of slots. While twice as many requests are in progress, opening packets of new
+	// flows are returned.
 	slots = 3
-	// leaveSlack is how long after its first acknowledged notice a target that leaves may still be given a new flow.
-	leaveSlack = 2 * time.Second
-	// bindTime is how long the sockets of an ended process may take until they are free again: they close once the goroutines
-	// that wait on them have returned.
-	bindTime = time.Second
-	// initialStep keeps the numbers of two flows apart.
-	initialStep = 1 << 21
+	// drainSlack is how long after the agent first acknowledged that the target drains new flows may still arrive.
+	drainSlack = 2 * time.Second
+	// bindTimeout is how long to retry binding the sockets of an ended process, which are released only when the
+	// goroutines that use them have returned.
+	bindTimeout = time.Second
+	// initialSequenceStep separates the initial sequence numbers of the flows of a target.
+	initialSequenceStep = 1 << 21
 )
 
-// target stands in for a target: it answers requests with its name and returns what it does not hold.
+// target simulates a target: it answers requests with its ID and returns packets of flows that it does not hold.
 type target struct {
 	w        *world
 	service  string
@@ -41,38 +42,38 @@
 	packets  *net.UDPConn
 	health   net.Listener
 
-	// keepsName is set when every process of the target has the same name and tells when it started.
-	keepsName bool
+	// stableName is set if all processes of the target announce the same name and a start time.
+	stableName bool
 
 	mu sync.Mutex
-	// id tells the processes of all targets apart; name and born are what the target says of itself.
-	id       string
-	name     string
-	born     uint64
-	alive    bool
-	draining bool
-	// drainAcknowledged is when the agent first acknowledged that the target leaves.
+	// id is unique among the processes of all targets; name and startedMs are what the target announces.
+	id        string
+	name      string
+	startedMs uint64
+	alive     bool
+	draining  bool
+	// drainAcknowledged is when the agent first acknowledged a draining heartbeat.
 	drainAcknowledged time.Time
 	sequence          uint64
-	lives             int
+	incarnations      int
 	next              uint32
 	busy              int
-	flows             map[netip.AddrPort]*held
+	flows             map[netip.AddrPort]*flowState
 }
 
-// held is one flow at a target.
-type held struct {
+// flowState is the state of one flow at a target.
+type flowState struct {
 	initial uint32
 	closed  bool
-	// answers are the answers by their requests; nil while the work goes on.
+	// answers maps requests to answers; nil while the request is in progress.
 	answers map[string][]byte
 }
 
-// begin starts a new process of the target.
-func (t *target) begin() error {
+// startProcess starts a new process of the target.
+func (t *target) startProcess() error {
 	packets, health, err := t.bind()
-	for end := time.Now().Add(bindTime); err != nil && time.Now().Before(end); {
-		time.Sleep(bindTime / 20)
+	for end := time.Now().Add(bindTimeout); err != nil && time.Now().Before(end); {
+		time.Sleep(bindTimeout / 20)
 		packets, health, err = t.bind()
 	}
 	if err != nil {
@@ -80,21 +81,21 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lives++
+	t.incarnations++
 	t.packets, t.health = packets, health
-	t.id = fmt.Sprintf("%s-%d", t.service+"-"+t.w.targetAddress(t).Addr().String(), t.lives)
+	t.id = fmt.Sprintf("%s-%d", t.service+"-"+t.w.targetAddress(t).Addr().String(), t.incarnations)
 	t.name = t.id
-	if t.keepsName {
+	if t.stableName {
 		t.name = t.service + "-" + t.w.targetAddress(t).Addr().String()
-		t.born = max(t.born+1, uint64(time.Now().UnixMilli()))
+		t.startedMs = max(t.startedMs+1, uint64(time.Now().UnixMilli()))
 	}
 	t.alive, t.draining, t.sequence, t.drainAcknowledged = true, false, 0, time.Time{}
-	// Two targets that answer one opening packet are told apart by their numbers.
+	// Random initial sequence numbers distinguish targets that answer the same opening packet.
 	t.next = rand.Uint32()
-	t.busy, t.flows = 0, make(map[netip.AddrPort]*held)
+	t.busy, t.flows = 0, make(map[netip.AddrPort]*flowState)
 	go t.read(packets)
-	go http.Serve(health, platformtest.HealthHandler(t.healthy)) //nolint:errcheck // It ends with the listener.
-	go t.beat(t.id)
+	go http.Serve(health, platformtest.HealthHandler(t.activeName)) //nolint:errcheck // It returns when the listener is closed.
+	go t.sendHeartbeats(t.id)
 	return nil
 }
 
@@ -112,8 +113,8 @@
 	return packets, health, nil
 }
 
-// end ends the process of the target at once.
-func (t *target) end() {
+// stopProcess ends the process without draining.
+func (t *target) stopProcess() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.alive {
@@ -124,21 +125,21 @@
 	_ = t.health.Close()
 }
 
-// leave drains the target and ends its process.
-func (t *target) leave(ctx context.Context, after time.Duration) {
+// drainAndStop drains the target for a time, deregisters it and ends its process.
+func (t *target) drainAndStop(ctx context.Context, after time.Duration) {
 	t.mu.Lock()
 	t.draining = true
-	word := announcement.Deregistration{ID: t.name, StartedMs: t.born}
+	deregistration := announcement.Deregistration{ID: t.name, StartedMs: t.startedMs}
 	t.mu.Unlock()
 	_ = wait.For(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	_ = platformtest.Deregister(call, t.control, word)
-	t.end()
+	_ = platformtest.Deregister(call, t.control, deregistration)
+	t.stopProcess()
 }
 
-// healthy is the name of the process while it takes new flows.
-func (t *target) healthy() string {
+// activeName returns the announced name, or "" if the process is down or draining.
+func (t *target) activeName() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.alive || t.draining {
@@ -147,20 +148,20 @@
 	return t.name
 }
 
-// is reports whether the target's process with the given name lives.
-func (t *target) is(id string) bool {
+// isRunning reports whether the process with the given ID is running.
+func (t *target) isRunning(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.alive && t.id == id
 }
 
-// beat announces the process until it has ended.
-func (t *target) beat(id string) {
-	for t.is(id) {
+// sendHeartbeats sends heartbeats to the agent until the process with the given ID has ended.
+func (t *target) sendHeartbeats(id string) {
+	for t.isRunning(id) {
 		t.mu.Lock()
 		t.sequence++
 		a := announcement.Announcement{
-			ID: t.name, StartedMs: t.born, Service: t.service, Address: t.w.targetAddress(t), Slots: slots, Sequence: t.sequence,
+			ID: t.name, StartedMs: t.startedMs, Service: t.service, Address: t.w.targetAddress(t), Slots: slots, Sequence: t.sequence,
 		}
 		if t.draining {
 			a.State = announcement.Draining
@@ -170,12 +171,12 @@
 		err := platformtest.Heartbeat(ctx, t.control, a)
 		cancel()
 		t.mu.Lock()
-		// The answer to a process that has ended since says nothing about the next one.
+		// Ignores the answer to the heartbeat of a process that has ended since.
 		if err == nil && t.id == id && a.State == announcement.Draining && t.drainAcknowledged.IsZero() {
 			t.drainAcknowledged = time.Now()
 		}
 		t.mu.Unlock()
-		time.Sleep(heartbeatTime)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
@@ -188,37 +189,37 @@
 		}
 		s, err := platform.Codec{}.Decode(b[:n])
 		if err != nil {
-			t.w.counts.violation("target %s got what is no packet", t.service)
+			t.w.counts.violation("target %s received an undecodable packet", t.service)
 			continue
 		}
-		t.packet(s)
+		t.handlePacket(s)
 	}
 }
 
-func (t *target) packet(s segment.Segment) {
+func (t *target) handlePacket(s segment.Segment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.alive {
 		return
 	}
 	if service := t.w.serviceOf(s.Destination); service != t.service {
-		t.w.counts.violation("target %s got a packet for %s", t.id, s.Destination)
+		t.w.counts.violation("target %s received a packet for %s", t.id, s.Destination)
 	}
 	f := t.flows[s.Source]
 	switch {
 	case s.IsOpening():
-		t.opening(s, f)
-	case f == nil || s.Acknowledgement-f.initial-1 > initialStep/2:
+		t.handleOpening(s, f)
+	case f == nil || s.Acknowledgement-f.initial-1 > initialSequenceStep/2:
 		raw := append([]byte(nil), s.Raw...)
 		platformtest.Return(raw)
 		t.write(raw)
 	default:
-		t.of(f, s)
+		t.handleFlowPacket(f, s)
 	}
 }
 
-// opening answers an opening packet, or returns it when the target is full.
-func (t *target) opening(s segment.Segment, f *held) {
+// handleOpening answers an opening packet, or returns it if the target is full.
+func (t *target) handleOpening(s segment.Segment, f *flowState) {
 	if f == nil || f.closed {
 		if t.busy >= 2*slots {
 			raw := append([]byte(nil), s.Raw...)
@@ -226,18 +227,18 @@
 			t.write(raw)
 			return
 		}
-		if !t.drainAcknowledged.IsZero() && time.Since(t.drainAcknowledged) > leaveSlack {
-			t.w.counts.violation("target %s got a new flow %s after its notice", t.id, time.Since(t.drainAcknowledged))
+		if !t.drainAcknowledged.IsZero() && time.Since(t.drainAcknowledged) > drainSlack {
+			t.w.counts.violation("target %s received a new flow %s after its draining was acknowledged", t.id, time.Since(t.drainAcknowledged))
 		}
-		t.next += initialStep
-		f = &held{initial: t.next, answers: make(map[string][]byte)}
+		t.next += initialSequenceStep
+		f = &flowState{initial: t.next, answers: make(map[string][]byte)}
 		t.flows[s.Source] = f
 	}
 	t.send(platformtest.Packet{Source: s.Destination, Destination: s.Source, Flags: segment.SYN | segment.ACK, Sequence: f.initial})
 }
 
-// of answers a packet of a held flow; a request that comes again gets the same answer, and is worked on once.
-func (t *target) of(f *held, s segment.Segment) {
+// handleFlowPacket handles a packet of a held flow. A repeated request is run once and gets the same answer.
+func (t *target) handleFlowPacket(f *flowState, s segment.Segment) {
 	if s.Has(segment.FIN) {
 		f.closed = true
 		t.send(platformtest.Packet{Source: s.Destination, Destination: s.Source, Flags: segment.FIN | segment.ACK, Sequence: s.Acknowledgement})
@@ -256,7 +257,7 @@
 		return
 	}
 	f.answers[request] = nil
-	t.w.ran(request, t.id)
+	t.w.recordRun(request, t.id)
 	t.busy++
 	id := t.id
 	time.AfterFunc(workTime, func() {
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -16,7 +16,7 @@
 	"github.com/auburnwood/auburnwood/platform/platformtest"
 )
 
-// Networks of the VMs within 127.0.0.0/8: the second byte is the run's own, so that runs may go on beside each other.
+// Networks of the VMs within 127.0.0.0/8. The second byte is derived from the process ID, so that runs can be concurrent.
 const (
 	balancerNet = 1
 	targetNet   = 2
@@ -28,7 +28,7 @@
 	runNets     = 100
 )
 
-// The services and their addresses; the operator adds addresses that lead to the first one.
+// The services and their addresses; each configuration adds an address that is routed to serviceA.
 const (
 	serviceA = "route-svc"
 	serviceB = "reports-svc"
@@ -39,7 +39,7 @@
 	addressB = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// ports are the same on every VM.
+// ports are the port numbers, the same on every VM.
 type ports struct {
 	packets, messages, ready, control, outbound, target, status uint16
 }
@@ -53,7 +53,7 @@
 	entry   *entry
 }
 
-// agent is a target's VM.
+// agent is a target's VM with its agent.
 type agent struct {
 	*process
 	address netip.Addr
@@ -61,7 +61,7 @@
 	target  *target
 }
 
-// world is the whole installation.
+// world is the installation under test and its surroundings.
 type world struct {
 	o       Options
 	random  *rand.Rand
@@ -75,20 +75,20 @@
 	agents    []*agent
 	callers   []*callerVM
 
-	// operating is held while the operator's configuration is written or the object API comes back, and locked before mu; document is the
-	// last configuration that was accepted.
-	operating sync.Mutex
-	document  []byte
+	// configMu is held while a configuration is written or the object API is restored; it is locked before mu. It
+	// guards document, the last accepted configuration.
+	configMu sync.Mutex
+	document []byte
 
 	mu sync.Mutex
-	// requests are the targets that ran each request.
+	// requests maps each request to the last target that ran it.
 	requests map[string]string
-	// version is the last configuration that the store has accepted, acceptedAt when.
+	// version is the last configuration accepted by the store, acceptedAt the time of its last write.
 	version    int
 	acceptedAt time.Time
-	// forgotten is when every agent was last killed: nobody then knows the owners of flows until their targets or callers
-	// show them.
-	forgotten time.Time
+	// agentsKilledAt is when all agents were last killed: the owners of flows are then unknown until packets of their
+	// targets or callers reveal them.
+	agentsKilledAt time.Time
 }
 
 func newWorld(o Options) (*world, error) {
@@ -106,16 +106,16 @@
 	if w.api, err = net.Listen("tcp", netip.AddrPortFrom(w.address(storeNet, 0), 0).String()); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	go http.Serve(w.api, platformtest.Handler(w.store)) //nolint:errcheck // It ends with the listener.
+	go http.Serve(w.api, platformtest.Handler(w.store)) //nolint:errcheck // It returns when the listener is closed.
 	return w, nil
 }
 
-// address is the nth address of a network.
+// address returns the nth address of a network.
 func (w *world) address(network, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(firstRunNet + os.Getpid()%runNets), byte(network), byte(n + 1)})
 }
 
-// choosePorts takes ports that are free on the store's address.
+// choosePorts picks ports that are free on the address of the store.
 func (w *world) choosePorts() error {
 	p := &w.ports
 	for _, port := range []*uint16{&p.packets, &p.messages, &p.ready, &p.control, &p.outbound, &p.target, &p.status} {
@@ -123,13 +123,13 @@
 		if err != nil {
 			return trace.ConvertSystemError(err)
 		}
-		defer l.Close() //nolint:errcheck // All are held until each has its own.
+		defer l.Close() //nolint:errcheck // All stay open until every port is chosen, so that they differ.
 		*port = l.Addr().(*net.TCPAddr).AddrPort().Port()
 	}
 	return nil
 }
 
-// build makes the VMs; nothing is started.
+// build creates the VMs without starting their processes.
 func (w *world) build() error {
 	for n := range w.o.Balancers {
 		if err := w.addBalancer(n); err != nil {
@@ -180,8 +180,8 @@
 		w: w, service: serviceA, control: netip.AddrPortFrom(a.address, w.ports.control).String(),
 		outbound: netip.AddrPortFrom(a.address, w.ports.outbound),
 	}
-	a.target.keepsName = n%2 == 0
-	// A third of the targets is of the second service.
+	a.target.stableName = n%2 == 0
+	// A third of the targets belong to the second service.
 	if n%3 == 1 {
 		a.target.service = serviceB
 	}
@@ -189,7 +189,7 @@
 	return w.writeAgent(a)
 }
 
-// newLink is a daemon's connection to the object API.
+// newLink creates the proxy between a daemon and the object API.
 func (w *world) newLink(n int) (*proxy, error) {
 	p, err := newProxy(netip.AddrPortFrom(w.address(storeNet, 1+n), 0).String(), w.api.Addr().String())
 	return p, trace.ConvertSystemError(err)
@@ -199,7 +199,7 @@
 	return netip.AddrPortFrom(t.outbound.Addr(), w.ports.target)
 }
 
-// serviceOf is the service that an address leads to in every configuration.
+// serviceOf returns the service that an address is routed to in every configuration.
 func (w *world) serviceOf(address netip.AddrPort) string {
 	if address == addressB {
 		return serviceB
@@ -207,18 +207,18 @@
 	return serviceA
 }
 
-// lives reports whether the target's process with the given name lives.
-func (w *world) lives(id string) bool {
+// isTargetRunning reports whether the target process with the given ID is running.
+func (w *world) isTargetRunning(id string) bool {
 	for _, a := range w.agents {
-		if a.target.is(id) {
+		if a.target.isRunning(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// ran notes that a target works on a request.
-func (w *world) ran(request, id string) {
+// recordRun records that a target runs a request; a second run is a violation.
+func (w *world) recordRun(request, id string) {
 	w.mu.Lock()
 	before, twice := w.requests[request]
 	w.requests[request] = id
@@ -228,21 +228,21 @@
 	}
 }
 
-// forget notes that every agent was killed.
-func (w *world) forget() {
+// recordAgentsKilled records that all agents are killed now.
+func (w *world) recordAgentsKilled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forgotten = time.Now()
+	w.agentsKilledAt = time.Now()
 }
 
-// knew reports whether the owners of flows have been known since a time.
-func (w *world) knew(since time.Time) bool {
+// ownersKnownSince reports whether agents have not all been killed at once since a time.
+func (w *world) ownersKnownSince(since time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.forgotten.Before(since)
+	return w.agentsKilledAt.Before(since)
 }
 
-// startAll starts every target and daemon that does not run.
+// startAll starts every daemon and target that is not running, and replaces targets that are draining.
 func (w *world) startAll() error {
 	for _, b := range w.balancers {
 		if err := b.start(); err != nil {
@@ -250,9 +250,9 @@
 		}
 	}
 	for _, a := range w.agents {
-		if a.target.healthy() == "" {
-			a.target.end()
-			if err := a.target.begin(); err != nil {
+		if a.target.activeName() == "" {
+			a.target.stopProcess()
+			if err := a.target.startProcess(); err != nil {
 				return err
 			}
 		}
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// close ends what is left.
+// close kills the remaining processes and closes all sockets.
 func (w *world) close() {
 	for _, b := range w.balancers {
 		b.kill()
@@ -271,7 +271,7 @@
 	}
 	for _, a := range w.agents {
 		a.kill()
-		a.target.end()
+		a.target.stopProcess()
 		a.link.close()
 	}
 	for _, vm := range w.callers {
@@ -280,8 +280,8 @@
 	_ = w.api.Close()
 }
 
-// call returns a flow of a random caller.
-func (w *world) call(random *rand.Rand) *caller {
+// newCaller returns a flow from a random caller VM to a random service.
+func (w *world) newCaller(random *rand.Rand) *caller {
 	c := &caller{w: w, vm: w.callers[random.IntN(len(w.callers))], to: addressA, random: random}
 	if random.IntN(3) == 0 {
 		c.to = addressB
--- a/internal/lab/soak/writers.go
+++ b/internal/lab/soak/writers.go
@@ -15,14 +15,14 @@
 	"github.com/auburnwood/auburnwood/platform/platformtest"
 )
 
-// Times of the other writers: the least and the longest time between two of their reports.
+// Bounds of the time between two invalid heartbeats.
 const (
-	minStrangeGap = 50 * time.Millisecond
-	maxStrangeGap = 400 * time.Millisecond
+	minInvalidGap = 50 * time.Millisecond
+	maxInvalidGap = 400 * time.Millisecond
 )
 
-// strangeReports are bodies that name no target to use; %s is the target's address.
-var strangeReports = []string{
+// invalidReports are heartbeat bodies that an agent must reject; %s stands for the target's address.
+var invalidReports = []string{
 	``,
 	`{"service":`,
 	`[]`,
@@ -35,29 +35,29 @@
 	`{"service":"route-svc","address":"%s","state":"draining"}`,
 }
 
-// strangeEntries are values of members' objects that name no balancer.
-var strangeEntries = []string{``, `7`, `{}`, `{"messages":"0.0.0.0:0"}`, `{"messages":7}`, `{"messages":"198.18.0.1"}`}
+// invalidMembers are values of member objects that do not describe a balancer.
+var invalidMembers = []string{``, `7`, `{}`, `{"messages":"0.0.0.0:0"}`, `{"messages":7}`, `{"messages":"198.18.0.1"}`}
 
-// writeStrange sends reports and writes entries that name nothing to use until ctx ends. Every report must be turned down; that
-// the targets go on being served is checked by the callers.
-func (w *world) writeStrange(ctx context.Context, random *rand.Rand) {
+// writeInvalid sends invalid heartbeats to agents and writes invalid member objects until ctx ends. Agents must reject
+// every heartbeat; callers check that targets are still served.
+func (w *world) writeInvalid(ctx context.Context, random *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		a := w.agents[random.IntN(len(w.agents))]
-		body := strangeReports[random.IntN(len(strangeReports))]
+		body := invalidReports[random.IntN(len(invalidReports))]
 		if strings.Contains(body, "%s") {
 			body = fmt.Sprintf(body, w.targetAddress(a.target))
 		}
-		w.strangeReport(ctx, a, body)
-		w.strangeEntry(ctx, n, strangeEntries[random.IntN(len(strangeEntries))])
-		_ = wait.For(ctx, between(random, minStrangeGap, maxStrangeGap))
+		w.sendInvalidReport(ctx, a, body)
+		w.writeInvalidMember(ctx, n, invalidMembers[random.IntN(len(invalidMembers))])
+		_ = wait.For(ctx, between(random, minInvalidGap, maxInvalidGap))
 	}
 }
 
-// strangeReport sends one report under the target's own name; an agent that is away answers nothing.
-func (w *world) strangeReport(ctx context.Context, a *agent, body string) {
+// sendInvalidReport sends a heartbeat under the name of the agent's target; an unreachable agent is not a violation.
+func (w *world) sendInvalidReport(ctx context.Context, a *agent, body string) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	name := a.target.healthy()
+	name := a.target.activeName()
 	if name == "" {
 		return
 	}
@@ -73,12 +73,12 @@
 	}
 	defer resp.Body.Close() //nolint:errcheck // The body is not read.
 	if resp.StatusCode/100 != 4 {
-		w.counts.violation("%s answered %d to the report %s", a.name, resp.StatusCode, body)
+		w.counts.violation("%s answered %d to the invalid heartbeat %s", a.name, resp.StatusCode, body)
 	}
 }
 
-// strangeEntry writes an object among the members.
-func (w *world) strangeEntry(ctx context.Context, n int, value string) {
+// writeInvalidMember creates a member object with an invalid value.
+func (w *world) writeInvalidMember(ctx context.Context, n int, value string) {
 	if _, err := w.store.Create(ctx, dsrd.MemberKind, fmt.Sprintf("stranger-%d", n), []byte(value)); err != nil && !errors.Is(err, objectapi.ErrUnavailable) && !errors.Is(err, objectapi.ErrConflict) && ctx.Err() == nil {
 		w.counts.violation("the stand-in for the object API failed: %v", err)
 	}
