--- a/internal/lab/command/policy.go
+++ b/internal/lab/command/policy.go
@@ -47,7 +47,7 @@
 			return err
 		}
 	}
-	return reportViolations(e, policy.Broken(rows))
+	return reportViolations(e, policy.Violations(rows))
 }
 
 // reportViolations prints the violated bounds and returns an error if there are any, so that the exit code is not 0.
