--- a/internal/lab/control/balancer.go
+++ b/internal/lab/control/balancer.go
@@ -16,10 +16,10 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// balancer is a balancer daemon and what its packet path used.
+// balancer is a balancer daemon with the revisions that its packet path has adopted.
 type balancer struct {
 	name, region string
-	// number is the order of the starts, and place says where the balancer runs.
+	// number counts the processes started, and place selects the region and data centre.
 	number, place int
 	daemon        *balancerd.Daemon
 	gate          *gate
@@ -30,20 +30,20 @@
 	mu        sync.Mutex
 	adoptions []adoption
 	targets   int
-	// leaving keeps new callers away from a balancer that is about to die.
+	// leaving stops new callers from being sent to a balancer that is about to be killed.
 	leaving bool
 	died    time.Time
 }
 
-// adoption is the first view of a revision that the packet path used.
+// adoption is the first use of a revision by the packet path.
 type adoption struct {
 	at     time.Time
 	number uint64
 	sum    uint64
 }
 
-// see notes a view that the packet path uses.
-func (b *balancer) see(v *view.View) {
+// recordAdoption records a view that the packet path uses; a view of the same revision as the last one adds no adoption.
+func (b *balancer) recordAdoption(v *view.View) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,11 +69,10 @@
 func (b *balancer) wrapView(next func(*view.View)) func(*view.View) {
 	return func(v *view.View) {
 		next(v)
-		b.see(v)
+		b.recordAdoption(v)
 	}
 }
 
-// history returns the adoptions.
 func (b *balancer) history() []adoption {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +101,7 @@
 	return !b.leaving
 }
 
-// kill ends the balancer as the loss of its VM would.
+// kill stops the balancer abruptly, as the loss of its VM would.
 func (b *balancer) kill() {
 	b.gate.dead.Store(true)
 	b.daemon.Kill()
@@ -112,7 +111,7 @@
 	b.stop()
 }
 
-// bytes returns the control bytes so far, both directions together.
+// bytes returns the control bytes sent and received so far.
 func (b *balancer) bytes() int64 {
 	var n int64
 	for _, c := range b.scope.Snapshot().Counters() {
@@ -123,7 +122,7 @@
 	return n
 }
 
-// member returns what the balancer knows of a process.
+// member returns the balancer's view of a process.
 func (b *balancer) member(id string) (membership.Member, bool) {
 	for _, m := range b.daemon.Members() {
 		if m.ID == id {
@@ -133,13 +132,12 @@
 	return membership.Member{}, false
 }
 
-// join starts a new balancer.
 func (c *cluster) join(ctx context.Context) (*balancer, error) {
 	n := c.next()
 	return c.startBalancer(ctx, n, processName("balancer", n), n)
 }
 
-// restart starts a balancer under the name and in the place of one that has ended.
+// restart starts a balancer with the name, region and data centre of one that was killed.
 func (c *cluster) restart(ctx context.Context, gone *balancer) (*balancer, error) {
 	return c.startBalancer(ctx, c.next(), gone.name, gone.place)
 }
@@ -162,7 +160,7 @@
 	d, err := balancerd.New(balancerd.Options{
 		Settings:  s,
 		Env:       telemetry.Env{Log: c.o.Log.With().Str(telemetry.FieldProcess, s.Name).Logger(), Scope: b.scope, Status: &telemetry.Status{}},
-		WrapStore: func(s objectapi.Store) objectapi.Store { return b.gate.through(s) },
+		WrapStore: func(s objectapi.Store) objectapi.Store { return b.gate.wrap(s) },
 		WrapView:  b.wrapView,
 		Dial:      c.boundary.dialer(s.Region),
 	})
--- a/internal/lab/control/boundary.go
+++ b/internal/lab/control/boundary.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-// boundary opens the balancers' connections to each other and can cut those between regions.
+// boundary dials the connections between balancers and can simulate a network partition between regions.
 type boundary struct {
 	mu      sync.Mutex
 	cut     bool
@@ -18,25 +18,25 @@
 
 func newBoundary() *boundary { return &boundary{regions: make(map[string]string)} }
 
-// place notes the region of a control address.
+// place registers the region of a control address.
 func (b *boundary) place(addr, region string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.regions[addr] = region
 }
 
-// dialer returns the dialer of a balancer in a region.
+// dialer returns the dial function of a balancer in the region.
 func (b *boundary) dialer(region string) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if b.blocked(region, addr) {
-			return nil, trace.ConnectionProblem(nil, "no way from region %s to %s", region, addr)
+			return nil, trace.ConnectionProblem(nil, "region %s is partitioned from %s", region, addr)
 		}
 		var d net.Dialer
 		c, err := d.DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		b.keep(region, addr, c)
+		b.track(region, addr, c)
 		return c, nil
 	}
 }
@@ -47,7 +47,7 @@
 	return b.cut && b.regions[addr] != region
 }
 
-func (b *boundary) keep(region, addr string, c net.Conn) {
+func (b *boundary) track(region, addr string, c net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.regions[addr] == region {
@@ -60,8 +60,8 @@
 	b.conns = append(b.conns, c)
 }
 
-// set cuts the regions apart or joins them again.
-func (b *boundary) set(cut bool) {
+// setCut starts or ends the partition and closes the open connections between regions.
+func (b *boundary) setCut(cut bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cut = cut
--- a/internal/lab/control/callers.go
+++ b/internal/lab/control/callers.go
@@ -15,20 +15,20 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// callers open flows to an address that no service has, and take the resets.
+// callers open flows to an address that no service has, and record the resets.
 type callers struct {
 	conn *net.UDPConn
 
 	mu   sync.Mutex
 	next uint32
-	// refused holds the callers that got a reset.
+	// refused holds the callers that received a reset, with the time of the last one.
 	refused map[netip.AddrPort]time.Time
 }
 
 const (
 	callerPort  = 5000
 	unknownPort = 81
-	// windowSize is the receive window that the opening packets offer.
+	// windowSize is the receive window that the opening packets advertise.
 	windowSize = 64 << 10 / 2
 )
 
@@ -56,11 +56,11 @@
 		if err != nil {
 			return
 		}
-		c.take(b[:n])
+		c.recordReset(b[:n])
 	}
 }
 
-func (c *callers) take(b []byte) {
+func (c *callers) recordReset(b []byte) {
 	ip := header.IPv4(b)
 	if !ip.IsValid(len(b)) || ip.TransportProtocol() != header.TCPProtocolNumber {
 		return
@@ -101,8 +101,8 @@
 	return b
 }
 
-// told returns the callers that got a reset.
-func (c *callers) told() map[netip.AddrPort]time.Time {
+// refusedCallers returns a copy of the callers that received a reset.
+func (c *callers) refusedCallers() map[netip.AddrPort]time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[netip.AddrPort]time.Time, len(c.refused))
@@ -112,10 +112,10 @@
 	return out
 }
 
-// call lets callers come to random living balancers until ctx ends.
-func (c *cluster) call(ctx context.Context, pick func(n int) int) {
+// openFlows sends opening packets of new callers to random live balancers until ctx ends.
+func (c *cluster) openFlows(ctx context.Context, pick func(n int) int) {
 	for ctx.Err() == nil {
-		_ = wait.For(ctx, callPause)
+		_ = wait.For(ctx, callerInterval)
 		live := c.live()
 		b := live[pick(len(live))]
 		if b.takesCallers() {
@@ -124,5 +124,4 @@
 	}
 }
 
-// callPause is the time between two refused callers.
-const callPause = 300 * time.Millisecond
+const callerInterval = 300 * time.Millisecond
--- a/internal/lab/control/cluster.go
+++ b/internal/lab/control/cluster.go
@@ -18,20 +18,20 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// cachedFlows keeps the flow cache small: there are no flows.
+	// cachedFlows keeps the flow cache small: the balancers forward no flows.
 	cachedFlows = 1 << 10
-	// startTimeout bounds the time until the whole installation serves.
+	// startTimeout bounds the wait until a new installation or balancer is ready, or the compile lease has a holder.
 	startTimeout = time.Minute
 	pollTime     = 20 * time.Millisecond
 	maxServices  = 20
 )
 
-// places are the regions and data centres of the VMs, in turn.
+// places are the regions and data centres to which VMs are assigned round-robin.
 var places = [][2]string{
 	{"amman-east", "marka-hall"}, {"hcm", "hcm-thuduc"}, {"amman-east", "zarqa-hall"}, {"hcm", "hcm-q7"},
 }
 
-// place returns where the n-th VM runs. Fewer than fewBalancers run in one region, unless regions are to be cut apart.
+// place returns where the n-th VM runs. Fewer than fewBalancers run in one region, unless FaultRegionSplit is set.
 func (o Options) place(n int) (region, dataCentre string) {
 	if o.Balancers < fewBalancers && !o.has(FaultRegionSplit) {
 		n = 2 * (n % 2)
@@ -50,7 +50,7 @@
 	truth    *truth
 	boundary *boundary
 	callers  *callers
-	// api is for the balancers, operators the one of the operators.
+	// api serves the balancers, operators serves the operators, so that their calls are counted apart.
 	api, operators *api
 	sessions       tally.TestScope
 	done           sync.WaitGroup
@@ -104,7 +104,7 @@
 	return trace.Wrap(c.await(startTimeout, c.serving), "wait for the installation to serve")
 }
 
-// serving reports whether every balancer's packet path has the head's revision with all targets active.
+// serving reports whether every live balancer's packet path uses the head's revision with all targets active.
 func (c *cluster) serving() bool {
 	head := c.truth.head()
 	for _, b := range c.live() {
@@ -120,7 +120,7 @@
 	end := time.Now().Add(limit)
 	for !ready() {
 		if time.Now().After(end) {
-			return trace.LimitExceeded("not reached within %s", limit)
+			return trace.LimitExceeded("condition not met within %s", limit)
 		}
 		_ = wait.For(c.ctx, pollTime)
 		if c.ctx.Err() != nil {
@@ -137,24 +137,24 @@
 	return c.started
 }
 
-// services is the number of services at the start.
+// services returns the number of initial services.
 func (c *cluster) services() int { return max(1, min(maxServices, c.o.Targets)) }
 
-// live returns the living balancers.
+// live returns a copy of the list of live balancers.
 func (c *cluster) live() []*balancer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*balancer(nil), c.balancers...)
 }
 
-// everyBalancer returns all balancers, the dead ones included.
+// everyBalancer returns all balancers, killed ones included.
 func (c *cluster) everyBalancer() []*balancer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append(append([]*balancer(nil), c.balancers...), c.gone...)
 }
 
-// remove takes a balancer out of the living ones.
+// remove moves a balancer from the live to the killed ones.
 func (c *cluster) remove(b *balancer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// controlAddrs returns the control addresses of the living balancers of a region; of all when region is empty.
+// controlAddrs returns the control addresses of the live balancers of a region; of all when region is empty or has none.
 func (c *cluster) controlAddrs(region string) []string {
 	var out, all []string
 	for _, b := range c.live() {
@@ -204,11 +204,11 @@
 	c.done.Wait()
 }
 
-// api serves the store by HTTP and counts the calls.
+// api serves the store over HTTP and counts the calls.
 type api struct {
 	url    string
 	server *http.Server
-	counts *counting
+	counts *countingStore
 }
 
 func serveAPI(s objectapi.Store) (*api, error) {
@@ -216,7 +216,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "listen for the object API")
 	}
-	a := &api{url: "http://" + l.Addr().String(), counts: &counting{Store: s}}
+	a := &api{url: "http://" + l.Addr().String(), counts: &countingStore{Store: s}}
 	a.server = &http.Server{Handler: store.Handler(a.counts), ReadHeaderTimeout: time.Second}
 	go func() { _ = a.server.Serve(l) }()
 	return a, nil
--- a/internal/lab/control/control_test.go
+++ b/internal/lab/control/control_test.go
@@ -22,7 +22,7 @@
 	require.ErrorContains(t, err, "store-gone")
 }
 
-// shortRun is a run whose paused holder is held beyond its lease at a write of the head.
+// shortRun returns options of a run in which the lease holder's write of the head is delayed beyond its lease.
 func shortRun() Options {
 	return Options{
 		Balancers: 5, Targets: 4, Changes: 24, Faults: []Fault{FaultLeasePaused, FaultBalancerKill, FaultRacingOperators}, Seed: 1,
@@ -41,8 +41,8 @@
 	require.NotZero(t, r.Rejected)
 }
 
-// TestRunCatchesAnUnfencedHolder shows that the checks of a run can fail: without the condition on the head, the late
-// write of a former holder takes effect.
+// TestRunCatchesAnUnfencedHolder guards against checks that cannot fail: without the conditional update of the head, the
+// late write of a former holder takes effect and must be reported.
 func TestRunCatchesAnUnfencedHolder(t *testing.T) {
 	t.Parallel()
 	o := shortRun()
@@ -56,7 +56,7 @@
 	require.Contains(t, all, "had claimed it")
 }
 
-// TestHistoryCheckCatchesBrokenBalancers shows that the check of the history can fail.
+// TestHistoryCheckCatchesBrokenBalancers guards against a linearizability check that accepts invalid histories.
 func TestHistoryCheckCatchesBrokenBalancers(t *testing.T) {
 	at := func(i int) time.Time { return time.Unix(1000, int64(i)) }
 	head := func(i int, number, sum uint64) headWrite {
--- a/internal/lab/control/fault.go
+++ b/internal/lab/control/fault.go
@@ -16,19 +16,19 @@
 	FaultStoreDown Fault = "store-down"
 	// FaultStoreSlow delays every call of the store.
 	FaultStoreSlow Fault = "store-slow"
-	// FaultAnswerLost loses the answers of some writes that took effect.
+	// FaultAnswerLost drops the responses to some writes that took effect.
 	FaultAnswerLost Fault = "answer-lost"
-	// FaultWatchGap lets watches expire, repeats events and holds kinds back.
+	// FaultWatchGap expires watches, duplicates events and delays the events of some kinds.
 	FaultWatchGap Fault = "watch-gap"
-	// FaultLeasePaused holds the calls of a lease holder until its lease is over; then they go through.
+	// FaultLeasePaused delays the store calls of a lease holder until its lease has expired.
 	FaultLeasePaused Fault = "lease-paused"
-	// FaultBalancerKill ends balancers without a word.
+	// FaultBalancerKill kills balancers without a shutdown.
 	FaultBalancerKill Fault = "balancer-kill"
 	// FaultBalancerJoin starts balancers.
 	FaultBalancerJoin Fault = "balancer-join"
-	// FaultRacingOperators lets operators change one service, or claim one address, at the same time.
+	// FaultRacingOperators makes operators change one service, or claim one address, concurrently.
 	FaultRacingOperators Fault = "racing-operators"
-	// FaultRegionSplit keeps the balancers of two regions from calling each other.
+	// FaultRegionSplit partitions the balancers of two regions from each other.
 	FaultRegionSplit Fault = "region-split"
 )
 
@@ -38,7 +38,7 @@
 	FaultBalancerJoin, FaultRacingOperators, FaultRegionSplit,
 }
 
-// ParseFaults reads a list that is separated by commas; "all" stands for every fault, "none" or nothing for no fault.
+// ParseFaults parses a comma-separated list; "all" stands for every fault, "none" or an empty item for none.
 func ParseFaults(list string) ([]Fault, error) {
 	var out []Fault
 	for _, word := range strings.Split(list, ",") {
@@ -50,7 +50,7 @@
 			continue
 		}
 		if !slices.Contains(Faults, Fault(word)) {
-			return nil, trace.BadParameter("unknown fault %q, want some of %v", word, Faults)
+			return nil, trace.BadParameter("unknown fault %q; known faults are %v", word, Faults)
 		}
 		out = append(out, Fault(word))
 	}
--- a/internal/lab/control/gate.go
+++ b/internal/lab/control/gate.go
@@ -10,22 +10,22 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// gate is on a balancer's ways to the store. It can hold the calls for a time, after which they go through late, and it
-// ends with the balancer's death.
+// gate intercepts a balancer's calls to the store. It can delay calls for a time, and fails them once the balancer is
+// killed.
 type gate struct {
-	// unfenced makes the writes of the head unconditional.
+	// unfenced makes updates of the head unconditional.
 	unfenced bool
 	dead     atomic.Bool
-	// held counts the writes that went through late.
+	// held counts the delayed writes, those that fail afterwards because the balancer was killed included.
 	held atomic.Int64
 
 	mu     sync.Mutex
 	resume chan struct{}
-	// atHead is how long the next write of the head and all calls after it are held.
+	// atHead is how long the next write of the head and all calls after it are delayed; 0 means not at all.
 	atHead time.Duration
 }
 
-// pause holds all calls for d.
+// pause delays all calls until d has passed, unless a pause is already in progress.
 func (g *gate) pause(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,14 +46,15 @@
 	})
 }
 
-// pauseAtHead holds the next write of the head, and all calls from then on, for d.
+// pauseAtHead starts a pause of d at the next write of the head.
 func (g *gate) pauseAtHead(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.atHead = d
 }
 
-// pass waits while calls are held. A held write is sent however long its caller has given it up: it was on its way.
+// pass waits until a pause ends. A delayed call other than Watch goes through even if its context has ended meanwhile,
+// like a request already in flight.
 func (g *gate) pass(ctx context.Context, k objectapi.Kind, writes bool) (context.Context, error) {
 	g.mu.Lock()
 	if writes && k == resource.KindHead && g.atHead > 0 {
@@ -75,17 +76,16 @@
 	return ctx, nil
 }
 
-// through returns a store whose calls pass the gate.
-func (g *gate) through(s objectapi.Store) objectapi.Store { return gated{Store: s, gate: g} }
+func (g *gate) wrap(s objectapi.Store) objectapi.Store { return gatedStore{Store: s, gate: g} }
 
-// gated is one way to the store.
-type gated struct {
+// gatedStore is a store whose calls pass the gate first.
+type gatedStore struct {
 	objectapi.Store
 	*gate
 }
 
-// Get implements objectapi.Store, as the methods that follow.
-func (g gated) Get(ctx context.Context, k objectapi.Kind, name string) (objectapi.Object, error) {
+// Get implements objectapi.Store, as do the methods that follow.
+func (g gatedStore) Get(ctx context.Context, k objectapi.Kind, name string) (objectapi.Object, error) {
 	ctx, err := g.pass(ctx, k, false)
 	if err != nil {
 		return objectapi.Object{}, err
@@ -93,7 +93,7 @@
 	return g.Store.Get(ctx, k, name)
 }
 
-func (g gated) List(ctx context.Context, k objectapi.Kind) ([]objectapi.Object, uint64, error) {
+func (g gatedStore) List(ctx context.Context, k objectapi.Kind) ([]objectapi.Object, uint64, error) {
 	ctx, err := g.pass(ctx, k, false)
 	if err != nil {
 		return nil, 0, err
@@ -101,14 +101,14 @@
 	return g.Store.List(ctx, k)
 }
 
-func (g gated) Watch(ctx context.Context, k objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
+func (g gatedStore) Watch(ctx context.Context, k objectapi.Kind, from uint64) ([]objectapi.Event, uint64, error) {
 	if _, err := g.pass(ctx, k, false); err != nil {
 		return nil, 0, err
 	}
 	return g.Store.Watch(ctx, k, from)
 }
 
-func (g gated) Create(ctx context.Context, k objectapi.Kind, name string, value []byte) (objectapi.Object, error) {
+func (g gatedStore) Create(ctx context.Context, k objectapi.Kind, name string, value []byte) (objectapi.Object, error) {
 	ctx, err := g.pass(ctx, k, true)
 	if err != nil {
 		return objectapi.Object{}, err
@@ -116,7 +116,7 @@
 	return g.Store.Create(ctx, k, name, value)
 }
 
-func (g gated) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (g gatedStore) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	ctx, err := g.pass(ctx, o.Kind, true)
 	if err != nil {
 		return objectapi.Object{}, err
@@ -129,7 +129,7 @@
 	return g.Store.Update(ctx, o)
 }
 
-func (g gated) Delete(ctx context.Context, k objectapi.Kind, name string, version uint64) error {
+func (g gatedStore) Delete(ctx context.Context, k objectapi.Kind, name string, version uint64) error {
 	ctx, err := g.pass(ctx, k, true)
 	if err != nil {
 		return err
--- a/internal/lab/control/history.go
+++ b/internal/lab/control/history.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// maxProcesses bounds the balancers of one history.
+// maxProcesses bounds the processes of one history; the last index stands for the writers of the head.
 const maxProcesses = 64
 
 // checkTime bounds the search for a linearization.
@@ -22,7 +22,7 @@
 	sum     uint64
 }
 
-// modelState is the content of every accepted revision, and the revision of each balancer.
+// modelState holds the checksum of every accepted revision, 8 bytes each, and the revision of each balancer.
 type modelState struct {
 	sums    string
 	adopted [maxProcesses]uint64
@@ -34,7 +34,7 @@
 	return binary.BigEndian.Uint64([]byte(s.sums[(number-1)*8 : number*8]))
 }
 
-// write is allowed when the head keeps its revision, as with a claim of a new holder, or rises by one.
+// write is allowed when the head keeps its revision, as when a new lease holder claims it, or increments it.
 func (s modelState) write(o operation) (bool, modelState) {
 	switch {
 	case o.number == s.last():
@@ -46,7 +46,7 @@
 	return false, s
 }
 
-// adopt is allowed when the head named that content and the number is above the balancer's earlier ones.
+// adopt is allowed when the head has named that content and the number is higher than the balancer's previous one.
 func (s modelState) adopt(o operation) (bool, modelState) {
 	if o.number == 0 {
 		return s.adopted[o.process] == 0, s
@@ -72,11 +72,11 @@
 
 func pair(ok bool, s modelState) (bool, any) { return ok, s }
 
-// checkHistory returns what is wrong with the order of the head's writes and the balancers' adoptions, or an empty
-// text.
+// checkHistory checks that the writes of the head and the balancers' adoptions are linearizable. It returns a
+// description of the failure, or an empty string.
 func checkHistory(heads []headWrite, adoptions [][]adoption) string {
 	if len(adoptions) >= maxProcesses {
-		return fmt.Sprintf("%d balancers are more than the check takes", len(adoptions))
+		return fmt.Sprintf("%d balancers exceed the limit of the history check", len(adoptions))
 	}
 	ops := make([]porcupine.Operation, 0, len(heads))
 	for _, h := range heads {
@@ -97,7 +97,7 @@
 	return ""
 }
 
-// adoptionsOf returns the operations of one balancer: each began after the one before was done.
+// adoptionsOf returns the operations of one balancer; each begins right after the end of the previous one.
 func adoptionsOf(process int, list []adoption) []porcupine.Operation {
 	var ops []porcupine.Operation
 	var before int64
--- a/internal/lab/control/judge.go
+++ b/internal/lab/control/judge.go
@@ -8,18 +8,18 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// judge compares what happened with what was promised. The truth doesn't change any more.
+// judge checks the records of a run against the guarantees. The caller holds truth.mu while it runs.
 type judge struct {
 	t         *truth
 	changes   []*change
 	balancers []*balancer
 	outages   []span
-	// byChange are the versions under which a change was stored, and last the last version of each service.
+	// byChange holds the versions under which a change was stored, last the latest version of each service.
 	byChange map[uint32][]uint64
 	last     map[string]uint64
-	// storedAt is when a version was stored.
+	// storedAt holds the time at which a version was stored.
 	storedAt map[uint64]time.Time
-	// accepted is the first head that names a version.
+	// accepted holds the first write of the head whose revision contains a version.
 	accepted map[uint64]headWrite
 	result   *Result
 }
@@ -52,8 +52,8 @@
 func (j *judge) run() {
 	j.result.Changes = len(j.changes)
 	for _, x := range j.changes {
-		j.told(x)
-		j.outcome(x)
+		j.checkAnswers(x)
+		j.countOutcome(x)
 	}
 	j.heads()
 	j.adoptions()
@@ -70,22 +70,22 @@
 	}
 }
 
-// told checks that the operator was told the truth about each call.
-func (j *judge) told(x *change) {
+// checkAnswers checks that the result of each call matches whether the change was stored.
+func (j *judge) checkAnswers(x *change) {
 	known := true
 	for _, o := range x.calls {
 		switch a := o.result.Action; {
 		case o.err == nil && !o.stored:
-			j.broken("change %d of %s: told %q, but it isn't stored", x.number, x.service.Name, a)
+			j.broken("change %d of %s: reported as %q, but it isn't stored", x.number, x.service.Name, a)
 		case known && o.stored && (a == ctl.ActionConflict || a == ctl.ActionFailed):
-			j.broken("change %d of %s: told %q (%s), but it is stored", x.number, x.service.Name, a, o.result.Detail)
+			j.broken("change %d of %s: reported as %q (%s), but it is stored", x.number, x.service.Name, a, o.result.Detail)
 		}
 		known = known && !o.stored && o.result.Action != ctl.ActionUnknown
 	}
 }
 
-// outcome counts what became of a change.
-func (j *judge) outcome(x *change) {
+// countOutcome classifies a change as accepted, rejected, superseded or not stored.
+func (j *judge) countOutcome(x *change) {
 	versions := j.byChange[x.number]
 	if len(versions) == 0 {
 		j.notStored(x)
@@ -98,7 +98,7 @@
 		if x.kind == changeInvalid {
 			j.broken("change %d of %s is invalid, but revision %d holds it", x.number, x.service.Name, h.head.Revision)
 		}
-		j.spread(x, v, h)
+		j.measureInForce(x, v, h)
 		return
 	}
 	if j.rejected(v) {
@@ -131,8 +131,9 @@
 	return false
 }
 
-// spread measures when an accepted change was in force, and counts it as lost when it isn't.
-func (j *judge) spread(x *change, version uint64, h headWrite) {
+// measureInForce records the time from acceptance until the last balancer uses the change, and counts the change as lost
+// when a live balancer doesn't use it. Balancers without a revision at the acceptance are not timed.
+func (j *judge) measureInForce(x *change, version uint64, h headWrite) {
 	var last time.Duration
 	measured := false
 	for _, b := range j.balancers {
@@ -166,7 +167,7 @@
 	return false
 }
 
-// inForceAt returns when the packet path first used the revision or a higher one.
+// inForceAt returns when the packet path first used the revision or a later one.
 func (b *balancer) inForceAt(revision uint64) (time.Time, bool) {
 	for _, a := range b.history() {
 		if a.number >= revision {
@@ -176,20 +177,20 @@
 	return time.Time{}, false
 }
 
-// readyAt reports whether the balancer had a revision at the time.
+// readyAt reports whether the balancer had adopted a revision by t.
 func (b *balancer) readyAt(t time.Time) bool {
 	list := b.history()
 	return len(list) > 0 && !list[0].at.After(t)
 }
 
-// heads checks that no accepted version falls or goes away from one revision to a later one.
+// heads checks that the head's revision never decreases, and that no service is removed or reverted to an older version.
 func (j *judge) heads() {
 	versions := make(map[string]uint64)
 	var number uint64
 	for _, h := range j.t.heads {
 		if h.head.Revision < number {
 			j.result.Reverted++
-			j.broken("the head falls from %d to %d", number, h.head.Revision)
+			j.broken("the head's revision decreases from %d to %d", number, h.head.Revision)
 		}
 		if h.head.Revision > number {
 			j.result.Revisions++
@@ -200,13 +201,13 @@
 			now[s.Name] = s.Version
 		}
 		for name, before := range versions {
-			j.compare(h, name, before, now[name])
+			j.compareVersion(h, name, before, now[name])
 		}
 		versions = now
 	}
 }
 
-func (j *judge) compare(h headWrite, name string, before, now uint64) {
+func (j *judge) compareVersion(h headWrite, name string, before, now uint64) {
 	if now >= before {
 		return
 	}
@@ -216,10 +217,10 @@
 		return
 	}
 	j.result.Reverted++
-	j.broken("revision %d takes %s back from version %d to %d", h.head.Revision, name, before, now)
+	j.broken("revision %d moves %s back from version %d to %d", h.head.Revision, name, before, now)
 }
 
-// adoptions checks that no balancer's revision falls.
+// adoptions checks that no balancer's revision decreases.
 func (j *judge) adoptions() {
 	for _, b := range j.balancers {
 		var before uint64
--- a/internal/lab/control/judge_status.go
+++ b/internal/lab/control/judge_status.go
@@ -8,7 +8,7 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// statuses checks that every status that operators could read was true.
+// statuses checks every status that operators could read against the records.
 func (j *judge) statuses() {
 	changes := make(map[uint64]serviceWrite)
 	for _, s := range j.t.services {
@@ -22,22 +22,22 @@
 func (j *judge) status(w statusWrite, judged serviceWrite) {
 	c, _ := w.status.Condition(resource.ConditionAccepted)
 	if judged.version == 0 {
-		j.broken("status of %s judges version %d, which was never stored", w.status.Name, w.status.ObservedVersion)
+		j.broken("status of %s refers to version %d, which was never stored", w.status.Name, w.status.ObservedVersion)
 		return
 	}
 	if c.Status == resource.StatusFalse {
-		j.rejection(w, judged, c)
+		j.checkRejection(w, judged, c)
 	}
 	if h, ok := j.accepted[w.status.ObservedVersion]; c.Status == resource.StatusTrue && (!ok || h.done.After(w.at)) {
 		j.broken("status of %s says that version %d is accepted, but no head named it", w.status.Name, w.status.ObservedVersion)
 	}
 	if w.status.AcceptedRevision > 0 && w.status.InForce.Complete() {
-		j.complete(w)
+		j.checkInForce(w)
 	}
 }
 
-// rejection checks the reason of a rejected service.
-func (j *judge) rejection(w statusWrite, judged serviceWrite, c resource.Condition) {
+// checkRejection checks that the reason and the message of a rejection apply.
+func (j *judge) checkRejection(w statusWrite, judged serviceWrite, c resource.Condition) {
 	ok := false
 	switch c.Reason {
 	case resource.ReasonInvalid:
@@ -50,7 +50,7 @@
 	}
 }
 
-// heldByOther reports whether some accepted revision has another service at an address of s, at the version that the
+// heldByOther reports whether an accepted revision has another service at an address of s, at the version that the
 // message names.
 func (j *judge) heldByOther(s resource.Service, message string) bool {
 	claimed := keysOf(s.Spec)
@@ -84,8 +84,8 @@
 	return false
 }
 
-// complete checks a status that says that a revision is in force on every known balancer.
-func (j *judge) complete(w statusWrite) {
+// checkInForce checks a status that reports a revision in force on every known balancer.
+func (j *judge) checkInForce(w statusWrite) {
 	accepted := j.acceptedAt(w.status.AcceptedRevision)
 	for _, b := range j.balancers {
 		if !b.readyAt(accepted) || (!b.died.IsZero() && !b.died.After(w.at)) {
--- a/internal/lab/control/judge_test.go
+++ b/internal/lab/control/judge_test.go
@@ -13,9 +13,9 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// story is a small run in which every promise is kept: two services, one change of the first, and a claim of its address
-// that is refused.
-type story struct {
+// scenario is a small run without violations: two services, one change of the first, and a claim of its address that is
+// rejected.
+type scenario struct {
 	truth    *truth
 	changes  []*change
 	balancer *balancer
@@ -48,7 +48,7 @@
 
 const trueConflict = `spec.addresses[0]: 198.51.100.1:80/tcp belongs to service "svc-00" (version 4)`
 
-func newStory() *story {
+func newScenario() *scenario {
 	first, other := newService("svc-00", 1, serviceIP(0)), newService("svc-01", 2, serviceIP(1))
 	changed, claim := newService("svc-00", 3, serviceIP(0)), newService("svc-02", 4, serviceIP(0))
 	t := newTruth(1)
@@ -64,22 +64,22 @@
 	}
 	told := callOutcome{result: ctl.ApplyResult{Action: ctl.ActionConfigured}, stored: true}
 	b := &balancer{name: "balancer-001", adoptions: []adoption{{at(3), 1, before.sum}, {at(7), 2, after.sum}}}
-	return &story{truth: t, balancer: b, changes: []*change{
+	return &scenario{truth: t, balancer: b, changes: []*change{
 		{number: 3, service: changed, calls: []callOutcome{told}},
 		{number: 4, kind: changeClaim, service: claim, calls: []callOutcome{told}},
 	}}
 }
 
-func (s *story) judge() Result {
+func (s *scenario) judge() Result {
 	var r Result
 	c := &cluster{truth: s.truth, balancers: []*balancer{s.balancer}}
 	newJudge(c, s.changes, nil, &r).run()
-	r.promises()
+	r.checkLimits()
 	return r
 }
 
-func TestJudgeFindsNothingWrongWithAKeptPromise(t *testing.T) {
-	r := newStory().judge()
+func TestJudgeAcceptsCorrectRun(t *testing.T) {
+	r := newScenario().judge()
 	require.Empty(t, r.Broken)
 	require.Equal(t, 1, r.Accepted)
 	require.Equal(t, 1, r.Rejected)
@@ -87,50 +87,50 @@
 	require.Equal(t, []time.Duration{300 * time.Millisecond}, r.Judged)
 }
 
-// TestJudgeCatches breaks one promise after the other.
-func TestJudgeCatches(t *testing.T) {
+// TestJudgeDetectsViolations guards against checks that cannot fail: each case violates one guarantee.
+func TestJudgeDetectsViolations(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		spoil      func(s *story)
+		spoil      func(s *scenario)
 	}{
-		{"a change that isn't in force", "isn't in force on balancer-001", func(s *story) {
+		{"a change that isn't in force", "isn't in force on balancer-001", func(s *scenario) {
 			s.balancer.adoptions = s.balancer.adoptions[:1]
 		}},
-		{"a balancer that goes back", "goes back from revision 2 to 1", func(s *story) {
+		{"a balancer that goes back", "goes back from revision 2 to 1", func(s *scenario) {
 			s.balancer.adoptions = append(s.balancer.adoptions, adoption{at(9), 1, s.truth.heads[0].sum})
 		}},
-		{"a balancer with other content", "linearizable", func(s *story) { s.balancer.adoptions[1].sum++ }},
-		{"a service that goes back", "back from version 4 to 2", func(s *story) {
+		{"a balancer with other content", "linearizable", func(s *scenario) { s.balancer.adoptions[1].sum++ }},
+		{"a service that goes back", "back from version 4 to 2", func(s *scenario) {
 			s.truth.heads = append(s.truth.heads, headOf(8, 3, s.truth.heads[0].revision.Services...))
 		}},
-		{"a service that is missing later", "lacks svc-00", func(s *story) {
+		{"a service that is missing later", "lacks svc-00", func(s *scenario) {
 			s.truth.heads = append(s.truth.heads, headOf(8, 3, s.truth.heads[1].revision.Services[1]))
 		}},
-		{"a change without a judgement", "neither accepted nor rejected", func(s *story) { s.truth.statuses = s.truth.statuses[:1] }},
-		{"an invalid change in force", "is invalid, but revision 2", func(s *story) { s.changes[0].kind = changeInvalid }},
-		{"a late change", "more than 1s", func(s *story) { s.balancer.adoptions[1].at = at(20) }},
-		{"a false address conflict", "isn't true", func(s *story) {
+		{"a change without a judgement", "neither accepted nor rejected", func(s *scenario) { s.truth.statuses = s.truth.statuses[:1] }},
+		{"an invalid change in force", "is invalid, but revision 2", func(s *scenario) { s.changes[0].kind = changeInvalid }},
+		{"a late change", "more than 1s", func(s *scenario) { s.balancer.adoptions[1].at = at(20) }},
+		{"a false address conflict", "isn't true", func(s *scenario) {
 			s.truth.statuses[1] = statusOf(6, "svc-02", 5, refused(resource.ReasonAddressConflict, strings.ReplaceAll(trueConflict, "svc-00", "svc-01")))
 		}},
-		{"a false mistake", "isn't true", func(s *story) {
+		{"a false mistake", "isn't true", func(s *scenario) {
 			s.truth.statuses[1] = statusOf(6, "svc-02", 5, refused(resource.ReasonInvalid, "spec.mode: is wrong"))
 		}},
-		{"a false acceptance", "no head named it", func(s *story) {
+		{"a false acceptance", "no head named it", func(s *scenario) {
 			s.truth.statuses = append(s.truth.statuses, statusOf(6, "svc-02", 5, accepted()))
 		}},
-		{"a false count in force", "didn't use it", func(s *story) {
+		{"a false count in force", "didn't use it", func(s *scenario) {
 			s.truth.statuses[0].status.AcceptedRevision = 2
 			s.truth.statuses[0].status.InForce = resource.InForce{Adopted: 1, Known: 1}
 		}},
-		{"an operator told of a write that isn't there", "but it isn't stored", func(s *story) { s.changes[0].calls[0].stored = false }},
-		{"an operator told of a conflict that isn't one", "but it is stored", func(s *story) {
+		{"an operator told of a write that isn't there", "but it isn't stored", func(s *scenario) { s.changes[0].calls[0].stored = false }},
+		{"an operator told of a conflict that isn't one", "but it is stored", func(s *scenario) {
 			s.changes[0].calls[0].err = objectapi.ErrConflict
 			s.changes[0].calls[0].result.Action = ctl.ActionConflict
 		}},
-		{"two holders", "had claimed it", func(s *story) { s.truth.late = []string{"head written by a after b had claimed it"} }},
+		{"two holders", "had claimed it", func(s *scenario) { s.truth.late = []string{"head written by a after b had claimed it"} }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStory()
+			s := newScenario()
 			c.spoil(s)
 			require.Contains(t, strings.Join(s.judge().Broken, "\n"), c.want)
 		})
--- a/internal/lab/control/measure.go
+++ b/internal/lab/control/measure.go
@@ -17,33 +17,33 @@
 	ChangeRate float64
 }
 
-// Point is what an installation of a size costs, without faults.
+// Point is the measured cost of an installation of a size, without faults.
 type Point struct {
 	Size
 	// Idle are the rates without changes, Busy those with ChangeRate changes a second.
 	Idle, Busy Rates
-	// Heap is the growth of live memory from before the start, in bytes, of all daemons together: balancers with small
-	// flow caches, control sessions without a packet path, the store stand-in and what the run remembers.
+	// Heap is the growth of the live heap since before the start, in bytes: balancers with small flow caches, control
+	// sessions without a packet path, the store stand-in and the records of the run.
 	Heap uint64
-	// Accepted is the 99th percentile of the time from store to acceptance, InForce that from acceptance to the last
-	// balancer; 0 without changes.
+	// Accepted is the 99th percentile of the time from storing a change to its acceptance, InForce that from acceptance
+	// to adoption by the last balancer; 0 without changes.
 	Accepted, InForce time.Duration
-	// Revisions is the number of revisions a second with changes.
+	// Revisions is the number of revisions per second with changes.
 	Revisions float64
 }
 
 const (
-	// measureTime is the time of the measurement with changes, and idleTime without.
+	// measureTime is the length of the measurement with changes, idleTime of that without.
 	measureTime = 10 * time.Second
 	idleTime    = 8 * time.Second
-	// calmTime is what an installation gets to become calm after its start: the byte budget saves up for ten seconds.
-	calmTime = 6 * time.Second
+	// warmUpTime lets the traffic of the start subside before the measurement; the byte budget accumulates for up to 10 s.
+	warmUpTime = 6 * time.Second
 	// measureSeed makes the changes repeatable.
 	measureSeed = 1
 )
 
-// Measure runs an installation of each size, one after the other, and returns what it cost. The processor time of a
-// point is that of the whole process, with the store stand-in and the operators, so nothing else may run in it.
+// Measure runs an installation of each size in turn and returns its cost. The processor time of a point is that of the
+// whole process, store stand-in and operators included, so nothing else may run in it.
 func Measure(ctx context.Context, sizes ...Size) ([]Point, error) {
 	points := make([]Point, 0, len(sizes))
 	for _, s := range sizes {
@@ -65,7 +65,7 @@
 		return p, trace.Wrap(err)
 	}
 	defer c.close()
-	_ = wait.For(ctx, calmTime)
+	_ = wait.For(ctx, warmUpTime)
 	daemons := s.Balancers + s.Targets
 	begin := c.usage()
 	_ = wait.For(ctx, idleTime)
--- a/internal/lab/control/operators.go
+++ b/internal/lab/control/operators.go
@@ -19,14 +19,14 @@
 	// invalidEvery and claimEvery say how often a change is invalid or claims another service's address.
 	invalidEvery = 12
 	claimEvery   = 17
-	// raceEvery says how often a change is raced when operators race.
+	// raceEvery says how often two changes are made concurrently under FaultRacingOperators.
 	raceEvery = 4
-	// callRetry is the pause after a call that the store didn't take, and callLimit the number of calls of one change.
+	// callRetry is the pause after a failed call, and callLimit the maximum number of calls of one change.
 	callRetry = 300 * time.Millisecond
 	callLimit = 100
 )
 
-// operators make changes and remember what they were told.
+// operators make changes and record the results.
 type operators struct {
 	c *cluster
 
@@ -40,7 +40,7 @@
 	return &operators{c: c, random: rand.New(rand.NewPCG(seed, 2)), next: uint32(c.services())}
 }
 
-// firstServices writes the services of the start; their changes have the numbers from 1.
+// firstServices stores the initial services; their changes are numbered from 1.
 func (c *cluster) firstServices() error {
 	applier := ctl.Applier{Store: objectapi.NewClient(c.operators.url, objectapi.Options{})}
 	for i := range c.services() {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// run makes the changes, spread over the window, by operators that work side by side.
+// run makes the changes concurrently, spread evenly over the window, and returns when all have ended.
 func (o *operators) run(ctx context.Context, count int, window time.Duration) {
 	if count == 0 {
 		_ = wait.For(ctx, window)
@@ -71,7 +71,7 @@
 	group.Wait()
 }
 
-// plan returns the next change, or two that race.
+// plan returns the next change, or two concurrent ones.
 func (o *operators) plan(i, left int) []*change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,7 +112,8 @@
 	return x
 }
 
-// apply makes one change, and again while the store doesn't take the calls. Every second operator gives way to others.
+// apply makes one change and repeats it until it succeeds or conflicts, callLimit times at most. Odd-numbered operators
+// let the applier retry conflicts.
 func (o *operators) apply(ctx context.Context, operator int, x *change) {
 	applier := ctl.Applier{Store: objectapi.NewClient(o.c.operators.url, objectapi.Options{}), Retries: operator % 2 * 3}
 	for range callLimit {
@@ -120,7 +121,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		o.told(x, callOutcome{result: result, err: err, stored: o.c.truth.stored(x.number)})
+		o.recordOutcome(x, callOutcome{result: result, err: err, stored: o.c.truth.stored(x.number)})
 		if err == nil || errors.Is(err, objectapi.ErrConflict) {
 			return
 		}
@@ -128,7 +129,7 @@
 	}
 }
 
-func (o *operators) told(x *change, out callOutcome) {
+func (o *operators) recordOutcome(x *change, out callOutcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	x.calls = append(x.calls, out)
--- a/internal/lab/control/options.go
+++ b/internal/lab/control/options.go
@@ -9,27 +9,26 @@
 
 // Options are the options of a run.
 type Options struct {
-	// Balancers and Targets are the numbers at the start.
+	// Balancers and Targets are the initial numbers.
 	Balancers int
 	Targets   int
-	// Changes is the number of changes of services; 0 makes none.
+	// Changes is the number of changes of services.
 	Changes int
-	// ChangeRate is the number of changes a second; 0 means DefaultChangeRate.
+	// ChangeRate is the number of changes per second; 0 means DefaultChangeRate.
 	ChangeRate float64
-	// Faults are the faults of the run.
-	Faults []Fault
-	// Seed makes the choices repeatable.
+	Faults     []Fault
+	// Seed seeds the random choices.
 	Seed uint64
-	// Idle is the time without changes before the first one, in which the idle cost is measured; 0 means DefaultIdle.
+	// Idle is the time before the first change, in which the idle cost is measured; 0 means DefaultIdle.
 	Idle time.Duration
-	// Window is the shortest time over which the changes are spread; 0 means what the faults need.
+	// Window is the shortest time over which the changes are spread; 0 means faultWindow if there are faults.
 	Window time.Duration
 	// LeaseTime replaces the balancers' default when it isn't 0.
 	LeaseTime time.Duration
-	// Log takes the daemons' log lines.
+	// Log receives the daemons' log lines.
 	Log zerolog.Logger
 
-	// unfenced makes the writes of the head unconditional: a deliberately broken system that the checks must catch.
+	// unfenced makes updates of the head unconditional, a deliberate fault that the checks must detect.
 	unfenced bool
 }
 
@@ -37,7 +36,7 @@
 const (
 	DefaultChangeRate = 7
 	DefaultIdle       = 3 * time.Second
-	// faultWindow is what the script of the faults needs.
+	// faultWindow is long enough for every step of the fault script.
 	faultWindow = 28 * time.Second
 )
 
--- a/internal/lab/control/records.go
+++ b/internal/lab/control/records.go
@@ -12,7 +12,7 @@
 // recordSpan is how far back refusal records are read.
 const recordSpan = 30 * time.Minute
 
-// records returns the refusal records in the store and those that living balancers hold.
+// records returns the refusal records in the store and those that live balancers hold.
 func (c *cluster) records() []refusal.Record {
 	var out []refusal.Record
 	for _, b := range c.live() {
@@ -26,7 +26,7 @@
 	return out
 }
 
-// missingRecords returns the callers that were refused and have no record.
+// missingRecords returns the refused callers that no record covers.
 func (c *cluster) missingRecords() []netip.AddrPort {
 	single := make(map[netip.AddrPort]bool)
 	var merged []netip.Prefix
@@ -37,7 +37,7 @@
 		}
 	}
 	var out []netip.AddrPort
-	for caller := range c.callers.told() {
+	for caller := range c.callers.refusedCallers() {
 		if !single[caller] && !anyContains(merged, caller.Addr()) {
 			out = append(out, caller)
 		}
@@ -54,7 +54,8 @@
 	return false
 }
 
-// falseRecords describes records that aren't true: every caller of the run used an address that no service has.
+// falseRecords describes incorrect records: every caller of the run used an address that no service has, so any other
+// reason, destination, service or run state is wrong, and so is a deciding process that isn't a balancer of the run.
 func (c *cluster) falseRecords() []string {
 	names := make(map[string]bool)
 	for _, b := range c.everyBalancer() {
@@ -65,7 +66,7 @@
 		to := netip.AddrPortFrom(unknownAddress, unknownPort)
 		switch {
 		case r.Reason != refusal.ReasonUnknownAddress, r.Destination != to, r.Service != "", r.Run != refusal.RunNo:
-			out = append(out, "record "+r.ID+" for "+r.Caller.String()+" isn't true: "+string(r.Reason))
+			out = append(out, "record "+r.ID+" for "+r.Caller.String()+" is incorrect: "+string(r.Reason))
 		case !names[r.DecidedBy] || !strings.HasPrefix(r.ID, r.DecidedBy+"/"):
 			out = append(out, "record "+r.ID+" names "+r.DecidedBy+", which didn't decide it")
 		}
--- a/internal/lab/control/run.go
+++ b/internal/lab/control/run.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// settleTime is what the installation gets to agree after the last fault.
+// settleTime bounds the time to converge after the last fault.
 const settleTime = 45 * time.Second
 
-// Run starts an installation, makes the changes and the faults, checks every promise and prints what was measured. It
-// returns an error that names the broken promises.
+// Run starts an installation, makes the changes and the faults, checks every guarantee and prints the measurements. It
+// returns an error with the first violation, if any.
 func Run(ctx context.Context, o Options, out io.Writer) (Result, error) {
 	o = o.withDefaults()
 	c, err := startCluster(ctx, o)
@@ -27,7 +27,7 @@
 	r := &run{c: c, o: o, out: out, operators: newOperators(c, o.Seed), script: newScript(c, out, o.Seed)}
 	r.drive(ctx)
 	if ctx.Err() != nil {
-		return Result{}, trace.Wrap(ctx.Err(), "the run was ended before its time")
+		return Result{}, trace.Wrap(ctx.Err(), "run interrupted before its end")
 	}
 	r.judge()
 	r.print()
@@ -37,7 +37,6 @@
 	return r.result, nil
 }
 
-// run is one run.
 type run struct {
 	c         *cluster
 	o         Options
@@ -52,7 +51,7 @@
 func (r *run) drive(ctx context.Context) {
 	callers, stop := context.WithCancel(ctx)
 	defer stop()
-	go r.c.call(callers, r.script.pick)
+	go r.c.openFlows(callers, r.script.pick)
 	daemons := r.o.Balancers + r.o.Targets
 	begin := r.c.usage()
 	_ = wait.For(ctx, r.o.Idle)
@@ -70,7 +69,7 @@
 	r.settle()
 }
 
-// settle waits until the installation agrees.
+// settle waits until the installation has converged, settleTime at most.
 func (r *run) settle() {
 	began := time.Now()
 	_ = r.c.await(settleTime, func() bool {
@@ -84,7 +83,7 @@
 	r.c.truth.mu.Lock()
 	newJudge(r.c, r.operators.changes, r.script.outages, &r.result).run()
 	r.c.truth.mu.Unlock()
-	r.result.Refusals = len(r.c.callers.told())
+	r.result.Refusals = len(r.c.callers.refusedCallers())
 	r.result.RecordsLost = len(r.c.missingRecords())
 	r.result.Broken = append(r.result.Broken, r.c.falseRecords()...)
 	if r.unsettled != "" {
@@ -97,10 +96,10 @@
 			r.result.Newcomers = append(r.result.Newcomers, list[0].at.Sub(b.started))
 		}
 	}
-	r.result.promises()
+	r.result.checkLimits()
 }
 
-// mostPrinted bounds the broken promises that are printed.
+// mostPrinted bounds the number of violations that are printed.
 const mostPrinted = 20
 
 func (r *run) print() {
@@ -142,7 +141,6 @@
 	return fmt.Sprintf("n=%d p50=%dms p99=%dms max=%dms", len(list), ms(0.5), ms(0.99), ms(1))
 }
 
-// String returns the rates on one line.
 func (r Rates) String() string {
 	return fmt.Sprintf("%.0f B/s a balancer (max %.0f), %.0f B/s a session, %.2f%% of a core a daemon, store %.1f reads/s %.1f writes/s",
 		r.Bytes, r.MaxBytes, r.SessionBytes, r.CPU, r.Reads, r.Writes)
--- a/internal/lab/control/script.go
+++ b/internal/lab/control/script.go
@@ -17,7 +17,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// script carries out the faults at fixed parts of the window.
+// script injects the faults at fixed fractions of the window.
 type script struct {
 	c      *cluster
 	out    io.Writer
@@ -26,52 +26,52 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// outages are the times at which the store was down.
+	// outages are the periods in which the store was down.
 	outages []span
-	// joined and killed are the balancers that joined and died.
+	// joined and killed are the names of the balancers that joined and were killed.
 	joined, killed []string
-	// splits holds what the regions did while they were apart.
+	// split holds the membership changes made during a partition.
 	split splitWork
-	// broken are promises that a fault's own check found broken.
+	// broken describes violations found while a fault was active.
 	broken []string
 }
 
-// span is a time with its end.
+// span is a period of time.
 type span struct {
 	from, to time.Time
 }
 
-// covers reports whether the span overlaps the time from a to b.
+// covers reports whether the span overlaps the period from a to b.
 func (s span) covers(a, b time.Time) bool { return !s.from.After(b) && !s.to.Before(a) }
 
-// splitWork is what happened in each region while they were apart.
+// splitWork holds the IDs of the targets that joined and left during a partition.
 type splitWork struct {
 	joined, left string
 }
 
 const (
-	// outageTime is longer than the promise for a change that was accepted just before.
+	// outageTime is longer than MostWithoutStore, so that a change must come into force during the outage.
 	outageTime = 5 * time.Second
 	// slowLatency and slowJitter delay a call when the store is slow.
 	slowLatency = 100 * time.Millisecond
 	slowJitter  = 200 * time.Millisecond
 	loseShare   = 0.25
-	// gapEvery is the time between two losses of the watch history, and heldKind how long events are held back.
+	// gapEvery is the interval at which the watch history is cleared, and heldKind the delay of events.
 	gapEvery = 1500 * time.Millisecond
 	heldKind = 300 * time.Millisecond
 	repeats  = 3
 	// pauseFactor is the length of a pause in lease times.
 	pauseFactor = 2.4
-	// lastWords is the number of callers that a balancer refuses just before it dies.
-	lastWords = 20
-	syncTime  = 5 * time.Second
+	// refusalsBeforeKill is the number of callers that a balancer refuses just before it is killed.
+	refusalsBeforeKill = 20
+	syncTime           = 5 * time.Second
 )
 
 func newScript(c *cluster, out io.Writer, seed uint64) *script {
 	return &script{c: c, out: out, random: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// step is one fault at a part of the window.
+// step is one fault, started at a fraction of the window.
 type step struct {
 	fault Fault
 	at    float64
@@ -96,11 +96,11 @@
 	if s.c.o.has(FaultRegionSplit) {
 		return list
 	}
-	// A revision that is accepted just before the store goes down can't come to a region that is cut off as well.
+	// During a partition, a revision that is accepted just before an outage of the store can't reach the other region.
 	return append(list, step{FaultStoreDown, 0.42, s.outage}, step{FaultStoreDown, 0.88, s.outage})
 }
 
-// run carries out the faults of the run and returns when all are over.
+// run injects the configured faults and returns when all are over.
 func (s *script) run(ctx context.Context, window time.Duration) {
 	s.began, s.window = time.Now(), window
 	var group sync.WaitGroup
@@ -159,7 +159,7 @@
 	s.c.truth.set(func() { s.c.truth.latency, s.c.truth.jitter = 0, 0 })
 }
 
-// outage takes the store down at the moment at which a revision has been accepted.
+// outage takes the store down for outageTime as soon as the next revision is accepted.
 func (s *script) outage(ctx context.Context) {
 	down := make(chan uint64, 1)
 	s.c.truth.set(func() {
@@ -206,7 +206,7 @@
 	s.printf("%s has revision %d after %s", b.name, n, time.Since(b.started).Round(time.Millisecond))
 }
 
-// killAndRestart kills a balancer and starts it again at once, before anybody can have declared it dead.
+// killAndRestart kills a balancer and restarts it at once, before the others can have declared it dead.
 func (s *script) killAndRestart(ctx context.Context) {
 	gone := s.kill(ctx)
 	if gone == nil {
@@ -214,14 +214,14 @@
 	}
 	b, err := s.c.restart(s.c.ctx, gone)
 	if err != nil {
-		s.printf("%s doesn't start again: %v", gone.name, err)
+		s.printf("restart of %s failed: %v", gone.name, err)
 		return
 	}
-	s.printf("%s starts again at once", b.name)
+	s.printf("%s restarts at once", b.name)
 }
 
-// kill lets a balancer refuse callers, waits until its records are mirrored and ends it. The last balancer of a region
-// stays, since nobody else decides on the members of a region; kill then returns nil.
+// kill makes a balancer refuse callers, waits up to syncTime until its records are mirrored and kills it. The last
+// balancer of a region is spared, since no other decides on the region's members; kill returns nil if there is no other.
 func (s *script) kill(ctx context.Context) *balancer {
 	b := s.victim()
 	if b == nil {
@@ -229,7 +229,7 @@
 		return nil
 	}
 	b.leave()
-	for range lastWords {
+	for range refusalsBeforeKill {
 		s.c.callers.open(b.daemon.PacketAddr())
 	}
 	_ = wait.For(ctx, syncTime/50)
@@ -266,7 +266,7 @@
 	return list[s.pick(len(list))]
 }
 
-// holder returns the living balancer that holds the compile lease, or nil.
+// holder returns the live balancer that holds the compile lease, or nil.
 func (s *script) holder() *balancer {
 	return s.c.holderOf(s.c.truth.holder())
 }
@@ -287,19 +287,19 @@
 	return defaultLeaseTime
 }
 
-// defaultLeaseTime is the balancers' default, settings.DefaultBalancer.
+// defaultLeaseTime is the value in settings.DefaultBalancer.
 const defaultLeaseTime = 3 * time.Second
 
 func (s *script) pauseTime() time.Duration {
 	return time.Duration(pauseFactor * float64(s.leaseTime()))
 }
 
-// pauseHolder holds all store calls of the holder of the compile lease beyond the lease.
+// pauseHolder delays all store calls of the holder of the compile lease beyond its lease.
 func (s *script) pauseHolder(ctx context.Context) {
 	s.pause(ctx, "", func(b *balancer) { b.gate.pause(s.pauseTime()) })
 }
 
-// pauseHolderAtHead holds the holder's next write of the head beyond the lease.
+// pauseHolderAtHead delays the holder's next write of the head, and all calls after it, beyond its lease.
 func (s *script) pauseHolderAtHead(ctx context.Context) {
 	s.pause(ctx, " at its next write of the head", func(b *balancer) { b.gate.pauseAtHead(s.pauseTime()) })
 }
@@ -317,29 +317,29 @@
 	s.printf("%s is back, %d writes went through late; term %d is held by %s", b.name, b.gate.held.Load(), after.Term, after.Holder)
 }
 
-// splitRegions cuts the regions apart. Meanwhile a target joins in one and one of the other leaves.
+// splitRegions partitions the regions. Meanwhile a target joins in one region and another leaves the other region.
 func (s *script) splitRegions(ctx context.Context) {
-	s.printf("the regions are cut apart")
+	s.printf("the regions are partitioned")
 	end := time.Now().Add(s.part(0.25))
-	s.c.boundary.set(true)
+	s.c.boundary.setCut(true)
 	joined, err := s.c.addTarget(s.c.ctx)
 	if err != nil {
 		s.printf("no target joins: %v", err)
 		return
 	}
 	s.split.joined = joined.id
-	if left := s.c.takeTarget(joined.region); left != nil {
+	if left := s.c.removeTarget(joined.region); left != nil {
 		s.split.left = left.id
 		left.stop()
 	}
-	s.goesOn(joined)
+	s.checkTargetAccepted(joined)
 	_ = wait.For(ctx, time.Until(end))
-	s.c.boundary.set(false)
+	s.c.boundary.setCut(false)
 	s.printf("the regions can reach each other again; meanwhile %s joined in %s and %s left the other", s.split.joined, joined.region, s.split.left)
 }
 
-// takeTarget takes a target of another region than the given one out of the living ones.
-func (c *cluster) takeTarget(region string) *target {
+// removeTarget removes a target that isn't in the given region from the list and returns it, or nil.
+func (c *cluster) removeTarget(region string) *target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, t := range c.targets {
@@ -351,8 +351,8 @@
 	return nil
 }
 
-// goesOn checks that the region of a new target takes it while the other region is out of reach.
-func (s *script) goesOn(t *target) {
+// checkTargetAccepted checks that the balancers of a new target's region make it active during the partition.
+func (s *script) checkTargetAccepted(t *target) {
 	known := func() bool {
 		for _, b := range s.c.live() {
 			if m, _ := b.member(t.id); b.region == t.region && m.State != membership.StateActive {
@@ -362,6 +362,6 @@
 		return true
 	}
 	if err := s.c.await(syncTime, known); err != nil {
-		s.broken = append(s.broken, "while the regions are apart, "+t.region+" doesn't take its new target "+t.id)
+		s.broken = append(s.broken, "during the partition, "+t.region+" doesn't activate its new target "+t.id)
 	}
 }
--- a/internal/lab/control/settle.go
+++ b/internal/lab/control/settle.go
@@ -7,10 +7,10 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// unsettled says what the installation hasn't agreed on yet; nothing when it has.
+// unsettled describes the first condition of convergence that isn't met, or returns an empty string.
 func (c *cluster) unsettled() string {
-	for _, look := range []func() string{c.unadopted, c.unjudged, c.unreported, c.disagreement, c.unwritten} {
-		if why := look(); why != "" {
+	for _, check := range []func() string{c.unadopted, c.unjudged, c.unreported, c.disagreement, c.unrecorded} {
+		if why := check(); why != "" {
 			return why
 		}
 	}
@@ -55,20 +55,20 @@
 	return out
 }
 
-// unreported names a service whose status doesn't say that it is in force on every living balancer.
+// unreported names an accepted service whose status doesn't report it in force on every balancer that the status counts.
 func (c *cluster) unreported() string {
 	live := len(c.live())
 	c.truth.mu.Lock()
 	defer c.truth.mu.Unlock()
 	for name, s := range c.lastStatuses() {
 		if s.AcceptedRevision != 0 && !s.InForce.Complete() {
-			return fmt.Sprintf("the status of %s says in force on %s, and %d balancers live", name, s.InForce, live)
+			return fmt.Sprintf("the status of %s reports it in force on %s, with %d live balancers", name, s.InForce, live)
 		}
 	}
 	return ""
 }
 
-// disagreement names a balancer whose members aren't the living ones.
+// disagreement names a balancer whose view of the members differs from the live processes.
 func (c *cluster) disagreement() string {
 	want := make(map[string]membership.State)
 	c.mu.Lock()
@@ -87,17 +87,17 @@
 			}
 			live++
 			if want[m.ID] != m.State || m.Unreachable {
-				return fmt.Sprintf("%s holds %s for %s (unreachable: %v)", b.name, m.ID, m.State, m.Unreachable)
+				return fmt.Sprintf("%s considers %s to be %s (unreachable: %v)", b.name, m.ID, m.State, m.Unreachable)
 			}
 		}
 		if live != len(want) {
-			return fmt.Sprintf("%s knows %d living members of %d", b.name, live, len(want))
+			return fmt.Sprintf("%s has %d live members, want %d", b.name, live, len(want))
 		}
 	}
 	return ""
 }
 
-func (c *cluster) unwritten() string {
+func (c *cluster) unrecorded() string {
 	if n := len(c.missingRecords()); n > 0 {
 		return fmt.Sprintf("%d refused callers have no record", n)
 	}
--- a/internal/lab/control/sums.go
+++ b/internal/lab/control/sums.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// content is what a checksum covers of a service.
+// content is the part of a service that a checksum covers.
 type content struct {
 	Name string
 	Spec resource.ServiceSpec
--- a/internal/lab/control/sweep.go
+++ b/internal/lab/control/sweep.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// SweepSizes are the sizes of the sweep: one of balancers, one of targets and one of changes.
+// SweepSizes vary the number of balancers, then that of targets, then the rate of changes.
 var SweepSizes = []Size{
 	{Balancers: 4, Targets: 50, ChangeRate: 1},
 	{Balancers: 8, Targets: 50, ChangeRate: 1},
@@ -21,7 +21,7 @@
 	{Balancers: 8, Targets: 50, ChangeRate: 16},
 }
 
-// Sweep measures SweepSizes and prints a table of the points and of the slopes.
+// Sweep measures SweepSizes and prints the points and the coefficients of a linear fit.
 func Sweep(ctx context.Context, out io.Writer) error {
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
 	line("%9s %7s %9s | %8s %8s %8s %8s %7s %7s | %8s %8s %8s %8s %7s %7s %6s %9s %9s", "balancers", "targets", "changes/s",
@@ -54,13 +54,13 @@
 
 const megabyte = 1 << 20
 
-// fit is a value that depends on the numbers of balancers and targets.
+// fit is a value that is fitted as a linear function of the numbers of balancers and targets.
 type fit struct {
 	name  string
 	value func(Point) float64
 }
 
-// perRevision returns what one revision adds to a rate, in units of the rate times a second.
+// perRevision returns the increase of a rate per revision, in the rate's unit times seconds.
 func perRevision(rate func(Rates) float64) func(Point) float64 {
 	return func(p Point) float64 { return (rate(p.Busy) - rate(p.Idle)) / p.Revisions }
 }
@@ -79,7 +79,7 @@
 	{"a revision: store writes of the fleet", perRevision(func(r Rates) float64 { return r.Writes })},
 }
 
-// plane returns the constant and the slopes by balancers and targets, by least squares.
+// plane returns the constant and the slopes for balancers and targets of a least-squares fit.
 func plane(points []Point, value func(Point) float64) ([3]float64, error) {
 	var rows, values []float64
 	for _, p := range points {
--- a/internal/lab/control/target.go
+++ b/internal/lab/control/target.go
@@ -20,7 +20,7 @@
 	stop       context.CancelFunc
 }
 
-// firstAgentPort numbers the agents' packet addresses; no packet is sent to them.
+// firstAgentPort is the base of the ports in the agents' packet addresses; no packet is sent to them.
 const firstAgentPort = 20000
 
 // addTarget starts a control session that announces a target.
@@ -58,7 +58,7 @@
 
 const targetSlots = 3
 
-// sessionBytes returns the control bytes of all sessions so far, both directions together.
+// sessionBytes returns the control bytes that all sessions sent and received so far.
 func sessionBytes(s tally.TestScope) int64 {
 	var n int64
 	for _, c := range s.Snapshot().Counters() {
--- a/internal/lab/control/truth.go
+++ b/internal/lab/control/truth.go
@@ -15,18 +15,18 @@
 	"github.com/auburnwood/auburnwood/pkg/wait"
 )
 
-// truth is the store of a run with a record of every write that took effect, in the order of the effects. It loses
-// answers and delays calls itself, so that it knows the outcome of a write whose answer is lost.
+// truth is the store of a run. It records the writes that took effect, in that order. It drops responses and delays
+// calls itself, so that the effect of a write whose response is dropped is recorded too.
 type truth struct {
 	inner *store.Store
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// loseShare is the probability that a write's answer is lost.
+	// loseShare is the probability that a write's response is dropped.
 	loseShare float64
 	// latency and jitter delay every call.
 	latency, jitter time.Duration
-	// armed, when not nil, is called once, right after the head was advanced.
+	// armed, when not nil, is called once, with mu held, right after the head has advanced.
 	armed func(number uint64)
 
 	parts    map[string]objectapi.Object
@@ -34,11 +34,11 @@
 	services []serviceWrite
 	statuses []statusWrite
 	lease    lease.Record
-	// late describes writes of a former lease holder that took effect after a later one had claimed the object.
+	// late describes writes of the head by a former lease holder that took effect after a later one had claimed the head.
 	late []string
 }
 
-// headWrite is one write of the head.
+// headWrite is one write of the head, with the content and the checksum of its revision.
 type headWrite struct {
 	began, done time.Time
 	head        resource.Head
@@ -46,7 +46,6 @@
 	sum         uint64
 }
 
-// serviceWrite is one write of a service.
 type serviceWrite struct {
 	at      time.Time
 	version uint64
@@ -54,7 +53,6 @@
 	service resource.Service
 }
 
-// statusWrite is one write of a service's status.
 type statusWrite struct {
 	at     time.Time
 	status resource.ServiceStatus
@@ -71,7 +69,7 @@
 // watchWait is how long the store holds a watch without events.
 const watchWait = 10 * time.Second
 
-// delay waits out the latency.
+// delay waits for the configured latency with random jitter.
 func (t *truth) delay(ctx context.Context) {
 	t.mu.Lock()
 	d := t.latency
@@ -82,7 +80,7 @@
 	_ = wait.For(ctx, d)
 }
 
-// Get implements objectapi.Store, as the methods that follow.
+// Get implements objectapi.Store, as do the methods that follow.
 func (t *truth) Get(ctx context.Context, k objectapi.Kind, name string) (objectapi.Object, error) {
 	t.delay(ctx)
 	return t.inner.Get(ctx, k, name)
@@ -111,7 +109,7 @@
 	return t.inner.Delete(ctx, k, name, version)
 }
 
-// write makes one write and records its effect before anybody learns of it from the answer.
+// write makes one write and records its effect before the response is returned.
 func (t *truth) write(ctx context.Context, call func() (objectapi.Object, error)) (objectapi.Object, error) {
 	t.delay(ctx)
 	t.mu.Lock()
@@ -128,7 +126,7 @@
 	return o, nil
 }
 
-// record keeps the effect and reports whether it set off what was armed; t.mu is held.
+// record stores the effect of a write and reports whether it called t.armed; t.mu is held.
 func (t *truth) record(o objectapi.Object, began time.Time) bool {
 	now := time.Now()
 	switch o.Kind {
@@ -184,13 +182,12 @@
 	return true
 }
 
-// partsOf is a store that only gets the recorded revisions.
+// partsOf is a store that implements only Get, for the recorded revision objects.
 type partsOf struct {
 	objectapi.Store
 	parts map[string]objectapi.Object
 }
 
-// Get implements objectapi.Store.
 func (p partsOf) Get(_ context.Context, k objectapi.Kind, name string) (objectapi.Object, error) {
 	if o, ok := p.parts[name]; ok {
 		return o, nil
@@ -198,7 +195,6 @@
 	return objectapi.Object{}, objectapi.Fail(objectapi.OpGet, k, name, "lab", objectapi.ErrNotFound, nil)
 }
 
-// stored reports whether a change was stored.
 func (t *truth) stored(change uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,21 +206,21 @@
 	return false
 }
 
-// holder returns the holder of the compile lease, and the term.
+// holder returns the last written record of the compile lease.
 func (t *truth) holder() lease.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lease
 }
 
-// set changes the faults that truth makes itself.
+// set calls change with the lock held, to change latency, jitter, loseShare or armed.
 func (t *truth) set(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
 }
 
-// head returns the number that the head names.
+// head returns the revision number of the head, or 0 before its first write.
 func (t *truth) head() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/control/usage.go
+++ b/internal/lab/control/usage.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// usage is what the installation has used so far.
+// usage is the cumulative resource usage of the installation.
 type usage struct {
 	at time.Time
 	// cpu is the processor time of the whole process, the store and the operators included.
 	cpu time.Duration
-	// bytes are the control bytes of each balancer by its number, sessions those of all sessions together.
+	// bytes holds the control bytes of each live balancer by its number, sessions the sum over all sessions.
 	bytes    map[int]int64
 	sessions int64
 	// reads and writes are the balancers' calls of the store.
@@ -36,7 +36,7 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// heap returns the bytes of live objects.
+// heap returns the bytes of heap objects after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -45,22 +45,22 @@
 	return m.HeapAlloc
 }
 
-// Rates are what a time costs.
+// Rates is the resource usage over a period.
 type Rates struct {
-	// Bytes is the control traffic of a balancer in bytes a second, both directions together: the mean, and MaxBytes that
-	// of the balancer with the most.
+	// Bytes is the mean control traffic of a balancer in bytes per second, sent and received; MaxBytes is the highest of
+	// any balancer.
 	Bytes, MaxBytes float64
-	// SessionBytes is the control traffic of one target's session in bytes a second.
+	// SessionBytes is the mean control traffic of a target's session in bytes per second.
 	SessionBytes float64
-	// CPU is the processor time of the whole process for each daemon (balancers and sessions), in percent of one core.
+	// CPU is the processor time of the whole process per daemon (balancers and sessions), in percent of one core.
 	CPU float64
 	// Cores is the processor time of the whole process in cores.
 	Cores float64
-	// Reads and Writes are the balancers' calls of the store a second.
+	// Reads and Writes are the balancers' calls of the store per second.
 	Reads, Writes float64
 }
 
-// ratesBetween compares two usages. Balancers that joined or died in between are left out of the bytes.
+// ratesBetween returns the rates from usage a to usage b. Balancers that joined or died in between don't count in Bytes.
 func ratesBetween(a, b usage, daemons, targets int) Rates {
 	s := b.at.Sub(a.at).Seconds()
 	r := Rates{
