--- a/internal/lab/requests/agent.go
+++ b/internal/lab/requests/agent.go
@@ -11,7 +11,7 @@
 	"github.com/auburnwood/auburnwood/pkg/request"
 )
 
-// agent is one incarnation of an agent's process, as far as requests go.
+// agent is one incarnation of an agent process, without its packet path unless daemon is set.
 type agent struct {
 	name    string
 	target  *target
@@ -20,7 +20,7 @@
 	control net.Listener
 	flows   atomic.Int64
 	leaving atomic.Bool
-	// daemon replaces server and listeners in a run with real daemons.
+	// daemon replaces the server and the listeners in a run with real daemons.
 	daemon Daemon
 
 	mu    sync.Mutex
@@ -28,7 +28,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// startAgent listens and serves. The changes to o that belong to this agent are made here.
+// startAgent listens on loopback and serves. It sets the target and the dial functions in o.
 func startAgent(o request.Options, g *target) (*agent, error) {
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 
 func addrPort(a net.Addr) netip.AddrPort { return a.(*net.TCPAddr).AddrPort() }
 
-// dial opens connections that end with the agent's process, and none after it.
+// dial opens connections that kill closes; after kill it fails.
 func (a *agent) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, network, address)
@@ -83,7 +83,7 @@
 	return t, nil
 }
 
-// kill ends everything as the death of the process would: goroutines may go on, but nothing of theirs leaves.
+// kill simulates the death of the process: goroutines may go on, but all connections and listeners are closed.
 func (a *agent) kill() {
 	if a.daemon != nil {
 		a.daemon.Kill()
--- a/internal/lab/requests/balance.go
+++ b/internal/lab/requests/balance.go
@@ -14,7 +14,7 @@
 	samples map[*target]float64
 }
 
-// sample runs until ctx ends. Targets that are dead count only while they live.
+// sample takes samples until ctx ends. Targets that are dead or whose agents are leaving are not sampled.
 func (b *balance) sample(ctx context.Context) {
 	tick := time.NewTicker(balanceInterval)
 	defer tick.Stop()
@@ -23,12 +23,12 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			b.once()
+			b.sampleOnce()
 		}
 	}
 }
 
-func (b *balance) once() {
+func (b *balance) sampleOnce() {
 	b.cluster.mu.RLock()
 	defer b.cluster.mu.RUnlock()
 	for _, list := range b.cluster.agents {
@@ -42,7 +42,7 @@
 	}
 }
 
-// worst returns the highest ratio of a target's mean to the mean of its service.
+// worst returns the highest ratio of a target's mean of busy slots to the mean of its service's targets.
 func (b *balance) worst() float64 {
 	sum := make(map[string]float64)
 	count := make(map[string]float64)
@@ -62,8 +62,8 @@
 	return worst
 }
 
-// used returns the mean part of the slots that were busy.
-func (b *balance) used() float64 {
+// utilization returns the mean fraction of the slots that were busy.
+func (b *balance) utilization() float64 {
 	busy, slots := 0.0, 0.0
 	for g, n := range b.busy {
 		busy += n / b.samples[g]
--- a/internal/lab/requests/breakdown.go
+++ b/internal/lab/requests/breakdown.go
@@ -9,7 +9,7 @@
 	"github.com/auburnwood/auburnwood/pkg/caller"
 )
 
-// ending is how a piece of work ended, for the printed breakdown.
+// ending classifies the result of a request for the printed breakdown.
 type ending struct {
 	outcome caller.Outcome
 	promise string
@@ -17,7 +17,7 @@
 	cause   string
 }
 
-func (c *checker) endingOf(t told) ending {
+func (c *checker) endingOf(t completion) ending {
 	e := ending{outcome: t.result.Outcome, promise: promiseName(t.work), reason: t.result.Reason}
 	if t.result.Outcome == caller.OutcomeUnknown {
 		e.cause = c.cause(t)
@@ -40,7 +40,7 @@
 	return "plain"
 }
 
-// String is one part of a line of the breakdown.
+// String returns the non-empty parts separated by slashes.
 func (e ending) String() string {
 	s := e.outcome.String() + "/" + e.promise
 	if e.reason != "" {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// printEndings writes how often each ending occurred.
+// printEndings writes the number of requests with each ending.
 func printEndings(out io.Writer, endings map[ending]int) {
 	lines := make(map[string]int)
 	for e, n := range endings {
--- a/internal/lab/requests/checker.go
+++ b/internal/lab/requests/checker.go
@@ -10,15 +10,15 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// checker compares what callers were told with what the targets ran.
+// checker compares the outcomes that callers received with the runs that the targets recorded.
 type checker struct {
-	truth     *truth
-	deaths    *deaths
-	result    Result
-	latencies *hdrhistogram.Histogram
-	ends      []time.Time
-	endings   map[ending]int
-	accounts  []string
+	truth         *truth
+	deaths        *deaths
+	result        Result
+	latencies     *hdrhistogram.Histogram
+	ends          []time.Time
+	endings       map[ending]int
+	falseOutcomes []string
 }
 
 func newChecker(t *truth, d *deaths) *checker {
@@ -26,8 +26,8 @@
 		endings: make(map[ending]int)}
 }
 
-// add checks one piece of work.
-func (c *checker) add(t told) {
+// add checks and counts one completed request.
+func (c *checker) add(t completion) {
 	runs := c.truth.count(t.work.id)
 	c.result.Requests++
 	c.endings[c.endingOf(t)]++
@@ -43,7 +43,7 @@
 	case caller.OutcomeNotRun:
 		c.result.Refused++
 		if runs > 0 {
-			c.lie(t, runs)
+			c.recordFalseOutcome(t, runs)
 		}
 	default:
 		c.result.Unknown++
@@ -53,19 +53,19 @@
 	}
 }
 
-// lie counts a caller that was told the opposite of the truth, and keeps the account for the report.
-func (c *checker) lie(t told, runs int) {
+// recordFalseOutcome counts a caller that received the opposite of the actual outcome, and adds a line to the report.
+func (c *checker) recordFalseOutcome(t completion, runs int) {
 	c.result.Lies++
-	c.accounts = append(c.accounts, fmt.Sprintf("lie: work %d of %s (%s) ran %d times, told %v after %d submissions: "+
-		"status %d reason %s record %s; cut after %v, gone after %v", t.work.id, t.work.service, promiseName(t.work), runs,
+	c.falseOutcomes = append(c.falseOutcomes, fmt.Sprintf("wrong outcome: request %d of %s (%s) ran %d times, reported as %v after %d submissions: "+
+		"status %d reason %s record %s; dropped after %v, cancelled after %v", t.work.id, t.work.service, promiseName(t.work), runs,
 		t.result.Outcome, t.result.Submissions, t.result.Status, t.result.Reason, t.result.Record, t.work.cutAfter,
 		t.work.goneAfter))
 }
 
-// addRan checks that an answer is the whole answer to this work.
-func (c *checker) addRan(t told, runs int) {
+// addRan checks a request that was reported as run, and counts a complete response as late or in time.
+func (c *checker) addRan(t completion, runs int) {
 	if runs == 0 {
-		c.lie(t, runs)
+		c.recordFalseOutcome(t, runs)
 	}
 	if !t.result.Complete {
 		return
@@ -82,7 +82,7 @@
 	_ = c.latencies.RecordValue(t.ended.Sub(t.began).Microseconds())
 }
 
-func (c *checker) checkBody(t told) {
+func (c *checker) checkBody(t completion) {
 	want := workBody(t.work.service, t.work.id, t.work.size)
 	got := string(t.result.Body)
 	switch {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Causes of unknown outcomes. Only the last one breaks a promise.
+// Causes of unknown outcomes. Only causeNone is a violation.
 const (
 	causeGone  = "caller-gone"
 	causeDeath = "process-died"
@@ -103,11 +103,10 @@
 	causeNone  = "UNEXPLAINED"
 )
 
-// cause says why an outcome may be unknown: the caller itself went away from started work, or
-// dropped a submission that it had not protected, or a process died meanwhile, or the
-// caller had itself dropped a submission of which nobody can tell any more: the object API was down, or the issuer of its
-// ticket, taken ahead, had died before.
-func (c *checker) cause(t told) string {
+// cause returns why an outcome may be unknown: the caller cancelled the request or dropped a submission of an idempotent
+// one, a process of the service died meanwhile, or the caller dropped a submission whose outcome can no longer be
+// determined, because the object API was down or the issuer of its prefetched ticket had died before.
+func (c *checker) cause(t completion) string {
 	switch {
 	case t.work.goneAfter > 0, t.work.cutAfter > 0 && t.work.idem:
 		return causeGone
--- a/internal/lab/requests/client.go
+++ b/internal/lab/requests/client.go
@@ -15,13 +15,13 @@
 
 const (
 	callerCount = 40
-	// takeAhead is the number of tickets of one call.
+	// takeAhead is the number of tickets that a client fetches in one call.
 	takeAhead = 4
-	// callerIdle ends idle connections, so that callers come to other agents in time.
+	// callerIdle is the idle timeout of connections, short so that callers reconnect to other agents.
 	callerIdle = time.Second
 )
 
-// client is a stand-in for one caller, with an address of its own on loopback.
+// client simulates one caller, with its own loopback address.
 type client struct {
 	byService map[string]*caller.Client
 }
@@ -40,7 +40,7 @@
 		}
 		c.byService[s.name] = caller.New(caller.Options{
 			Base:        "http://" + s.name,
-			Transport:   &impatient{next: t},
+			Transport:   &droppingTransport{next: t},
 			TicketBatch: takeAhead,
 			Rand:        rand.New(rand.NewPCG(seed, uint64(index))),
 		})
@@ -48,7 +48,7 @@
 	return c
 }
 
-// do carries one piece of work to its end.
+// do makes one planned request, with its deadline, cancellation and dropped submission.
 func (c *client) do(ctx context.Context, w work) caller.Result {
 	ctx, cancel := context.WithTimeout(ctx, w.deadline)
 	defer cancel()
--- a/internal/lab/requests/cluster.go
+++ b/internal/lab/requests/cluster.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// viewDelay is how long others go on using a dead agent.
+	// viewDelay is how long a dead agent stays in the view of the others.
 	viewDelay = 200 * time.Millisecond
-	// claimRate is the writes a second of one agent: 400 of the object API over eleven agents.
+	// claimRate is the writes per second of one agent: the object API's 400 divided among eleven agents.
 	claimRate = 36
 )
 
-// cluster is the agents and targets of one run.
+// cluster holds the agents and targets of one run.
 type cluster struct {
 	policy policy
 	store  *store
@@ -30,7 +30,7 @@
 	pace   pace
 	log    zerolog.Logger
 	rec    *recorder
-	// daemons is nil in a run without them.
+	// daemons is nil in a run without real daemons.
 	daemons Daemons
 
 	mu      sync.RWMutex
@@ -72,7 +72,7 @@
 	return c.startAgent(s, name, g, cold)
 }
 
-// startAgent starts an agent, or the next incarnation of one.
+// startAgent starts a new incarnation of an agent, or a real daemon when the run has daemons.
 func (c *cluster) startAgent(s serviceSize, name string, g *target, cold bool) (*agent, error) {
 	c.mu.Lock()
 	c.next++
@@ -117,7 +117,7 @@
 	c.agents[s.name] = append(c.agents[s.name], a)
 }
 
-// setStoreFaults changes what the object API does.
+// setStoreFaults sets the faults of the object API: an outage, and the loss of responses to writes.
 func (c *cluster) setStoreFaults(down, loses bool) {
 	c.store.down.Store(down)
 	c.store.loses.Store(loses)
@@ -126,7 +126,7 @@
 	}
 }
 
-// remove takes an agent out of the view.
+// remove removes an agent from the view of callers and other agents.
 func (c *cluster) remove(service string, a *agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,8 @@
 	return c.agents[service]
 }
 
-// DialService connects to an agent: the less loaded of two chosen at random, or the one of the caller's hash.
+// DialService connects to an agent that isn't leaving: the one with fewer flows of two chosen at random, or any random
+// one with a policy that doesn't balance load.
 func (c *cluster) DialService(ctx context.Context, service string, caller netip.Addr) (net.Conn, error) {
 	a := c.pick(service, caller)
 	if a == nil {
@@ -168,7 +169,7 @@
 		return nil
 	}
 	first := active[c.rand.IntN(len(active))]
-	if !c.policy.steers() {
+	if !c.policy.balancesLoad() {
 		return first
 	}
 	second := active[c.rand.IntN(len(active))]
@@ -178,7 +179,7 @@
 	return first
 }
 
-// awaitActive waits until real daemons know all targets.
+// awaitActive waits until all targets are active on the real daemons, if there are any.
 func (c *cluster) awaitActive(ctx context.Context) error {
 	if c.daemons == nil {
 		return nil
@@ -186,7 +187,7 @@
 	return c.daemons.AwaitActive(ctx, len(c.targets))
 }
 
-// close ends everything.
+// close kills all agents and targets and closes the daemons.
 func (c *cluster) close() {
 	if c.daemons != nil {
 		defer c.daemons.Close()
--- a/internal/lab/requests/deaths.go
+++ b/internal/lab/requests/deaths.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// deathMargin is how long before and after a request's time a death may explain an unknown outcome.
+// deathMargin extends the time of a request in which a death explains an unknown outcome, at both ends.
 const deathMargin = 100 * time.Millisecond
 
-// deaths remembers when processes of a service died.
+// deaths records when processes of each service died.
 type deaths struct {
 	mu    sync.Mutex
 	times map[string][]time.Time
@@ -16,14 +16,14 @@
 
 func newDeaths() *deaths { return &deaths{times: make(map[string][]time.Time)} }
 
-func (d *deaths) note(service string) {
+func (d *deaths) record(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.times[service] = append(d.times[service], time.Now())
 }
 
-// explain reports whether a process of the service died during the request.
-func (d *deaths) explain(t told) bool {
+// explain reports whether a process of the service died during the request or within deathMargin of it.
+func (d *deaths) explain(t completion) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, at := range d.times[t.work.service] {
--- a/internal/lab/requests/deployment.go
+++ b/internal/lab/requests/deployment.go
@@ -7,16 +7,15 @@
 	slots   int
 }
 
-// deployment is the list of services.
 type deployment []serviceSize
 
-// deployments hold the sizes that the two operators run.
+// deployments are the two operators' services with their numbers of targets and slots.
 var deployments = map[string]deployment{
 	"zarqa":   {{"route-svc", 7, 3}, {"reports-svc", 4, 3}},
 	"saobien": {{"airtime-core", 7, 4}, {"report-svc", 3, 4}},
 }
 
-// capacity is the number of requests a second that the slots can answer.
+// capacity returns the number of requests per second that the slots can serve.
 func (d deployment) capacity(p pace) float64 {
 	slots := 0
 	for _, s := range d {
--- a/internal/lab/requests/doc.go
+++ b/internal/lab/requests/doc.go
@@ -1,3 +1,3 @@
-// Package requests drives the request side of agents on loopback under load and faults, and compares what every caller
-// was told with what the targets ran.
+// Package requests drives the request handling of agents on loopback under load and faults, and compares the outcome
+// that each caller received with the runs that the targets recorded.
 package requests
--- a/internal/lab/requests/impatient.go
+++ b/internal/lab/requests/dropping_transport.go
@@ -10,7 +10,7 @@
 
 type cutKey struct{}
 
-// cut is the one submission that a caller drops.
+// cut is the first submission of a request, which the caller drops after a time.
 type cut struct {
 	after time.Duration
 	done  atomic.Bool
@@ -20,11 +20,10 @@
 	return context.WithValue(ctx, cutKey{}, &cut{after: after})
 }
 
-// impatient drops the first submission of chosen requests, as a caller does whose connection breaks.
-type impatient struct{ next http.RoundTripper }
+// droppingTransport cancels the first submission of requests marked by withCut, like a broken connection.
+type droppingTransport struct{ next http.RoundTripper }
 
-// RoundTrip sends the request.
-func (t *impatient) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *droppingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c, ok := r.Context().Value(cutKey{}).(*cut)
 	if !ok || r.Header.Get(headerWork) == "" || c.done.Swap(true) {
 		return t.next.RoundTrip(r)
@@ -41,13 +40,12 @@
 	return res, nil
 }
 
-// cutBody ends the timer with the body.
+// cutBody calls end, which stops the timer, when the body is closed.
 type cutBody struct {
 	io.ReadCloser
 	end func()
 }
 
-// Close closes the body.
 func (b *cutBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.end()
--- a/internal/lab/requests/fault.go
+++ b/internal/lab/requests/fault.go
@@ -31,7 +31,6 @@
 	faultClaimLost, faultCallerRetry, faultCallerGone, faultTargetDrain, faultTargetJoin, faultStoreDown,
 }
 
-// faultSet is the list of faults of a run.
 type faultSet []fault
 
 func parseFaults(text string) (faultSet, error) {
--- a/internal/lab/requests/injector.go
+++ b/internal/lab/requests/injector.go
@@ -7,7 +7,6 @@
 	"time"
 )
 
-// Times of the faults.
 const (
 	faultInterval   = 700 * time.Millisecond
 	targetDownTime  = 600 * time.Millisecond
@@ -19,7 +18,7 @@
 	lateConnections = 300 * time.Millisecond
 )
 
-// injector causes the faults of a run, one after the other and at most two at once.
+// injector injects the faults of a run, one every faultInterval. A fault may overlap the ones before it.
 type injector struct {
 	cluster *cluster
 	d       deployment
@@ -29,8 +28,9 @@
 	joined  int
 }
 
-// standing sets the faults that last for the whole run: one slow, one lying and one cold target in each service.
-func (i *injector) standing() {
+// applyInitial sets the faults that start with the run: in each service, one slow target, one that reports a load of
+// 0 and one cold target; and lost responses of the object API.
+func (i *injector) applyInitial() {
 	for _, s := range i.d {
 		agents := i.cluster.list(s.name)
 		if i.faults.has(faultSlowTarget) {
@@ -46,7 +46,7 @@
 	i.cluster.setStoreFaults(false, i.faults.has(faultClaimLost))
 }
 
-// run causes faults until ctx ends.
+// run injects faults in rotation until ctx ends.
 func (i *injector) run(ctx context.Context) {
 	var actions []func(serviceSize, *agent)
 	add := func(f fault, action func(serviceSize, *agent)) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// victim chooses an agent in good state while more than two thirds of the service are there.
+// victim returns a random healthy agent, or nil unless more than two thirds of the service's targets are healthy.
 func (i *injector) victim(s serviceSize) *agent {
 	var good []*agent
 	for _, a := range i.cluster.list(s.name) {
@@ -93,14 +93,15 @@
 }
 
 func (i *injector) killTarget(s serviceSize, a *agent) {
-	i.deaths.note(s.name)
+	i.deaths.record(s.name)
 	a.target.kill()
 	time.AfterFunc(targetDownTime, func() { _ = a.target.restart(i.faults.has(faultColdStart)) })
 }
 
-// killAgent kills an agent and starts its next incarnation later; others learn of the death with a delay.
+// killAgent kills an agent and starts its next incarnation after agentDownTime; the dead one stays in the view for
+// viewDelay.
 func (i *injector) killAgent(s serviceSize, a *agent) {
-	i.deaths.note(s.name)
+	i.deaths.record(s.name)
 	a.kill()
 	time.AfterFunc(viewDelay, func() { i.cluster.remove(s.name, a) })
 	time.AfterFunc(agentDownTime, func() { _, _ = i.cluster.startAgent(s, a.name, a.target, false) })
@@ -117,7 +118,7 @@
 	time.AfterFunc(storeDownTime, func() { i.cluster.setStoreFaults(false, loses) })
 }
 
-// drain lets a target leave: others learn of it with a delay. A new target takes its place.
+// drain drains a target and starts a new one in its place. Callers and other agents see the drain after viewLag.
 func (i *injector) drain(s serviceSize, a *agent) {
 	time.AfterFunc(viewLag, func() { a.leaving.Store(true) })
 	if a.daemon != nil {
@@ -143,7 +144,7 @@
 	i.join(s, nil)
 }
 
-// drainDaemon lets a real agent leave, which ends by itself.
+// drainDaemon drains a real agent, which exits by itself, and then kills its target.
 func (i *injector) drainDaemon(s serviceSize, a *agent) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*drainLimit)
 	defer cancel()
--- a/internal/lab/requests/policy.go
+++ b/internal/lab/requests/policy.go
@@ -1,9 +1,9 @@
 package requests
 
-// policy is how the agents of a run decide.
+// policy selects how callers choose agents and how agents queue and shed requests.
 type policy string
 
-// Policies: the system itself and the baselines.
+// policyFull is the system itself; the others are baselines.
 const (
 	policyFull      policy = "auburnwood"
 	policyNoShed    policy = "no-shedding"
@@ -13,7 +13,7 @@
 
 var baselines = []policy{policyNoShed, policyUnbounded, policyHashing}
 
-// noShedSlots lets the agent pass everything on, so that requests queue at the target.
+// noShedSlots is a number of slots or queue places that no run reaches, so that the agent sheds nothing.
 const noShedSlots = 1 << 20
 
-func (p policy) steers() bool { return p == policyFull }
+func (p policy) balancesLoad() bool { return p == policyFull }
--- a/internal/lab/requests/recorder.go
+++ b/internal/lab/requests/recorder.go
@@ -7,10 +7,10 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// recorder counts the refusal records.
+// recorder counts refusal records and discards them.
 type recorder struct{ count atomic.Int64 }
 
-// Record returns an ID.
+// Record returns a new record ID.
 func (r *recorder) Record(refusal.Record) string {
 	return "lab-" + strconv.FormatInt(r.count.Add(1), 10)
 }
--- a/internal/lab/requests/requests_test.go
+++ b/internal/lab/requests/requests_test.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/caller"
 )
 
-// testServiceTime leaves room for the race detector on a busy machine: work that its processors hold up beyond the
-// deadline ends as unknown, which the checker does not accept without a death.
+// testServiceTime is long enough for the race detector on a busy machine: requests delayed beyond the deadline end as
+// unknown, which the checker does not accept without a death.
 const testServiceTime = 100 * time.Millisecond
 
 func TestAllFaultsKeepThePromises(t *testing.T) {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestCheckerSeesBrokenPromises(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	whole := func(body string) caller.Result {
 		return caller.Result{Outcome: caller.OutcomeRan, Complete: true, Status: 200, Body: []byte(body)}
 	}
@@ -38,13 +38,13 @@
 		took   time.Duration
 	}{
 		{"kept", 1, whole(right), "", 0},
-		{"late", 1, whole(right), "more than a hundredth of the accepted work was answered late", 2 * time.Second},
-		{"doubled", 2, whole(right), "non-idempotent work ran twice", 0},
-		{"said no but ran", 1, caller.Result{Outcome: caller.OutcomeNotRun}, "a caller was told the opposite of the truth", 0},
-		{"said ran but did not", 0, whole(right), "a caller was told the opposite of the truth", 0},
-		{"cut", 1, whole(right[:20]), "a short answer looked whole", 0},
-		{"another's", 1, whole("reports-svc work 1\n"), "an answer reached the wrong caller, or a request the wrong service", 0},
-		{"unknown", 1, caller.Result{Outcome: caller.OutcomeUnknown}, "an outcome is unknown although no process died", 0},
+		{"late", 1, whole(right), "more than 1% of the complete responses were late", 2 * time.Second},
+		{"doubled", 2, whole(right), "a non-idempotent request ran more than once", 0},
+		{"said no but ran", 1, caller.Result{Outcome: caller.OutcomeNotRun}, "a caller received the opposite of the actual outcome", 0},
+		{"said ran but did not", 0, whole(right), "a caller received the opposite of the actual outcome", 0},
+		{"cut", 1, whole(right[:20]), "a truncated response looked complete", 0},
+		{"another's", 1, whole("reports-svc work 1\n"), "a response reached the wrong caller, or a request the wrong service", 0},
+		{"unknown", 1, caller.Result{Outcome: caller.OutcomeUnknown}, "an outcome is unknown without a known cause", 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			for range tt.runs {
 				c.truth.began(0)
 			}
-			c.add(told{work: work{service: "route-svc", size: 100, deadline: time.Second}, result: tt.result, ended: time.Time{}.Add(tt.took)})
+			c.add(completion{work: work{service: "route-svc", size: 100, deadline: time.Second}, result: tt.result, ended: time.Time{}.Add(tt.took)})
 			require.Equal(t, tt.want, c.result.broken())
 		})
 	}
--- a/internal/lab/requests/result.go
+++ b/internal/lab/requests/result.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Result is the measured end of a run.
+// Result holds the counts and measurements of a run.
 type Result struct {
-	// Policy and Load are what was run.
+	// Policy and Load are the parameters of the run; Load is relative to the capacity.
 	Policy string
 	Load   float64
-	// Requests is the number of pieces of work, Ran those that a target began to run.
+	// Requests is the number of planned requests, Ran of those that a target began to run.
 	Requests, Ran int
-	// Doubled is the number of non-idempotent pieces that began more than once.
+	// Doubled is the number of non-idempotent requests that targets began to run more than once.
 	Doubled int
-	// Lies is the number of pieces whose caller was told the opposite of the truth.
+	// Lies is the number of requests whose caller received the opposite of the actual outcome.
 	Lies int
-	// Mixed and Truncated count wrong and short answers that looked whole, and requests at the wrong service.
+	// Mixed counts wrong responses that looked complete and requests at the wrong service, Truncated short responses that
+	// looked complete.
 	Mixed, Truncated int
-	// Refused and Unknown count the other two outcomes. Unexplained are the unknown ones without a death or a caller
-	// that went away.
+	// Refused and Unknown count the other two outcomes. Unexplained counts the unknown ones without a known cause, such
+	// as the death of a process or a cancellation by the caller.
 	Refused, Unknown, Unexplained int
-	// Imbalance is the highest mean number of busy slots of a target in relation to the mean of the service; the worst
-	// service counts.
+	// Imbalance is the highest ratio, over all services, of a target's mean number of busy slots to the mean of its
+	// service.
 	Imbalance float64
-	// Goodput is the number of whole answers in time a second; GoodputBaseline is that of the best baseline.
+	// Goodput is the number of complete responses per second within the deadline; GoodputBaseline is that of the best
+	// baseline.
 	Goodput, GoodputBaseline float64
-	// P50 and P99 are of the answers in time.
+	// P50 and P99 are percentiles of the latency of the complete responses within the deadline.
 	P50, P99 time.Duration
-	// Answered is the number of whole answers, Late those of them that came after the deadline.
+	// Answered is the number of complete responses, Late of those that came after the deadline.
 	Answered, Late int
 }
 
-// lateShare of the answers, as a divisor, may be late: the 99th percentile is then within the deadline.
+// lateShare is the divisor of Answered that bounds Late, so that the 99th percentile is within the deadline.
 const lateShare = 100
 
-// String is the line that ends a run.
+// String returns the summary line of a run.
 func (r Result) String() string {
 	return fmt.Sprintf("requests=%d ran=%d doubled=%d lies=%d mixed=%d truncated=%d refused=%d unknown=%d "+
 		"imbalance=%.3f goodput=%.1f goodput_baseline=%.1f p50_ms=%.1f p99_ms=%.1f",
@@ -45,21 +47,21 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// broken names the first broken promise; empty when all were kept.
+// broken describes the first violated guarantee, or is empty.
 func (r Result) broken() string {
 	switch {
 	case r.Doubled > 0:
-		return "non-idempotent work ran twice"
+		return "a non-idempotent request ran more than once"
 	case r.Lies > 0:
-		return "a caller was told the opposite of the truth"
+		return "a caller received the opposite of the actual outcome"
 	case r.Mixed > 0:
-		return "an answer reached the wrong caller, or a request the wrong service"
+		return "a response reached the wrong caller, or a request the wrong service"
 	case r.Truncated > 0:
-		return "a short answer looked whole"
+		return "a truncated response looked complete"
 	case r.Unexplained > 0:
-		return "an outcome is unknown although no process died"
+		return "an outcome is unknown without a known cause"
 	case r.Late*lateShare > r.Answered:
-		return "more than a hundredth of the accepted work was answered late"
+		return "more than 1% of the complete responses were late"
 	}
 	return ""
 }
--- a/internal/lab/requests/run.go
+++ b/internal/lab/requests/run.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// peakPart is the part of the highest goodput that overload must keep.
+	// peakPart is the fraction of the highest goodput that must remain at loads of 2 and more.
 	peakPart = 0.95
-	// baselineShare is the part of the requests that each baseline gets.
+	// baselineShare divides the number of requests for each baseline.
 	baselineShare = 1
-	// gcPercent leaves the processor to the agents: callers, agents and targets share one small heap.
+	// gcPercent reduces garbage collection: callers, agents and targets share one small heap.
 	gcPercent = 800
-	// defaultServiceTime is for options that were not parsed.
+	// defaultServiceTime applies to Options that were not parsed from a command line.
 	defaultServiceTime = 40 * time.Millisecond
-	// warmUp is how long the measured balance waits.
+	// warmUp is the time before the sampling of the balance starts.
 	warmUp = 500 * time.Millisecond
 )
 
-// Run drives the loads of the options one after the other and returns the result of the last, with an error when a
-// promise is broken. It writes a line and the kinds of endings for each load and policy; the last line is the result.
+// Run runs the loads of the options in turn and returns the result of the last, with an error when a guarantee is
+// violated. It writes a line and the breakdown of endings for each load and policy; the last line is the result.
 func Run(ctx context.Context, o Options, out io.Writer) (Result, error) {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	faults, err := parseFaults(o.Faults)
@@ -47,7 +47,7 @@
 	}
 	r := last(results)
 	fmt.Fprintln(out, r)
-	return r, verdict(results)
+	return r, checkResults(results)
 }
 
 func last(results []Result) Result {
@@ -57,8 +57,8 @@
 	return results[len(results)-1]
 }
 
-// verdict returns an error for the first broken promise.
-func verdict(results []Result) error {
+// checkResults returns an error for the first violation, or for a goodput under overload below peakPart of the peak.
+func checkResults(results []Result) error {
 	peak := 0.0
 	for _, r := range results {
 		if why := r.broken(); why != "" {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// runLoad runs one load with the system, and with the baselines.
+// runLoad runs one load with policyFull and, unless NoBaselines is set, with each baseline.
 func runLoad(ctx context.Context, o Options, d deployment, faults faultSet, load float64, out io.Writer) (Result, error) {
 	r, err := runPolicy(ctx, o, d, faults, load, policyFull, o.Requests, out)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return r, nil
 }
 
-// runPolicy offers n pieces of work to a new cluster.
+// runPolicy offers n requests to a new cluster and checks their outcomes.
 func runPolicy(ctx context.Context, o Options, d deployment, faults faultSet, load float64, p policy, n int, out io.Writer) (Result, error) {
 	t := newTruth(n)
 	scale := newPace(or(o.ServiceTime, defaultServiceTime))
@@ -114,7 +114,7 @@
 	plan := planner{d: d, faults: faults, rand: rand.New(rand.NewPCG(o.Seed, 1)), rate: load * d.capacity(scale),
 		pace: scale}
 	inj := &injector{cluster: c, d: d, faults: faults, deaths: dead, rand: rand.New(rand.NewPCG(o.Seed, 2))}
-	inj.standing()
+	inj.applyInitial()
 	bal := &balance{cluster: c, busy: make(map[*target]float64), samples: make(map[*target]float64)}
 	var dialer Dialer = c
 	if daemons != nil {
@@ -125,20 +125,20 @@
 	}
 	list, window := drive(ctx, plan.plan(n, callerCount), d, dialer, inj, bal, o.Seed)
 	check := newChecker(t, dead)
-	for _, told := range list {
-		check.add(told)
+	for _, completed := range list {
+		check.add(completed)
 	}
 	r := check.finish(p, load, bal, window)
 	fmt.Fprintf(out, "load=%.1f policy=%s unexplained=%d late=%d slots_used=%.3f %v\n", load, p, r.Unexplained, r.Late,
-		bal.used(), r)
+		bal.utilization(), r)
 	printEndings(out, check.endings)
-	for _, account := range check.accounts {
-		fmt.Fprintln(out, " ", account)
+	for _, text := range check.falseOutcomes {
+		fmt.Fprintln(out, " ", text)
 	}
 	return r, ctx.Err()
 }
 
-// startDaemons starts the real daemons of a run; the baselines have none.
+// startDaemons starts the real daemons of a run, or returns nil if there are none; baselines run without them.
 func startDaemons(ctx context.Context, o Options, p policy, scale pace) (Daemons, error) {
 	if o.NewDaemons == nil || p != policyFull {
 		return nil, nil
@@ -157,14 +157,13 @@
 	return c.result
 }
 
-// drive lets the callers submit the work at its time. It returns what they were told and the time in which goodput is
-// counted.
-func drive(ctx context.Context, list []work, d deployment, dialer Dialer, inj *injector, bal *balance, seed uint64) ([]told, window) {
+// drive submits each request at its planned time. It returns the completions and the window in which goodput is counted.
+func drive(ctx context.Context, list []work, d deployment, dialer Dialer, inj *injector, bal *balance, seed uint64) ([]completion, window) {
 	clients := make([]*client, callerCount)
 	for i := range clients {
 		clients[i] = newClient(i, d, dialer, seed)
 	}
-	ends := make([]told, len(list))
+	ends := make([]completion, len(list))
 	side, stop := context.WithCancel(ctx)
 	defer stop()
 	go inj.run(side)
@@ -179,7 +178,7 @@
 		g.Go(func() error {
 			began := time.Now()
 			r := clients[w.caller].do(ctx, w)
-			ends[i] = told{work: w, result: r, began: began, ended: time.Now()}
+			ends[i] = completion{work: w, result: r, began: began, ended: time.Now()}
 			return nil
 		})
 	}
--- a/internal/lab/requests/store.go
+++ b/internal/lab/requests/store.go
@@ -12,12 +12,12 @@
 
 const (
 	storeDelay = 2 * time.Millisecond
-	// Parts of the writes whose answer is lost after and before they took effect.
+	// Fractions of the writes whose response is lost after they took effect, and that are lost before.
 	lostAfter  = 0.10
 	lostBefore = 0.05
 )
 
-// store is a stand-in for the object API with only what claims use; the other methods are not available.
+// store is a stand-in for the object API that implements only the methods that claims use.
 type store struct {
 	objectapi.Store
 	down  atomic.Bool
@@ -34,7 +34,7 @@
 	return &store{rand: rand.New(rand.NewPCG(seed, 4)), objects: make(map[string]objectapi.Object)}
 }
 
-// enter waits and locks; the caller unlocks when there is no error.
+// enter waits for storeDelay and locks mu; the caller unlocks it unless there is an error.
 func (s *store) enter(ctx context.Context) error {
 	timer := time.NewTimer(storeDelay)
 	defer timer.Stop()
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// write applies a change, and loses some answers.
+// write stores an object and loses some writes and responses when loses is set; mu is held.
 func (s *store) write(o objectapi.Object) (objectapi.Object, error) {
 	chance := s.rand.Float64()
 	if s.loses.Load() && chance < lostBefore {
@@ -66,7 +66,6 @@
 	return o, nil
 }
 
-// Get returns an object.
 func (s *store) Get(ctx context.Context, _ objectapi.Kind, name string) (objectapi.Object, error) {
 	if err := s.enter(ctx); err != nil {
 		return objectapi.Object{}, err
@@ -79,7 +78,6 @@
 	return o, nil
 }
 
-// Create stores a new object.
 func (s *store) Create(ctx context.Context, kind objectapi.Kind, name string, value []byte) (objectapi.Object, error) {
 	if err := s.enter(ctx); err != nil {
 		return objectapi.Object{}, err
@@ -91,7 +89,7 @@
 	return s.write(objectapi.Object{Kind: kind, Name: name, Value: value})
 }
 
-// Update replaces an object of the given version.
+// Update replaces an object if its stored version is o.Version.
 func (s *store) Update(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	if err := s.enter(ctx); err != nil {
 		return objectapi.Object{}, err
--- a/internal/lab/requests/target.go
+++ b/internal/lab/requests/target.go
@@ -26,7 +26,8 @@
 	shedSeconds = "1"
 )
 
-// target is a stand-in for a server: it runs as many requests as it has slots, lets others wait, and keeps the truth.
+// target simulates a server: it runs as many requests at once as it has slots, queues the others, and records the runs
+// in truth.
 type target struct {
 	service string
 	slots   chan struct{}
@@ -59,13 +60,13 @@
 	return g, nil
 }
 
-// kill ends the target as the death of its process would.
+// kill simulates the death of the target's process.
 func (g *target) kill() {
 	g.dead.Store(true)
 	_ = g.server.Close()
 }
 
-// restart opens the same address again.
+// restart listens on the same address again.
 func (g *target) restart(cold bool) error {
 	l, err := net.Listen("tcp", g.addr.String())
 	if err != nil {
@@ -89,7 +90,6 @@
 	g.coldUntil = time.Now().Add(coldTime)
 }
 
-// ServeHTTP answers one request.
 func (g *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/load" {
 		g.serveLoad(w)
@@ -113,14 +113,14 @@
 	}
 	defer g.leave()
 	g.truth.began(work)
-	g.pause(r.Context())
+	g.simulateWork(r.Context())
 	if g.dead.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	g.answer(w, r, work)
 }
 
-// enter waits for a slot. Cancelled work and work of a dead process never begins.
+// enter waits for a slot. It returns false for a cancelled request or a dead target, which must not run.
 func (g *target) enter(ctx context.Context) bool {
 	g.waiting.Add(1)
 	defer g.waiting.Add(-1)
@@ -142,8 +142,8 @@
 	<-g.slots
 }
 
-// pause is the service time: uniform from half to one and a half of the mean.
-func (g *target) pause(ctx context.Context) {
+// simulateWork waits for the service time, uniform from 0.5 to 1.5 times the mean, and longer on a cold or slow target.
+func (g *target) simulateWork(ctx context.Context) {
 	g.mu.Lock()
 	d := g.pace.service/2 + time.Duration(g.rand.Int64N(int64(g.pace.service)))
 	if time.Now().Before(g.coldUntil) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// answer sends a body that names the work, and its checksum in a trailer.
+// answer sends a body that names the request, with its checksum in a trailer, or in a header if no size was requested.
 func (g *target) answer(w http.ResponseWriter, r *http.Request, work int) {
 	size, err := strconv.Atoi(r.Header.Get(headerSize))
 	if err != nil {
@@ -185,7 +185,7 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// serveLoad is the platform's load endpoint; one that lies says that nothing runs.
+// serveLoad is the platform's load endpoint; a lying target reports 0.
 func (g *target) serveLoad(w http.ResponseWriter) {
 	load := g.busy.Load() + g.waiting.Load()
 	if g.lying.Load() {
@@ -194,7 +194,7 @@
 	_, _ = fmt.Fprintln(w, load)
 }
 
-// workBody is the right answer of a piece of work.
+// workBody returns the correct response body of a request, at least size bytes long.
 func workBody(service string, work, size int) string {
 	line := fmt.Sprintf("%s work %d\n", service, work)
 	if size <= len(line) {
--- a/internal/lab/requests/truth.go
+++ b/internal/lab/requests/truth.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// truth counts, for each piece of work, how often a target began to run it.
+// truth counts how often targets began to run each request, and in wrong the mismatches of service or body.
 type truth struct {
 	runs  []atomic.Int32
 	wrong atomic.Int64
--- a/internal/lab/requests/view.go
+++ b/internal/lab/requests/view.go
@@ -2,16 +2,16 @@
 
 import "github.com/auburnwood/auburnwood/pkg/request"
 
-// view is what one agent knows of the others of its service.
+// view is one agent's view of the other agents of its service.
 type view struct {
 	cluster *cluster
 	service string
 	self    string
 }
 
-// Candidates returns the agents that don't leave.
+// Candidates returns the other agents that aren't leaving; none with a policy that doesn't balance load.
 func (v *view) Candidates() []request.Peer {
-	if !v.cluster.policy.steers() {
+	if !v.cluster.policy.balancesLoad() {
 		return nil
 	}
 	var peers []request.Peer
@@ -23,7 +23,7 @@
 	return peers
 }
 
-// Find returns an agent by name; of two incarnations the later.
+// Find returns the agent with the name, the latest incarnation if there are several.
 func (v *view) Find(name string) (request.Peer, bool) {
 	agents := v.cluster.list(v.service)
 	for i := len(agents) - 1; i >= 0; i-- {
--- a/internal/lab/requests/work.go
+++ b/internal/lab/requests/work.go
@@ -7,19 +7,19 @@
 	"github.com/auburnwood/auburnwood/pkg/caller"
 )
 
-// Parts of the workload. Half of the requests are not idempotent.
+// Shares of the workload. Half of the requests are not idempotent.
 const (
-	partTicket  = 0.30
-	partKey     = 0.12
-	partPlain   = 0.08
-	partLarge   = 0.02
+	ticketShare = 0.30
+	keyShare    = 0.12
+	plainShare  = 0.08
+	largeShare  = 0.02
 	largeAnswer = 200 << 10
-	// Parts of the requests that faultCallerRetry and faultCallerGone touch.
-	partRetry = 0.05
-	partGone  = 0.03
+	// Shares of the requests that faultCallerRetry and faultCallerGone affect.
+	retryShare = 0.05
+	goneShare  = 0.03
 )
 
-// work is one planned piece of work.
+// work is one planned request.
 type work struct {
 	id      int
 	service string
@@ -28,15 +28,15 @@
 	promise caller.Protection
 	idem    bool
 	size    int
-	// deadline is the time that the caller gives.
+	// deadline is the caller's timeout for the request.
 	deadline time.Duration
-	// cutAfter is when the caller drops its first submission and repeats it; 0 means never.
+	// cutAfter is the time after which the caller drops its first submission and retries; 0 means never.
 	cutAfter time.Duration
-	// goneAfter is when the caller gives the work up; 0 means never.
+	// goneAfter is the time after which the caller cancels the request; 0 means never.
 	goneAfter time.Duration
 }
 
-// planner makes the workload from a seed.
+// planner generates the workload.
 type planner struct {
 	d      deployment
 	faults faultSet
@@ -45,44 +45,44 @@
 	pace   pace
 }
 
-// plan returns n pieces of work with Poisson arrivals.
+// plan returns n requests with Poisson arrivals.
 func (p *planner) plan(n, callers int) []work {
 	list := make([]work, n)
 	var at time.Duration
 	for i := range list {
 		at += time.Duration(p.rand.ExpFloat64() / p.rate * float64(time.Second))
-		list[i] = p.one(i, at, callers)
+		list[i] = p.planOne(i, at, callers)
 	}
 	return list
 }
 
-func (p *planner) one(id int, at time.Duration, callers int) work {
+func (p *planner) planOne(id int, at time.Duration, callers int) work {
 	w := work{id: id, at: at, caller: p.rand.IntN(callers), service: p.service(), deadline: p.pace.deadline}
 	switch x := p.rand.Float64(); {
-	case x < partTicket:
+	case x < ticketShare:
 		w.promise = caller.ProtectionTicket
-	case x < partTicket+partKey:
+	case x < ticketShare+keyShare:
 		w.promise = caller.ProtectionKey
-	case x < partTicket+partKey+partPlain:
+	case x < ticketShare+keyShare+plainShare:
 		w.promise = caller.ProtectionNone
 	default:
 		w.promise = caller.ProtectionNone
 		w.idem = true
 	}
-	if w.idem && p.rand.Float64() < 2*partLarge {
+	if w.idem && p.rand.Float64() < 2*largeShare {
 		w.size = largeAnswer
 	}
 	protected := w.idem || w.promise != caller.ProtectionNone
-	if x := p.rand.Float64(); protected && p.faults.has(faultCallerRetry) && x < partRetry {
+	if x := p.rand.Float64(); protected && p.faults.has(faultCallerRetry) && x < retryShare {
 		w.cutAfter = time.Duration(1 + p.rand.Int64N(int64(2*p.pace.service)))
 	}
-	if x := p.rand.Float64(); p.faults.has(faultCallerGone) && x < partGone {
+	if x := p.rand.Float64(); p.faults.has(faultCallerGone) && x < goneShare {
 		w.goneAfter = time.Duration(1 + p.rand.Int64N(int64(4*p.pace.service)))
 	}
 	return w
 }
 
-// service chooses a service in proportion to its slots.
+// service chooses a service at random in proportion to its slots.
 func (p *planner) service() string {
 	all := 0
 	for _, s := range p.d {
