--- a/internal/lab/control/change.go
+++ b/internal/lab/control/change.go
@@ -58,7 +58,7 @@
 
 const (
 	servicePort = 80
-	wrongMode   = "datagram"
+	invalidMode = "datagram"
 )
 
 func newService(name string, number uint32, ips ...string) resource.Service {
--- a/internal/lab/control/control_test.go
+++ b/internal/lab/control/control_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestShortRunKeepsThePromises(t *testing.T) {
+func TestShortRunMeetsGuarantees(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	r, err := Run(t.Context(), shortRun(), &out)
@@ -82,7 +82,7 @@
 
 func TestFitFindsThePlane(t *testing.T) {
 	points := []Point{{Size: Size{Balancers: 1}}, {Size: Size{Balancers: 2, Targets: 1}}, {Size: Size{Balancers: 3, Targets: 5}}, {Size: Size{Targets: 7}}}
-	c, err := plane(points, func(p Point) float64 { return 5 + 2*float64(p.Balancers) + 3*float64(p.Targets) })
+	c, err := fitPlane(points, func(p Point) float64 { return 5 + 2*float64(p.Balancers) + 3*float64(p.Targets) })
 	require.NoError(t, err)
 	require.InDeltaSlice(t, []float64{5, 2, 3}, c[:], 1e-9)
 }
--- a/internal/lab/control/judge.go
+++ b/internal/lab/control/judge.go
@@ -45,7 +45,7 @@
 	return j
 }
 
-func (j *judge) broken(format string, args ...any) {
+func (j *judge) addViolation(format string, args ...any) {
 	j.result.Broken = append(j.result.Broken, fmt.Sprintf(format, args...))
 }
 
@@ -66,7 +66,7 @@
 	}
 	j.result.Operations += len(j.t.heads)
 	if bad := checkHistory(j.t.heads, lists); bad != "" {
-		j.broken("history: %s", bad)
+		j.addViolation("history: %s", bad)
 	}
 }
 
@@ -76,9 +76,9 @@
 	for _, o := range x.calls {
 		switch a := o.result.Action; {
 		case o.err == nil && !o.stored:
-			j.broken("change %d of %s: reported as %q, but it isn't stored", x.number, x.service.Name, a)
+			j.addViolation("change %d of %s: reported as %q, but it isn't stored", x.number, x.service.Name, a)
 		case known && o.stored && (a == ctl.ActionConflict || a == ctl.ActionFailed):
-			j.broken("change %d of %s: reported as %q (%s), but it is stored", x.number, x.service.Name, a, o.result.Detail)
+			j.addViolation("change %d of %s: reported as %q (%s), but it is stored", x.number, x.service.Name, a, o.result.Detail)
 		}
 		known = known && !o.stored && o.result.Action != ctl.ActionUnknown
 	}
@@ -96,7 +96,7 @@
 		j.result.Accepted++
 		j.result.Judged = append(j.result.Judged, h.done.Sub(j.storedAt[v]))
 		if x.kind == changeInvalid {
-			j.broken("change %d of %s is invalid, but revision %d holds it", x.number, x.service.Name, h.head.Revision)
+			j.addViolation("change %d of %s is invalid, but revision %d holds it", x.number, x.service.Name, h.head.Revision)
 		}
 		j.measureInForce(x, v, h)
 		return
@@ -109,7 +109,7 @@
 		j.result.Superseded++
 		return
 	}
-	j.broken("change %d of %s (version %d, %s) was neither accepted nor rejected", x.number, x.service.Name, v, x.kind)
+	j.addViolation("change %d of %s (version %d, %s) was neither accepted nor rejected", x.number, x.service.Name, v, x.kind)
 }
 
 func (j *judge) notStored(x *change) {
@@ -144,7 +144,7 @@
 			last, measured = max(last, at.Sub(h.done)), true
 		case b.died.IsZero():
 			j.result.Lost++
-			j.broken("change %d of %s (revision %d) isn't in force on %s", x.number, x.service.Name, h.head.Revision, b.name)
+			j.addViolation("change %d of %s (revision %d) isn't in force on %s", x.number, x.service.Name, h.head.Revision, b.name)
 			return
 		}
 	}
@@ -190,7 +190,7 @@
 	for _, h := range j.t.heads {
 		if h.head.Revision < number {
 			j.result.Reverted++
-			j.broken("the head's revision decreases from %d to %d", number, h.head.Revision)
+			j.addViolation("the head's revision decreases from %d to %d", number, h.head.Revision)
 		}
 		if h.head.Revision > number {
 			j.result.Revisions++
@@ -213,11 +213,11 @@
 	}
 	if now == 0 {
 		j.result.Lost++
-		j.broken("revision %d lacks %s, which was accepted as version %d", h.head.Revision, name, before)
+		j.addViolation("revision %d lacks %s, which was accepted as version %d", h.head.Revision, name, before)
 		return
 	}
 	j.result.Reverted++
-	j.broken("revision %d moves %s back from version %d to %d", h.head.Revision, name, before, now)
+	j.addViolation("revision %d moves %s back from version %d to %d", h.head.Revision, name, before, now)
 }
 
 // adoptions checks that no balancer's revision decreases.
@@ -227,7 +227,7 @@
 		for _, a := range b.history() {
 			if a.number < before {
 				j.result.Reverted++
-				j.broken("%s goes back from revision %d to %d", b.name, before, a.number)
+				j.addViolation("%s goes back from revision %d to %d", b.name, before, a.number)
 			}
 			before = a.number
 		}
--- a/internal/lab/control/judge_status.go
+++ b/internal/lab/control/judge_status.go
@@ -22,14 +22,14 @@
 func (j *judge) status(w statusWrite, judged serviceWrite) {
 	c, _ := w.status.Condition(resource.ConditionAccepted)
 	if judged.version == 0 {
-		j.broken("status of %s refers to version %d, which was never stored", w.status.Name, w.status.ObservedVersion)
+		j.addViolation("status of %s refers to version %d, which was never stored", w.status.Name, w.status.ObservedVersion)
 		return
 	}
 	if c.Status == resource.StatusFalse {
 		j.checkRejection(w, judged, c)
 	}
 	if h, ok := j.accepted[w.status.ObservedVersion]; c.Status == resource.StatusTrue && (!ok || h.done.After(w.at)) {
-		j.broken("status of %s says that version %d is accepted, but no head named it", w.status.Name, w.status.ObservedVersion)
+		j.addViolation("status of %s says that version %d is accepted, but no head named it", w.status.Name, w.status.ObservedVersion)
 	}
 	if w.status.AcceptedRevision > 0 && w.status.InForce.Complete() {
 		j.checkInForce(w)
@@ -41,12 +41,12 @@
 	ok := false
 	switch c.Reason {
 	case resource.ReasonInvalid:
-		ok = judged.service.Spec.Mode == wrongMode && strings.Contains(c.Message, "spec.mode")
+		ok = judged.service.Spec.Mode == invalidMode && strings.Contains(c.Message, "spec.mode")
 	case resource.ReasonAddressConflict:
 		ok = j.heldByOther(judged.service, c.Message)
 	}
 	if !ok {
-		j.broken("status of %s refuses version %d for %s: %s, which isn't true", w.status.Name, judged.version, c.Reason, c.Message)
+		j.addViolation("status of %s rejects version %d for %s: %s, which isn't true", w.status.Name, judged.version, c.Reason, c.Message)
 	}
 }
 
@@ -92,7 +92,7 @@
 			continue
 		}
 		if at, ok := b.inForceAt(w.status.AcceptedRevision); !ok || at.After(w.at) {
-			j.broken("status of %s says that revision %d is in force on %s, but %s didn't use it", w.status.Name,
+			j.addViolation("status of %s says that revision %d is in force on %s, but %s didn't use it", w.status.Name,
 				w.status.AcceptedRevision, w.status.InForce, b.name)
 		}
 	}
--- a/internal/lab/control/judge_test.go
+++ b/internal/lab/control/judge_test.go
@@ -62,11 +62,11 @@
 		statusOf(6, "svc-00", 4, accepted()),
 		statusOf(6, "svc-02", 5, refused(resource.ReasonAddressConflict, trueConflict)),
 	}
-	told := callOutcome{result: ctl.ApplyResult{Action: ctl.ActionConfigured}, stored: true}
+	success := callOutcome{result: ctl.ApplyResult{Action: ctl.ActionConfigured}, stored: true}
 	b := &balancer{name: "balancer-001", adoptions: []adoption{{at(3), 1, before.sum}, {at(7), 2, after.sum}}}
 	return &scenario{truth: t, balancer: b, changes: []*change{
-		{number: 3, service: changed, calls: []callOutcome{told}},
-		{number: 4, kind: changeClaim, service: claim, calls: []callOutcome{told}},
+		{number: 3, service: changed, calls: []callOutcome{success}},
+		{number: 4, kind: changeClaim, service: claim, calls: []callOutcome{success}},
 	}}
 }
 
@@ -91,7 +91,7 @@
 func TestJudgeDetectsViolations(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		spoil      func(s *scenario)
+		corrupt    func(s *scenario)
 	}{
 		{"a change that isn't in force", "isn't in force on balancer-001", func(s *scenario) {
 			s.balancer.adoptions = s.balancer.adoptions[:1]
@@ -106,13 +106,13 @@
 		{"a service that is missing later", "lacks svc-00", func(s *scenario) {
 			s.truth.heads = append(s.truth.heads, headOf(8, 3, s.truth.heads[1].revision.Services[1]))
 		}},
-		{"a change without a judgement", "neither accepted nor rejected", func(s *scenario) { s.truth.statuses = s.truth.statuses[:1] }},
+		{"a change without a status", "neither accepted nor rejected", func(s *scenario) { s.truth.statuses = s.truth.statuses[:1] }},
 		{"an invalid change in force", "is invalid, but revision 2", func(s *scenario) { s.changes[0].kind = changeInvalid }},
 		{"a late change", "more than 1s", func(s *scenario) { s.balancer.adoptions[1].at = at(20) }},
 		{"a false address conflict", "isn't true", func(s *scenario) {
 			s.truth.statuses[1] = statusOf(6, "svc-02", 5, refused(resource.ReasonAddressConflict, strings.ReplaceAll(trueConflict, "svc-00", "svc-01")))
 		}},
-		{"a false mistake", "isn't true", func(s *scenario) {
+		{"a false validation error", "isn't true", func(s *scenario) {
 			s.truth.statuses[1] = statusOf(6, "svc-02", 5, refused(resource.ReasonInvalid, "spec.mode: is wrong"))
 		}},
 		{"a false acceptance", "no head named it", func(s *scenario) {
@@ -122,8 +122,8 @@
 			s.truth.statuses[0].status.AcceptedRevision = 2
 			s.truth.statuses[0].status.InForce = resource.InForce{Adopted: 1, Known: 1}
 		}},
-		{"an operator told of a write that isn't there", "but it isn't stored", func(s *scenario) { s.changes[0].calls[0].stored = false }},
-		{"an operator told of a conflict that isn't one", "but it is stored", func(s *scenario) {
+		{"a success reported for a change that isn't stored", "but it isn't stored", func(s *scenario) { s.changes[0].calls[0].stored = false }},
+		{"a conflict reported for a stored change", "but it is stored", func(s *scenario) {
 			s.changes[0].calls[0].err = objectapi.ErrConflict
 			s.changes[0].calls[0].result.Action = ctl.ActionConflict
 		}},
@@ -131,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScenario()
-			c.spoil(s)
+			c.corrupt(s)
 			require.Contains(t, strings.Join(s.judge().Broken, "\n"), c.want)
 		})
 	}
--- a/internal/lab/control/operators.go
+++ b/internal/lab/control/operators.go
@@ -21,9 +21,9 @@
 	claimEvery   = 17
 	// raceEvery says how often two changes are made concurrently under FaultRacingOperators.
 	raceEvery = 4
-	// callRetry is the pause after a failed call, and callLimit the maximum number of calls of one change.
-	callRetry = 300 * time.Millisecond
-	callLimit = 100
+	// callRetryDelay is the pause after a failed call, and callLimit the maximum number of calls of one change.
+	callRetryDelay = 300 * time.Millisecond
+	callLimit      = 100
 )
 
 // operators make changes and record the results.
@@ -82,7 +82,7 @@
 		return o.race(i, service)
 	case i%invalidEvery == invalidEvery-1:
 		x := o.add(changeInvalid, serviceName(service), serviceIP(service))
-		x.service.Spec.Mode = wrongMode
+		x.service.Spec.Mode = invalidMode
 		return []*change{x}
 	case i%claimEvery == claimEvery-1 && n > 1:
 		return []*change{o.add(changeClaim, serviceName(service), serviceIP(service), serviceIP((service+1)%n))}
@@ -125,7 +125,7 @@
 		if err == nil || errors.Is(err, objectapi.ErrConflict) {
 			return
 		}
-		_ = wait.For(ctx, callRetry)
+		_ = wait.For(ctx, callRetryDelay)
 	}
 }
 
--- a/internal/lab/control/result.go
+++ b/internal/lab/control/result.go
@@ -8,10 +8,10 @@
 
 // Guaranteed times until a change is in force on every live balancer.
 const (
-	// MostWithStore bounds the 99th percentile while the store is up.
-	MostWithStore = time.Second
-	// MostWithoutStore bounds the 99th percentile when the store goes down right after the acceptance.
-	MostWithoutStore = 4 * time.Second
+	// MaxInForceStoreUp bounds the 99th percentile while the store is up.
+	MaxInForceStoreUp = time.Second
+	// MaxInForceStoreDown bounds the 99th percentile when the store goes down right after the acceptance.
+	MaxInForceStoreDown = 4 * time.Second
 )
 
 // Result is the outcome of a run.
@@ -70,10 +70,10 @@
 	if r.RecordsLost > 0 {
 		broken("%d refused callers have no record", r.RecordsLost)
 	}
-	if p := percentile(r.InForce, 0.99); p > MostWithStore {
-		broken("in force after %s at p99 with the store up, more than %s", p.Round(time.Millisecond), MostWithStore)
+	if p := percentile(r.InForce, 0.99); p > MaxInForceStoreUp {
+		broken("in force after %s at p99 with the store up, more than %s", p.Round(time.Millisecond), MaxInForceStoreUp)
 	}
-	if p := percentile(r.WithoutStore, 0.99); p > MostWithoutStore {
-		broken("in force after %s at p99 with the store down, more than %s", p.Round(time.Millisecond), MostWithoutStore)
+	if p := percentile(r.WithoutStore, 0.99); p > MaxInForceStoreDown {
+		broken("in force after %s at p99 with the store down, more than %s", p.Round(time.Millisecond), MaxInForceStoreDown)
 	}
 }
--- a/internal/lab/control/run.go
+++ b/internal/lab/control/run.go
@@ -32,7 +32,7 @@
 	r.judge()
 	r.print()
 	if n := len(r.result.Broken); n > 0 {
-		return r.result, trace.Errorf("%d promises are broken, the first: %s", n, r.result.Broken[0])
+		return r.result, trace.Errorf("%d violations, the first: %s", n, r.result.Broken[0])
 	}
 	return r.result, nil
 }
@@ -99,8 +99,8 @@
 	r.result.checkLimits()
 }
 
-// mostPrinted bounds the number of violations that are printed.
-const mostPrinted = 20
+// maxPrinted bounds the number of violations that are printed.
+const maxPrinted = 20
 
 func (r *run) print() {
 	x := r.result
@@ -119,7 +119,7 @@
 	line("settled after               %s", r.settled.Round(time.Millisecond))
 	line("without changes             %s", x.Idle)
 	line("with changes                %s", x.Busy)
-	for _, p := range x.Broken[:min(len(x.Broken), mostPrinted)] {
+	for _, p := range x.Broken[:min(len(x.Broken), maxPrinted)] {
 		line("PROMISE BROKEN: %s", p)
 	}
 	line("%s", x.Line())
--- a/internal/lab/control/script.go
+++ b/internal/lab/control/script.go
@@ -163,7 +163,7 @@
 func (s *script) outage(ctx context.Context) {
 	down := make(chan uint64, 1)
 	s.c.truth.set(func() {
-		s.c.truth.armed = func(number uint64) {
+		s.c.truth.onAdvance = func(number uint64) {
 			s.faults(func(f *store.Faults) { f.Outage = true })
 			down <- number
 		}
--- a/internal/lab/control/sweep.go
+++ b/internal/lab/control/sweep.go
@@ -43,7 +43,7 @@
 	line("")
 	line("%-54s %12s %14s %14s", "least squares over the points", "at nothing", "per balancer", "per target")
 	for _, f := range fits {
-		c, err := plane(points, f.value)
+		c, err := fitPlane(points, f.value)
 		if err != nil {
 			return trace.Wrap(err, "fit %s", f.name)
 		}
@@ -79,8 +79,8 @@
 	{"a revision: store writes of the fleet", perRevision(func(r Rates) float64 { return r.Writes })},
 }
 
-// plane returns the constant and the slopes for balancers and targets of a least-squares fit.
-func plane(points []Point, value func(Point) float64) ([3]float64, error) {
+// fitPlane returns the constant and the slopes for balancers and targets of a least-squares fit.
+func fitPlane(points []Point, value func(Point) float64) ([3]float64, error) {
 	var rows, values []float64
 	for _, p := range points {
 		rows = append(rows, 1, float64(p.Balancers), float64(p.Targets))
--- a/internal/lab/control/truth.go
+++ b/internal/lab/control/truth.go
@@ -26,8 +26,8 @@
 	loseShare float64
 	// latency and jitter delay every call.
 	latency, jitter time.Duration
-	// armed, when not nil, is called once, with mu held, right after the head has advanced.
-	armed func(number uint64)
+	// onAdvance, when not nil, is called once, with mu held, right after the head has advanced.
+	onAdvance func(number uint64)
 
 	parts    map[string]objectapi.Object
 	heads    []headWrite
@@ -119,14 +119,14 @@
 	if err != nil {
 		return o, err
 	}
-	cutNow := t.record(o, began)
-	if !cutNow && t.random.Float64() < t.loseShare {
+	notified := t.record(o, began)
+	if !notified && t.random.Float64() < t.loseShare {
 		return objectapi.Object{}, objectapi.Fail(objectapi.OpUpdate, o.Kind, o.Name, "lab", objectapi.ErrOutcomeUnknown, nil)
 	}
 	return o, nil
 }
 
-// record stores the effect of a write and reports whether it called t.armed; t.mu is held.
+// record stores the effect of a write and reports whether it called t.onAdvance; t.mu is held.
 func (t *truth) record(o objectapi.Object, began time.Time) bool {
 	now := time.Now()
 	switch o.Kind {
@@ -173,12 +173,12 @@
 		t.late = append(t.late, "head written by "+h.Holder+" after "+before.head.Holder+" had claimed it")
 	}
 	t.heads = append(t.heads, w)
-	if t.armed == nil || h.Revision <= before.head.Revision {
+	if t.onAdvance == nil || h.Revision <= before.head.Revision {
 		return false
 	}
-	armed := t.armed
-	t.armed = nil
-	armed(h.Revision)
+	onAdvance := t.onAdvance
+	t.onAdvance = nil
+	onAdvance(h.Revision)
 	return true
 }
 
@@ -213,7 +213,7 @@
 	return t.lease
 }
 
-// set calls change with the lock held, to change latency, jitter, loseShare or armed.
+// set calls change with the lock held, to change latency, jitter, loseShare or onAdvance.
 func (t *truth) set(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/requests/injector.go
+++ b/internal/lab/requests/injector.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	faultInterval   = 700 * time.Millisecond
-	targetDownTime  = 600 * time.Millisecond
-	agentDownTime   = 500 * time.Millisecond
-	shedTime        = 800 * time.Millisecond
-	storeDownTime   = 500 * time.Millisecond
-	drainLimit      = 10 * time.Second
-	viewLag         = 100 * time.Millisecond
-	lateConnections = 300 * time.Millisecond
+	faultInterval      = 700 * time.Millisecond
+	targetDownTime     = 600 * time.Millisecond
+	agentDownTime      = 500 * time.Millisecond
+	shedTime           = 800 * time.Millisecond
+	storeDownTime      = 500 * time.Millisecond
+	drainLimit         = 10 * time.Second
+	drainViewDelay     = 100 * time.Millisecond
+	lateConnectionTime = 300 * time.Millisecond
 )
 
 // injector injects the faults of a run, one every faultInterval. A fault may overlap the ones before it.
@@ -120,7 +120,7 @@
 
 // drain drains a target and starts a new one in its place. Callers and other agents see the drain after viewLag.
 func (i *injector) drain(s serviceSize, a *agent) {
-	time.AfterFunc(viewLag, func() { a.leaving.Store(true) })
+	time.AfterFunc(drainViewDelay, func() { a.leaving.Store(true) })
 	if a.daemon != nil {
 		go i.drainDaemon(s, a)
 		i.join(s, nil)
@@ -132,7 +132,7 @@
 		if a.server.Drain(ctx) != nil {
 			return
 		}
-		time.Sleep(lateConnections)
+		time.Sleep(lateConnectionTime)
 		i.cluster.remove(s.name, a)
 		time.Sleep(i.cluster.pace.deadline)
 		if a.server.Drain(ctx) != nil {
--- a/internal/lab/requests/requests_test.go
+++ b/internal/lab/requests/requests_test.go
@@ -14,7 +14,7 @@
 // unknown, which the checker does not accept without a death.
 const testServiceTime = 100 * time.Millisecond
 
-func TestAllFaultsKeepThePromises(t *testing.T) {
+func TestAllFaultsMeetGuarantees(t *testing.T) {
 	for _, name := range []string{"zarqa", "saobien"} {
 		t.Run(name, func(t *testing.T) {
 			o := Options{Deployment: name, ServiceTime: testServiceTime, Requests: 1500, Loads: []float64{0.9}, Faults: "all", Seed: 7, NoBaselines: true}
@@ -26,7 +26,7 @@
 }
 
 func TestCheckerDetectsViolations(t *testing.T) {
-	whole := func(body string) caller.Result {
+	complete := func(body string) caller.Result {
 		return caller.Result{Outcome: caller.OutcomeRan, Complete: true, Status: 200, Body: []byte(body)}
 	}
 	right := workBody("route-svc", 0, 100)
@@ -37,13 +37,13 @@
 		want   string
 		took   time.Duration
 	}{
-		{"kept", 1, whole(right), "", 0},
-		{"late", 1, whole(right), "more than 1% of the complete responses were late", 2 * time.Second},
-		{"doubled", 2, whole(right), "a non-idempotent request ran more than once", 0},
-		{"said no but ran", 1, caller.Result{Outcome: caller.OutcomeNotRun}, "a caller received the opposite of the actual outcome", 0},
-		{"said ran but did not", 0, whole(right), "a caller received the opposite of the actual outcome", 0},
-		{"cut", 1, whole(right[:20]), "a truncated response looked complete", 0},
-		{"another's", 1, whole("reports-svc work 1\n"), "a response reached the wrong caller, or a request the wrong service", 0},
+		{"kept", 1, complete(right), "", 0},
+		{"late", 1, complete(right), "more than 1% of the complete responses were late", 2 * time.Second},
+		{"doubled", 2, complete(right), "a non-idempotent request ran more than once", 0},
+		{"reported as not run but ran", 1, caller.Result{Outcome: caller.OutcomeNotRun}, "a caller received the opposite of the actual outcome", 0},
+		{"reported as run but did not run", 0, complete(right), "a caller received the opposite of the actual outcome", 0},
+		{"cut", 1, complete(right[:20]), "a truncated response looked complete", 0},
+		{"another's", 1, complete("reports-svc work 1\n"), "a response reached the wrong caller, or a request the wrong service", 0},
 		{"unknown", 1, caller.Result{Outcome: caller.OutcomeUnknown}, "an outcome is unknown without a known cause", 0},
 	}
 	for _, tt := range tests {
--- a/internal/lab/requests/run.go
+++ b/internal/lab/requests/run.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// peakPart is the fraction of the highest goodput that must remain at loads of 2 and more.
-	peakPart = 0.95
+	// minPeakShare is the fraction of the highest goodput that must remain at loads of 2 and more.
+	minPeakShare = 0.95
 	// baselineShare divides the number of requests for each baseline.
 	baselineShare = 1
 	// gcPercent reduces garbage collection: callers, agents and targets share one small heap.
@@ -67,9 +67,9 @@
 		peak = max(peak, r.Goodput)
 	}
 	for _, r := range results {
-		if r.Load >= 2 && r.Goodput < peakPart*peak {
+		if r.Load >= 2 && r.Goodput < minPeakShare*peak {
 			return trace.CompareFailed("load %.1f: goodput %.1f is below %.2f of the peak %.1f", r.Load, r.Goodput,
-				peakPart, peak)
+				minPeakShare, peak)
 		}
 	}
 	return nil
