--- a/internal/lab/control/script.go
+++ b/internal/lab/control/script.go
@@ -50,7 +50,7 @@
 }
 
 const (
-	// outageTime is longer than MostWithoutStore, so that a change must come into force during the outage.
+	// outageTime is longer than MaxInForceStoreDown, so that a change must come into force during the outage.
 	outageTime = 5 * time.Second
 	// slowLatency and slowJitter delay a call when the store is slow.
 	slowLatency = 100 * time.Millisecond
--- a/internal/lab/requests/breakdown.go
+++ b/internal/lab/requests/breakdown.go
@@ -11,14 +11,14 @@
 
 // ending classifies the result of a request for the printed breakdown.
 type ending struct {
-	outcome caller.Outcome
-	promise string
-	reason  string
-	cause   string
+	outcome    caller.Outcome
+	protection string
+	reason     string
+	cause      string
 }
 
 func (c *checker) endingOf(t completion) ending {
-	e := ending{outcome: t.result.Outcome, promise: promiseName(t.work), reason: t.result.Reason}
+	e := ending{outcome: t.result.Outcome, protection: protectionName(t.work), reason: t.result.Reason}
 	if t.result.Outcome == caller.OutcomeUnknown {
 		e.cause = c.cause(t)
 	}
@@ -28,13 +28,13 @@
 	return e
 }
 
-func promiseName(w work) string {
+func protectionName(w work) string {
 	switch {
 	case w.idem:
 		return "idempotent"
-	case w.promise == caller.ProtectionTicket:
+	case w.protection == caller.ProtectionTicket:
 		return "ticket"
-	case w.promise == caller.ProtectionKey:
+	case w.protection == caller.ProtectionKey:
 		return "key"
 	}
 	return "plain"
@@ -42,7 +42,7 @@
 
 // String returns the non-empty parts separated by slashes.
 func (e ending) String() string {
-	s := e.outcome.String() + "/" + e.promise
+	s := e.outcome.String() + "/" + e.protection
 	if e.reason != "" {
 		s += "/" + e.reason
 	}
--- a/internal/lab/requests/checker.go
+++ b/internal/lab/requests/checker.go
@@ -57,7 +57,7 @@
 func (c *checker) recordFalseOutcome(t completion, runs int) {
 	c.result.Lies++
 	c.falseOutcomes = append(c.falseOutcomes, fmt.Sprintf("wrong outcome: request %d of %s (%s) ran %d times, reported as %v after %d submissions: "+
-		"status %d reason %s record %s; dropped after %v, cancelled after %v", t.work.id, t.work.service, promiseName(t.work), runs,
+		"status %d reason %s record %s; dropped after %v, cancelled after %v", t.work.id, t.work.service, protectionName(t.work), runs,
 		t.result.Outcome, t.result.Submissions, t.result.Status, t.result.Reason, t.result.Record, t.work.cutAfter,
 		t.work.goneAfter))
 }
--- a/internal/lab/requests/client.go
+++ b/internal/lab/requests/client.go
@@ -63,7 +63,7 @@
 		Path:       "/orders",
 		Header:     http.Header{headerWork: {strconv.Itoa(w.id)}, headerSize: {strconv.Itoa(w.size)}},
 		Body:       fmt.Appendf(nil, "order %d", w.id),
-		Protection: w.promise,
+		Protection: w.protection,
 		Key:        fmt.Sprintf("order-key-%024d", w.id),
 	}
 	if w.idem {
--- a/internal/lab/requests/work.go
+++ b/internal/lab/requests/work.go
@@ -21,13 +21,13 @@
 
 // work is one planned request.
 type work struct {
-	id      int
-	service string
-	caller  int
-	at      time.Duration
-	promise caller.Protection
-	idem    bool
-	size    int
+	id         int
+	service    string
+	caller     int
+	at         time.Duration
+	protection caller.Protection
+	idem       bool
+	size       int
 	// deadline is the caller's timeout for the request.
 	deadline time.Duration
 	// cutAfter is the time after which the caller drops its first submission and retries; 0 means never.
@@ -60,19 +60,19 @@
 	w := work{id: id, at: at, caller: p.rand.IntN(callers), service: p.service(), deadline: p.pace.deadline}
 	switch x := p.rand.Float64(); {
 	case x < ticketShare:
-		w.promise = caller.ProtectionTicket
+		w.protection = caller.ProtectionTicket
 	case x < ticketShare+keyShare:
-		w.promise = caller.ProtectionKey
+		w.protection = caller.ProtectionKey
 	case x < ticketShare+keyShare+plainShare:
-		w.promise = caller.ProtectionNone
+		w.protection = caller.ProtectionNone
 	default:
-		w.promise = caller.ProtectionNone
+		w.protection = caller.ProtectionNone
 		w.idem = true
 	}
 	if w.idem && p.rand.Float64() < 2*largeShare {
 		w.size = largeAnswer
 	}
-	protected := w.idem || w.promise != caller.ProtectionNone
+	protected := w.idem || w.protection != caller.ProtectionNone
 	if x := p.rand.Float64(); protected && p.faults.has(faultCallerRetry) && x < retryShare {
 		w.cutAfter = time.Duration(1 + p.rand.Int64N(int64(2*p.pace.service)))
 	}
