--- a/internal/lab/requests/daemons.go
+++ b/internal/lab/requests/daemons.go
@@ -9,7 +9,7 @@
 // Daemons is an installation of real daemons for a run: balancers, and an agent for each target.
 type Daemons interface {
 	Dialer
-	// StartAgent starts an agent for the target at the address and registers the target with it.
+	// StartAgent starts an agent for the target at the address and announces the target to it.
 	StartAgent(service, name string, slots int, target netip.AddrPort) (Daemon, error)
 	// AwaitActive waits until every process has that many active targets in its view.
 	AwaitActive(ctx context.Context, targets int) error
--- a/internal/lab/requests/injector.go
+++ b/internal/lab/requests/injector.go
@@ -118,7 +118,7 @@
 	time.AfterFunc(storeDownTime, func() { i.cluster.setStoreFaults(false, loses) })
 }
 
-// drain drains a target and starts a new one in its place. Callers and other agents see the drain after viewLag.
+// drain drains a target and starts a new one in its place. Callers and other agents see the drain after drainViewDelay.
 func (i *injector) drain(s serviceSize, a *agent) {
 	time.AfterFunc(drainViewDelay, func() { a.leaving.Store(true) })
 	if a.daemon != nil {
--- a/internal/lab/requests/run.go
+++ b/internal/lab/requests/run.go
@@ -57,7 +57,7 @@
 	return results[len(results)-1]
 }
 
-// checkResults returns an error for the first violation, or for a goodput under overload below peakPart of the peak.
+// checkResults returns an error for the first violation, or for a goodput under overload below minPeakShare of the peak.
 func checkResults(results []Result) error {
 	peak := 0.0
 	for _, r := range results {
