--- a/internal/lab/requests/breakdown.go
+++ b/internal/lab/requests/breakdown.go
@@ -9,16 +9,16 @@
 	"github.com/auburnwood/auburnwood/pkg/caller"
 )
 
-// ending is how a piece of work ended, for the printed breakdown.
+// ending classifies the result of a request for the printed breakdown.
 type ending struct {
-	outcome caller.Outcome
-	promise string
-	reason  string
-	cause   string
+	outcome    caller.Outcome
+	protection string
+	reason     string
+	cause      string
 }
 
-func (c *checker) endingOf(t told) ending {
-	e := ending{outcome: t.result.Outcome, promise: promiseName(t.work), reason: t.result.Reason}
+func (c *checker) endingOf(t completion) ending {
+	e := ending{outcome: t.result.Outcome, protection: protectionName(t.work), reason: t.result.Reason}
 	if t.result.Outcome == caller.OutcomeUnknown {
 		e.cause = c.cause(t)
 	}
@@ -28,21 +28,21 @@
 	return e
 }
 
-func promiseName(w work) string {
+func protectionName(w work) string {
 	switch {
 	case w.idem:
 		return "idempotent"
-	case w.promise == caller.ProtectionTicket:
+	case w.protection == caller.ProtectionTicket:
 		return "ticket"
-	case w.promise == caller.ProtectionKey:
+	case w.protection == caller.ProtectionKey:
 		return "key"
 	}
 	return "plain"
 }
 
-// String is one part of a line of the breakdown.
+// String returns the non-empty parts separated by slashes.
 func (e ending) String() string {
-	s := e.outcome.String() + "/" + e.promise
+	s := e.outcome.String() + "/" + e.protection
 	if e.reason != "" {
 		s += "/" + e.reason
 	}
@@ -52,7 +52,7 @@
 	return s
 }
 
-// printEndings writes how often each ending occurred.
+// printEndings writes the number of requests with each ending.
 func printEndings(out io.Writer, endings map[ending]int) {
 	lines := make(map[string]int)
 	for e, n := range endings {
