--- a/internal/lab/flows/baselines.go
+++ b/internal/lab/flows/baselines.go
@@ -10,8 +10,8 @@
 	"github.com/auburnwood/auburnwood/pkg/flow"
 )
 
-// reportEvery is the time between two load reports of a target to the baseline that goes by them.
-const reportEvery = time.Second
+// reportInterval is the time between two load reports to the least-reported baseline.
+const reportInterval = time.Second
 
 // Names of the baselines.
 const (
@@ -27,13 +27,13 @@
 	open bool
 }
 
-// replay lets a baseline place the flows of one service that were really run, in the order in which they started and
-// ended, and measures its imbalance at the given times.
+// replay feeds the flows of one service that a run recorded to a baseline, in the order in which they started and ended,
+// and measures its imbalance at the given times.
 type replay struct {
 	outcomes []outcome
 	changes  []change
 	targets  int
-	// balancers are drawn per flow, the same for each baseline.
+	// balancers holds the randomly chosen balancer of each flow, the same for all baselines.
 	balancers []int
 }
 
@@ -53,8 +53,8 @@
 	return r
 }
 
-// run returns the worst ratio of highest over mean at the times. Report, when not nil, is told the true loads at fixed
-// intervals.
+// run returns the worst ratio of highest to mean load at the given times. If report is not nil, it is called with the true
+// loads every reportInterval.
 func (r *replay) run(c baseline.Chooser, report func(loads []int), times []time.Time) float64 {
 	loads := make([]int, r.targets)
 	chosen := make([]int, len(r.outcomes))
@@ -67,7 +67,7 @@
 		}
 		if report != nil && !x.at.Before(next) {
 			report(loads)
-			next = x.at.Add(reportEvery)
+			next = x.at.Add(reportInterval)
 		}
 		if !x.open {
 			loads[chosen[x.flow]]--
@@ -90,7 +90,7 @@
 	return b.ratio()
 }
 
-// baselines measures every baseline on the flows of all services and returns the worst ratio of each.
+// baselines replays the flows of all services with every baseline and returns the worst ratio of each.
 func (r *run) baselines(outcomes []outcome, times []time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, s := range r.deployment.Services {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// reportTo reports the loads; with a lying target, the first one reports 0.
+// reportTo reports the loads. With Options.LyingTarget, the first target reports 0.
 func (r *run) reportTo(least *baseline.LeastReported, loads []int) {
 	for i, n := range loads {
 		if i == 0 && r.opts.LyingTarget {
--- a/internal/lab/flows/client.go
+++ b/internal/lab/flows/client.go
@@ -21,22 +21,22 @@
 
 const (
 	chunkSize = 512
-	// idleLimit is the time without progress after which a caller gives a flow up.
-	idleLimit = 20 * time.Second
+	// idleTimeout is the time without progress after which a caller abandons a flow.
+	idleTimeout = 20 * time.Second
 )
 
 var (
-	errCrossed = errors.New("another service answered")
-	errMixed   = errors.New("wrong bytes")
+	errCrossed = errors.New("response is from another service")
+	errMixed   = errors.New("response has wrong content")
 )
 
 // client runs one flow with net/http.
 type client struct {
 	plan   *plan
 	caller *fabric.Caller
-	// watched is true while stalls count.
-	watched *atomic.Bool
-	// proxied is true when the target should see the caller's address.
+	// measureStalls is set while stalls are recorded.
+	measureStalls *atomic.Bool
+	// proxied is set if the target must see the caller's address.
 	proxied bool
 	out     outcome
 	last    time.Time
@@ -44,13 +44,12 @@
 	cancel  context.CancelCauseFunc
 }
 
-// run runs the flow to its end.
 func (c *client) run(ctx context.Context) outcome {
 	ctx, c.cancel = context.WithCancelCause(ctx)
 	defer c.cancel(nil)
 	c.out = outcome{plan: c.plan, started: time.Now()}
 	c.last = c.out.started
-	c.idle = time.AfterFunc(idleLimit, func() { c.cancel(errors.New("no progress")) })
+	c.idle = time.AfterFunc(idleTimeout, func() { c.cancel(errors.New("no progress within the idle timeout")) })
 	defer c.idle.Stop()
 	err := c.exchange(ctx)
 	if err != nil && ctx.Err() != nil {
@@ -86,7 +85,7 @@
 	return c.download(ctx)
 }
 
-// do sends a request on a connection of its own and checks who answers.
+// do sends a request on a new connection and checks which service answers and which caller address the target saw.
 func (c *client) do(ctx context.Context, method, path string, query url.Values, body io.Reader) (*http.Response, error) {
 	transport := &http.Transport{
 		DisableKeepAlives: true,
@@ -117,24 +116,24 @@
 	}
 	if seen := resp.Header.Get(target.HeaderCaller); c.proxied && seen != c.plan.local.String() {
 		_ = resp.Body.Close()
-		return nil, trace.CompareFailed("the target saw caller %s", seen)
+		return nil, trace.CompareFailed("target saw caller address %s", seen)
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, trace.Errorf("status %s", resp.Status)
+		return nil, trace.Errorf("unexpected HTTP status %s", resp.Status)
 	}
 	return resp, nil
 }
 
-// progress notes n more bytes; pace is how long they were due to take.
+// progress records n more bytes; pace is the expected time since the previous ones.
 func (c *client) progress(n int, pace time.Duration) {
 	now := time.Now()
-	if gap := now.Sub(c.last) - pace; gap > c.out.stall && c.watched.Load() {
+	if gap := now.Sub(c.last) - pace; gap > c.out.stall && c.measureStalls.Load() {
 		c.out.stall = gap
 	}
 	c.last = now
 	c.out.bytes += int64(n)
-	c.idle.Reset(idleLimit)
+	c.idle.Reset(idleTimeout)
 }
 
 func (c *client) download(ctx context.Context) error {
@@ -154,15 +153,15 @@
 	return c.check(resp.Body, size)
 }
 
-// pace is the time between two chunks of the flow; short flows have none.
+// pace returns the interval between chunks, or 0 for a short flow.
 func (c *client) pace() time.Duration {
-	if c.plan.kind.long() {
+	if c.plan.kind.isLong() {
 		return c.plan.every
 	}
 	return 0
 }
 
-// check reads and compares the content.
+// check reads the body and compares it with the expected content.
 func (c *client) check(body io.Reader, size int64) error {
 	checker := target.NewChecker(c.plan.service, c.plan.name)
 	b := make([]byte, 4<<10)
@@ -178,11 +177,11 @@
 			break
 		}
 		if err != nil {
-			return trace.Wrap(err, "after %d bytes", checker.Size())
+			return trace.Wrap(err, "read response after %d bytes", checker.Size())
 		}
 	}
 	if checker.Size() != size {
-		return trace.Errorf("%d of %d bytes", checker.Size(), size)
+		return trace.Errorf("response truncated: got %d of %d bytes", checker.Size(), size)
 	}
 	return nil
 }
@@ -196,7 +195,7 @@
 	defer resp.Body.Close()
 	var got target.Upload
 	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
-		return trace.Wrap(err, "answer to upload")
+		return trace.Wrap(err, "decode upload response")
 	}
 	c.progress(int(got.Size), 0)
 	if !got.Intact || got.Size != c.plan.size {
--- a/internal/lab/flows/client_test.go
+++ b/internal/lab/flows/client_test.go
@@ -13,7 +13,8 @@
 	"github.com/auburnwood/auburnwood/pkg/netstack"
 )
 
-// TestFlowThatIsResetBeforeAnyAnswerEnds: such an echo flow once hung, since its request body waited for the answer.
+// TestFlowThatIsResetBeforeAnyAnswerEnds guards against an echo flow that hangs after a reset because its request body
+// waits for the response.
 func TestFlowThatIsResetBeforeAnyAnswerEnds(t *testing.T) {
 	f, err := fabric.New(fabric.Config{})
 	require.NoError(t, err)
@@ -40,10 +41,10 @@
 		}
 	}()
 	local := netip.MustParseAddrPort("10.0.0.1:1000")
-	var watched atomic.Bool
-	c := client{caller: f.NewCaller(local.Addr()), watched: &watched, plan: &plan{
+	var measureStalls atomic.Bool
+	c := client{caller: f.NewCaller(local.Addr()), measureStalls: &measureStalls, plan: &plan{
 		name: "f1", kind: kindEcho, service: "s", local: local, remote: netip.MustParseAddrPort("198.51.100.1:80"),
-		every: leastEvery, hold: leastEvery,
+		every: minInterval, hold: minInterval,
 	}}
 	require.Equal(t, verdictBroken, c.run(context.Background()).verdict)
 }
--- a/internal/lab/flows/datagrams.go
+++ b/internal/lab/flows/datagrams.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// answerTime is the time after which a datagram without an answer is sent again.
-	answerTime   = 300 * time.Millisecond
-	datagramSize = 200
-	numberSize   = 8
-	maxDatagram  = 2048
+	// answerTimeout is the time after which a datagram without an echo is retransmitted.
+	answerTimeout = 300 * time.Millisecond
+	datagramSize  = 200
+	numberSize    = 8
+	maxDatagram   = 2048
 )
 
-var errMoved = errors.New("the flow moved to another target")
+var errMoved = errors.New("flow moved to another target")
 
-// datagrams sends a numbered datagram at each interval and awaits its echo, as long as the flow holds.
+// datagrams sends a numbered datagram at each interval and waits for its echo, until the flow's duration is over.
 func (c *client) datagrams(ctx context.Context) error {
 	conn, err := c.caller.Dial(ctx, "udp", c.plan.local, c.plan.remote)
 	if err != nil {
@@ -37,7 +37,7 @@
 	for n := uint64(0); ; n++ {
 		binary.BigEndian.PutUint64(out, n)
 		_, _ = content.Read(out[numberSize:])
-		if err := c.askUntilAnswered(ctx, conn, out); err != nil {
+		if err := c.sendUntilEchoed(ctx, conn, out); err != nil {
 			return trace.Wrap(err, "datagram %d", n)
 		}
 		c.progress(len(out), 0)
@@ -51,15 +51,15 @@
 	}
 }
 
-// askUntilAnswered repeats a datagram until its echo has come.
-func (c *client) askUntilAnswered(ctx context.Context, conn net.Conn, out []byte) error {
+// sendUntilEchoed retransmits a datagram until its echo is received.
+func (c *client) sendUntilEchoed(ctx context.Context, conn net.Conn, out []byte) error {
 	in := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		if _, err := conn.Write(out); err != nil {
 			return trace.Wrap(err, "send")
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(answerTime))
-		answered, err := c.awaitAnswer(conn, in, out)
+		_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
+		answered, err := c.awaitEcho(conn, in, out)
 		if err != nil || answered {
 			return trace.Wrap(err)
 		}
@@ -67,8 +67,8 @@
 	return trace.Wrap(ctx.Err())
 }
 
-// awaitAnswer reads until the echo of out has come; it returns false when the time is over.
-func (c *client) awaitAnswer(conn net.Conn, in, out []byte) (bool, error) {
+// awaitEcho reads until the echo of out is received; it returns false on a read timeout.
+func (c *client) awaitEcho(conn net.Conn, in, out []byte) (bool, error) {
 	for {
 		n, err := conn.Read(in)
 		if isTimeout(err) {
@@ -85,13 +85,13 @@
 			return false, errCrossed
 		}
 		if binary.BigEndian.Uint64(echoed) < binary.BigEndian.Uint64(out) {
-			// It answers an earlier copy that was sent again.
+			// Echo of an earlier datagram that was retransmitted.
 			continue
 		}
 		if !bytes.Equal(echoed, out) {
 			return false, errMixed
 		}
-		return true, c.answeredBy(label.Target)
+		return true, c.recordTarget(label.Target)
 	}
 }
 
@@ -100,8 +100,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// answeredBy notes the target, which must stay the same for the life of the flow.
-func (c *client) answeredBy(id string) error {
+// recordTarget records the target that answered; it returns errMoved if another one answered before.
+func (c *client) recordTarget(id string) error {
 	if c.out.target == "" {
 		c.out.target = id
 		c.out.opened = time.Since(c.out.started)
--- a/internal/lab/flows/deployment.go
+++ b/internal/lab/flows/deployment.go
@@ -9,37 +9,36 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// Deployment is the size of one operator's installation.
+// Deployment describes one operator's installation.
 type Deployment struct {
 	// Name is the name on the command line.
 	Name string
 	// Region is the region of all data centres.
 	Region string
-	// DataCentres are the places of the VMs.
+	// DataCentres are the data centres of the VMs.
 	DataCentres []string
-	// Services are the services with their targets.
+	// Services lists the services with their sizes.
 	Services []ServiceSize
-	// Preference holds for every service.
+	// Preference applies to every service.
 	Preference resource.Preference
 }
 
 // ServiceSize is the size of one service.
 type ServiceSize struct {
-	// Name is the service's name.
 	Name string
 	// Address is the address at which callers reach it.
 	Address resource.Address
 	// Targets is the number of targets.
 	Targets int
-	// Slots is the number of requests that a target runs at once.
+	// Slots is the number of requests that a target runs concurrently.
 	Slots uint32
-	// Connections is the number of open connections that a target takes in the real installation.
+	// Connections is the connection limit of a target in the real installation.
 	Connections uint32
 }
 
 const (
-	connectionsOfTarget = 2000
-	servicePort         = 80
+	connectionsPerTarget = 2000
+	servicePort          = 80
 )
 
 // Deployments are the installations of the project's two operators.
@@ -49,8 +48,8 @@
 		Region:      "amman-east",
 		DataCentres: []string{"marka-hall", "zarqa-hall", "sahab-hall", "russeifa-hall"},
 		Services: []ServiceSize{
-			{Name: "route-svc", Address: address("198.51.100.1"), Targets: 7, Slots: 3, Connections: connectionsOfTarget},
-			{Name: "reports-svc", Address: address("198.51.100.2"), Targets: 4, Slots: 3, Connections: connectionsOfTarget},
+			{Name: "route-svc", Address: address("198.51.100.1"), Targets: 7, Slots: 3, Connections: connectionsPerTarget},
+			{Name: "reports-svc", Address: address("198.51.100.2"), Targets: 4, Slots: 3, Connections: connectionsPerTarget},
 		},
 		Preference: resource.PreferFlows,
 	},
@@ -59,8 +58,8 @@
 		Region:      "hcm",
 		DataCentres: []string{"hcm-thuduc", "hcm-tanbinh", "hcm-q7"},
 		Services: []ServiceSize{
-			{Name: "airtime-core", Address: address("203.0.113.1"), Targets: 7, Slots: 4, Connections: connectionsOfTarget},
-			{Name: "report-svc", Address: address("203.0.113.2"), Targets: 3, Slots: 4, Connections: connectionsOfTarget},
+			{Name: "airtime-core", Address: address("203.0.113.1"), Targets: 7, Slots: 4, Connections: connectionsPerTarget},
+			{Name: "report-svc", Address: address("203.0.113.2"), Targets: 3, Slots: 4, Connections: connectionsPerTarget},
 		},
 		Preference: resource.PreferBalance,
 	},
@@ -70,7 +69,7 @@
 	return resource.Address{IP: ip, Port: servicePort, Protocol: resource.ProtocolTCP}
 }
 
-// FindDeployment returns the deployment of the name.
+// FindDeployment returns the deployment with the name, or trace.NotFound.
 func FindDeployment(name string) (Deployment, error) {
 	for _, d := range Deployments {
 		if d.Name == name {
@@ -80,7 +79,7 @@
 	return Deployment{}, trace.NotFound("unknown deployment %q, want zarqa or saobien", name)
 }
 
-// targetsOf returns the number of targets of a service.
+// targetsOf returns the number of targets of a service, or 0 for an unknown one.
 func (d Deployment) targetsOf(service string) int {
 	for _, s := range d.Services {
 		if s.Name == service {
@@ -90,7 +89,7 @@
 	return 0
 }
 
-// with returns the deployment with the addresses and the transport that the options want.
+// with returns a copy whose service addresses use the IP version and transport of the options.
 func (d Deployment) with(o Options) Deployment {
 	d.Services = slices.Clone(d.Services)
 	for i := range d.Services {
--- a/internal/lab/flows/direct.go
+++ b/internal/lab/flows/direct.go
@@ -20,15 +20,16 @@
 
 const (
 	directRevision = 1
-	// directDetection is the time after the end of an agent in which the views still name it.
+	// directDetection is the time for which the views still contain a killed agent.
 	directDetection = 1500 * time.Millisecond
-	// joinTime is the time, after every process knows a joining target, for the announcements of flows to it.
+	// joinTime is the wait between publishing a target as joining and as active, in which it receives announcements of
+	// flows.
 	joinTime = 500 * time.Millisecond
-	// targetDownDetection is the time in which an agent's word of its target's end reaches the distributor.
+	// targetDownDetection is the delay before the views show that the process of a target was killed.
 	targetDownDetection = 200 * time.Millisecond
 )
 
-// direct is a cluster without control plane: it gives views to balancers and agents itself.
+// direct is a Cluster without a control plane: it distributes views to balancers and agents itself.
 type direct struct {
 	cfg      ClusterConfig
 	ctx      context.Context
@@ -94,7 +95,7 @@
 	return s
 }
 
-// view makes a snapshot of the present targets.
+// view returns a snapshot of the current targets.
 func (d *direct) view() *view.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,7 +124,7 @@
 	return 0
 }
 
-// publish brings the present view to all and waits until all have it.
+// publish distributes the current view and waits until every process has received it.
 func (d *direct) publish(ctx context.Context) error {
 	return wait.For(ctx, d.views.publish(d.view()))
 }
@@ -146,7 +147,7 @@
 			return t, nil
 		}
 	}
-	return nil, trace.NotFound("target %s does not live", id)
+	return nil, trace.NotFound("target %s is not running", id)
 }
 
 // Targets implements Cluster.
@@ -253,7 +254,7 @@
 	return nil
 }
 
-// StoreDown implements Cluster; there is no store.
+// StoreDown implements Cluster. It does nothing, as there is no store.
 func (d *direct) StoreDown(bool) {}
 
 // Refusals implements Cluster.
@@ -262,7 +263,7 @@
 // Counts implements Cluster.
 func (d *direct) Counts() PathCounts { return CountPath(d.scope.Snapshot()) }
 
-// CountPath reads the totals of all agents that share a scope.
+// CountPath returns the totals of all agents that share a metrics scope.
 func CountPath(s tally.Snapshot) PathCounts {
 	var c PathCounts
 	for _, counter := range s.Counters() {
@@ -294,7 +295,7 @@
 	d.done.Wait()
 }
 
-// targetConfig returns the settings of the stand-in for a new target.
+// targetConfig returns the configuration of the stand-in for a new target.
 func (d *direct) targetConfig(s ServiceSize, id string) target.Config {
 	c := target.Config{Service: s.Name, ID: id, Slots: int(s.Slots), Connections: int(d.cfg.Connections[s.Name]), Seed: d.cfg.Seed}
 	if d.cfg.Target != nil {
--- a/internal/lab/flows/direct_balancer.go
+++ b/internal/lab/flows/direct_balancer.go
@@ -13,7 +13,6 @@
 
 const balancerCachedFlows = 1 << 16
 
-// directBalancer is a running balancer.
 type directBalancer struct {
 	name     string
 	balancer *balancer.Balancer
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// takeBalancer removes a balancer from those that live.
+// takeBalancer removes a balancer from the list of running ones and returns it.
 func (d *direct) takeBalancer(name string) (*directBalancer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,5 +97,5 @@
 			return b, nil
 		}
 	}
-	return nil, trace.NotFound("balancer %s does not live", name)
+	return nil, trace.NotFound("balancer %s is not running", name)
 }
--- a/internal/lab/flows/direct_target.go
+++ b/internal/lab/flows/direct_target.go
@@ -15,7 +15,7 @@
 	service string
 	target  *target.Target
 	agent   *agent.Agent
-	// info and since are guarded by the cluster's lock.
+	// info and since are guarded by direct.mu.
 	info  view.Target
 	since time.Time
 }
@@ -42,14 +42,14 @@
 		standin.Kill()
 		return nil, trace.Wrap(err)
 	}
-	places := d.cfg.Deployment.DataCentres
+	centres := d.cfg.Deployment.DataCentres
 	t := &directTarget{service: s.Name, target: standin, agent: a, since: time.Now(), info: view.Target{
 		ID:          id,
 		Incarnation: uint64(n),
 		Agent:       a.PacketAddr(),
 		Weight:      1,
 		State:       state,
-		DataCentre:  places[n%len(places)],
+		DataCentre:  centres[n%len(centres)],
 		Slots:       s.Slots,
 		Connections: connections,
 	}}
--- a/internal/lab/flows/distributor.go
+++ b/internal/lab/flows/distributor.go
@@ -8,17 +8,17 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// evenDelay bounds the delay of a view when updates are even.
+// evenDelay is the maximum delay of a view without the fault uneven-updates.
 const evenDelay = 20 * time.Millisecond
 
-// subscriber takes views; a process never gets an older view after a newer one.
+// subscriber applies views to one process; it drops a view that is older than the last one applied.
 type subscriber struct {
 	mu    sync.Mutex
 	seen  uint64
 	apply func(*view.View)
 }
 
-func (s *subscriber) take(number uint64, v *view.View) {
+func (s *subscriber) deliver(number uint64, v *view.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if number <= s.seen {
@@ -28,25 +28,25 @@
 	s.apply(v)
 }
 
-// distributor brings each view to each process after a delay of its own.
+// distributor delivers each view to each process after a random delay.
 type distributor struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	most   time.Duration
-	number uint64
-	last   *view.View
-	subs   map[string]*subscriber
+	mu       sync.Mutex
+	random   *rand.Rand
+	maxDelay time.Duration
+	number   uint64
+	last     *view.View
+	subs     map[string]*subscriber
 }
 
-func newDistributor(seed uint64, most time.Duration) *distributor {
+func newDistributor(seed uint64, maxDelay time.Duration) *distributor {
 	return &distributor{
-		random: rand.New(rand.NewPCG(seed, 2)),
-		most:   max(most, evenDelay),
-		subs:   make(map[string]*subscriber),
+		random:   rand.New(rand.NewPCG(seed, 2)),
+		maxDelay: max(maxDelay, evenDelay),
+		subs:     make(map[string]*subscriber),
 	}
 }
 
-// add subscribes a process, which gets the last view at once.
+// add subscribes a process and delivers the last view to it immediately.
 func (d *distributor) add(name string, apply func(*view.View)) {
 	d.mu.Lock()
 	s := &subscriber{apply: apply}
@@ -54,7 +54,7 @@
 	number, last := d.number, d.last
 	d.mu.Unlock()
 	if last != nil {
-		s.take(number, last)
+		s.deliver(number, last)
 	}
 }
 
@@ -64,7 +64,7 @@
 	delete(d.subs, name)
 }
 
-// publish brings v to every process and returns the longest delay.
+// publish schedules the delivery of v to every process and returns the longest delay.
 func (d *distributor) publish(v *view.View) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,14 +73,14 @@
 	number := d.number
 	var longest time.Duration
 	for _, s := range d.subs {
-		delay := time.Duration(d.random.Int64N(int64(d.most)))
+		delay := time.Duration(d.random.Int64N(int64(d.maxDelay)))
 		longest = max(longest, delay)
-		time.AfterFunc(delay, func() { s.take(number, v) })
+		time.AfterFunc(delay, func() { s.deliver(number, v) })
 	}
 	return longest
 }
 
-// publishNow brings v to every process before it returns.
+// publishNow delivers v to every process before it returns.
 func (d *distributor) publishNow(v *view.View) {
 	d.mu.Lock()
 	d.number++
@@ -92,6 +92,6 @@
 	}
 	d.mu.Unlock()
 	for _, s := range subs {
-		s.take(number, v)
+		s.deliver(number, v)
 	}
 }
--- a/internal/lab/flows/distributor_test.go
+++ b/internal/lab/flows/distributor_test.go
@@ -11,7 +11,8 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// TestViewsArriveUnevenlyButInOrder publishes many views to many processes.
+// TestViewsArriveUnevenlyButInOrder checks that processes receive views at different times, but never an older one after
+// a newer one.
 func TestViewsArriveUnevenlyButInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDistributor(1, 3*time.Second)
--- a/internal/lab/flows/echo.go
+++ b/internal/lab/flows/echo.go
@@ -21,7 +21,7 @@
 	request *io.PipeWriter
 }
 
-// echo runs an echo flow. The first chunk goes with the request, whose headers wait for it.
+// echo runs an echo flow. The first chunk is sent together with the request headers, which are not sent before it.
 func (c *client) echo(ctx context.Context) error {
 	r, w := io.Pipe()
 	e := &echo{
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// exchange reads the first chunk and then exchanges one at each interval until the flow's time is over.
+// exchange reads the first chunk back, then sends and reads one at each interval until the flow's duration is over.
 func (e *echo) exchange(ctx context.Context, body io.Reader) error {
 	tick := time.NewTicker(e.c.plan.every)
 	defer tick.Stop()
@@ -87,7 +87,7 @@
 	}
 }
 
-// finish ends the request and expects the end of the answer.
+// finish closes the request body and expects the end of the response.
 func (e *echo) finish(body io.Reader) error {
 	_ = e.request.Close()
 	n, err := io.Copy(io.Discard, body)
--- a/internal/lab/flows/events.go
+++ b/internal/lab/flows/events.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// events prints what happens, one line each, and remembers it.
+// events prints and records the events of a run, one line each.
 type events struct {
 	mu    sync.Mutex
 	out   io.Writer
 	start time.Time
-	// killedTargets are the targets that were killed, with the time.
+	// killedTargets holds the kill time by target.
 	killedTargets map[string]time.Time
-	// drained are the targets that were told to leave, with the time.
+	// drained holds the start of the drain by target.
 	drained map[string]time.Time
-	// kills are the times at which a balancer or an agent was killed.
+	// kills are the times at which balancers and agents were killed.
 	kills []time.Time
-	// failures are faults that could not be made.
+	// failures are the errors of faults that could not be injected.
 	failures []error
 }
 
@@ -48,7 +48,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.drained[id] = time.Now()
-	e.line("target %s told to leave", id)
+	e.line("target %s draining", id)
 }
 
 func (e *events) killed() {
@@ -61,5 +61,5 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failures = append(e.failures, err)
-	e.line("could not: %v", err)
+	e.line("fault injection failed: %v", err)
 }
--- a/internal/lab/flows/fault.go
+++ b/internal/lab/flows/fault.go
@@ -9,7 +9,6 @@
 // Fault is one kind of change or failure during a run.
 type Fault string
 
-// Faults.
 const (
 	FaultBalancerJoin  Fault = "balancer-join"
 	FaultBalancerLeave Fault = "balancer-leave"
@@ -18,12 +17,12 @@
 	FaultTargetDrain   Fault = "target-drain"
 	FaultUneven        Fault = "uneven-updates"
 	FaultStoreDown     Fault = "store-down"
-	// FaultTargetKill ends the process of a target; its agent lives on.
+	// FaultTargetKill kills the process of a target; its agent keeps running.
 	FaultTargetKill Fault = "target-kill"
-	// FaultAgentKill ends the VM of a target: target and agent.
+	// FaultAgentKill kills the VM of a target: target and agent.
 	FaultAgentKill Fault = "agent-kill"
-	// FaultFalseDeath lets the views drop a target that lives, and take it up again, as when heartbeats are late. Only
-	// clusters that are a Suspecter can make it.
+	// FaultFalseDeath removes a live target from the views and adds it again, as when heartbeats are late. The cluster must
+	// be a Suspecter.
 	FaultFalseDeath Fault = "false-death"
 )
 
@@ -33,8 +32,8 @@
 	FaultStoreDown, FaultTargetKill, FaultAgentKill, FaultFalseDeath,
 }
 
-// ParseFaults reads a list that is separated by commas; "planned" stands for all planned changes, uneven updates and an
-// outage of the store, and "none" or nothing for no fault.
+// ParseFaults parses a comma-separated list; "planned" stands for all planned changes, uneven updates and an outage of the
+// store, and "none" or an empty list for no fault.
 func ParseFaults(list string) ([]Fault, error) {
 	var out []Fault
 	for _, word := range strings.Split(list, ",") {
@@ -60,5 +59,5 @@
 			return f, nil
 		}
 	}
-	return "", trace.BadParameter("unknown fault %q, want some of %v", word, Faults)
+	return "", trace.BadParameter("unknown fault %q, must be one of %v", word, Faults)
 }
--- a/internal/lab/flows/finish_test.go
+++ b/internal/lab/flows/finish_test.go
@@ -15,10 +15,9 @@
 
 func flagsOf(p []byte) header.TCPFlags { return header.TCP(header.IPv4(p).Payload()).Flags() }
 
-// TestFinishOvertaken lets both ends finish at once and the caller's last acknowledgement overtake its FIN, as it does when
-// they come by two balancers. The stack then keeps the connection in CLOSING for ever: it counts the overtaking
-// acknowledgement as received but not as that of its FIN. The agent goes on owning the flow, its socket to the target
-// stays open, and a drain never ends.
+// TestFinishOvertaken guards against connections that stay in CLOSING forever, so that a drain never ends. It happens on a
+// simultaneous close if the caller's last ACK overtakes its FIN through another balancer: the stack counts the ACK as
+// received, but not as that of its own FIN.
 func TestFinishOvertaken(t *testing.T) {
 	t.Parallel()
 	var caller, server *netstack.Stack
--- a/internal/lab/flows/flow.go
+++ b/internal/lab/flows/flow.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// kind is what a flow does.
+// kind is the kind of traffic of a flow.
 type kind uint8
 
 const (
@@ -16,7 +16,6 @@
 	kindDatagrams
 )
 
-// String returns the kind's name.
 func (k kind) String() string {
 	switch k {
 	case kindDownload:
@@ -33,20 +32,20 @@
 	return "unknown"
 }
 
-func (k kind) long() bool { return k >= kindPacedDownload }
+func (k kind) isLong() bool { return k >= kindPacedDownload }
 
-// plan is one flow before it starts.
+// plan describes a flow to be run.
 type plan struct {
 	name    string
 	kind    kind
 	service string
 	local   netip.AddrPort
 	remote  netip.AddrPort
-	// start is the time after the start of the run.
+	// start is the offset from the start of the run.
 	start time.Duration
-	// size is the number of bytes of a short flow.
+	// size is the size of a short flow in bytes.
 	size int64
-	// hold is how long a long flow lasts; every is the time between its chunks.
+	// hold is the duration of a long flow; every is the interval between its chunks.
 	hold, every time.Duration
 }
 
@@ -55,7 +54,7 @@
 
 const (
 	verdictIntact verdict = iota + 1
-	// verdictBroken means that it ended early.
+	// verdictBroken means that the flow ended early.
 	verdictBroken
 	// verdictCrossed means that another service answered.
 	verdictCrossed
@@ -63,18 +62,18 @@
 	verdictMixed
 )
 
-// outcome is one flow after its end.
+// outcome is the result of a flow that has ended.
 type outcome struct {
 	plan    *plan
 	verdict verdict
 	err     error
-	// target names the target that answered; empty when none did.
+	// target is the ID of the target that answered; empty if none did.
 	target string
 	started,
 	ended time.Time
-	// opened is the time from the start to the first byte of the answer.
+	// opened is the time from the start to the response headers or the first echo.
 	opened time.Duration
-	// stall is the longest time without progress beyond the flow's own pace, while the faults happened.
+	// stall is the longest time without progress in excess of the flow's own pace, measured while faults are injected.
 	stall time.Duration
 	bytes int64
 }
--- a/internal/lab/flows/judge.go
+++ b/internal/lab/flows/judge.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	histogramMost   = int64(time.Minute / time.Millisecond)
+	histogramMax    = int64(time.Minute / time.Millisecond)
 	histogramDigits = 3
 	percentile      = 95
-	// waitWindow is the time after a kill in which flows that begin count for the wait of new flows.
+	// waitWindow is the time after a kill in which a flow that starts counts as a new flow.
 	waitWindow = 5 * time.Second
 )
 
-// judge turns the outcomes into a result.
+// judge computes the result of the run from the outcomes.
 func (r *run) judge(balances map[string]balance, times []time.Time, before PathCounts) Result {
 	r.mu.Lock()
 	outcomes := r.outcomes
 	r.mu.Unlock()
 	result := Result{
 		Flows:      len(outcomes),
-		OpenAtOnce: int(r.mostOpen.Load()),
+		OpenAtOnce: int(r.maxOpen.Load()),
 		Kills:      len(r.events.kills),
 		Failures:   r.events.failures,
 		Imbalance:  1,
@@ -69,17 +69,17 @@
 	return out
 }
 
-// judgeFlow counts one outcome and prints a flow that broke.
+// judgeFlow adds one outcome to the result and prints a flow that failed or has a false refusal record.
 func (r *run) judgeFlow(result *Result, o *outcome, records map[netip.AddrPort]refusal.Record) {
 	result.Bytes += o.bytes
-	if drained, ok := r.events.drained[o.target]; ok && o.started.After(drained.Add(MostLeaving)) {
+	if drained, ok := r.events.drained[o.target]; ok && o.started.After(drained.Add(MaxDrainDelay)) {
 		result.LateWork++
 	}
 	record, recorded := records[o.plan.local]
 	if o.verdict == verdictIntact {
 		if recorded {
 			result.FalseRecords++
-			r.events.printf("flow %s (%s) ended well at %q after %s but has record %q of %s", o.plan.name, o.plan.kind,
+			r.events.printf("flow %s (%s) completed at %q after %s but has record %q of %s", o.plan.name, o.plan.kind,
 				o.target, o.ended.Sub(r.events.start).Round(time.Millisecond), record.Reason, record.DecidedBy)
 			r.printTrace(o.plan.local)
 		}
@@ -107,8 +107,9 @@
 	r.printTrace(o.plan.local)
 }
 
-// brokenByKill reports whether the flow's own target was killed before the flow ended. A flow whose target is not known,
-// because it ended before an answer, counts when its record names a killed target.
+// brokenByKill reports whether the flow's own target was killed before the flow ended. A flow that ended before it was
+// answered, so that its target is unknown, counts if its record names a killed target, has the reason target-died, or has
+// the reason owner-lost and the flow was open at a kill.
 func (r *run) brokenByKill(o *outcome, record refusal.Record, recorded bool) bool {
 	id := o.target
 	if id == "" && recorded {
@@ -124,8 +125,8 @@
 	return record.Reason == refusal.ReasonTargetDied || record.Reason == refusal.ReasonOwnerLost && r.openAtKill(o)
 }
 
-// openAtKill reports whether the flow was being opened when some target was killed: only then can it have been placed
-// there and have lost its owner before an answer came.
+// openAtKill reports whether the flow was open when a target was killed: only then can it have been placed there and have
+// lost its owner before it was answered.
 func (r *run) openAtKill(o *outcome) bool {
 	for _, killed := range r.events.killedTargets {
 		if o.started.Before(killed) && o.ended.After(killed) {
@@ -135,16 +136,16 @@
 	return false
 }
 
-// addTimes adds stalls and the wait of new flows.
+// addTimes adds the stalls and the waiting times of new flows.
 func (r *run) addTimes(result *Result, outcomes []outcome) {
-	stalls := hdrhistogram.New(1, histogramMost, histogramDigits)
-	waits := hdrhistogram.New(1, histogramMost, histogramDigits)
+	stalls := hdrhistogram.New(1, histogramMax, histogramDigits)
+	waits := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for i := range outcomes {
 		o := &outcomes[i]
 		if o.verdict != verdictIntact {
 			continue
 		}
-		if o.plan.kind.long() {
+		if o.plan.kind.isLong() {
 			record(stalls, o.stall)
 		}
 		if r.startedAfterKill(o) {
@@ -168,7 +169,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), 1), histogramMost))
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), histogramMax))
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/lab/flows/judge_test.go
+++ b/internal/lab/flows/judge_test.go
@@ -45,7 +45,7 @@
 		"owner lost without cause": {outcome{verdict: verdictBroken, started: killed.Add(time.Millisecond)}, lost,
 			Result{Broken: 1}},
 		"refused without any account": {outcome{verdict: verdictBroken}, none, Result{Broken: 1}},
-		"late work": {outcome{verdict: verdictIntact, target: "r3", started: began.Add(MostLeaving + time.Second)}, none,
+		"late work": {outcome{verdict: verdictIntact, target: "r3", started: began.Add(MaxDrainDelay + time.Second)}, none,
 			Result{LateWork: 1}},
 	}
 	for name, tt := range tests {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestBrokenPromises(t *testing.T) {
+func TestViolations(t *testing.T) {
 	tests := map[string]struct {
 		result Result
 		broken int
@@ -76,7 +76,7 @@
 		"mixed":                 {Result{Mixed: 1}, 1},
 		"record missing":        {Result{Killed: 2, Explained: 1}, 1},
 		"late work":             {Result{LateWork: 1}, 1},
-		"imbalance":             {Result{Imbalance: 1.06, MeanOpen: judgedMean}, 1},
+		"imbalance":             {Result{Imbalance: 1.06, MeanOpen: minMeanOpen}, 1},
 		"imbalance of few":      {Result{Imbalance: 1.2, MeanOpen: 8}, 0},
 		"stall after a kill":    {Result{Kills: 1, StallP95: 4 * time.Second}, 1},
 		"wait after a kill":     {Result{Kills: 1, NewFlowWait: 4 * time.Second}, 1},
@@ -84,7 +84,7 @@
 		"all kinds of failures": {Result{Broken: 1, Crossed: 1, Mixed: 1}, 3},
 	}
 	for name, tt := range tests {
-		t.Run(name, func(t *testing.T) { require.Len(t, tt.result.BrokenPromises(), tt.broken) })
+		t.Run(name, func(t *testing.T) { require.Len(t, tt.result.Violations(), tt.broken) })
 	}
 }
 
@@ -113,9 +113,9 @@
 	require.InDelta(t, 4.0/3, x.run(baseline.NewRoundRobin(2, 1), nil, times), 1e-9, "2 and 1 flows, then 2 and 2")
 	require.InDelta(t, 1, x.run(baseline.NewRoundRobin(2, 1), nil, times[1:]), 1e-9)
 	least := baseline.NewLeastReported(2)
-	told := 0
-	x.run(least, func([]int) { told++ }, times)
-	require.Equal(t, 5, told, "once a second, and at the end")
+	reports := 0
+	x.run(least, func([]int) { reports++ }, times)
+	require.Equal(t, 5, reports, "once a second, and at the end")
 }
 
 func TestParseFaults(t *testing.T) {
--- a/internal/lab/flows/linked_conn.go
+++ b/internal/lab/flows/linked_conn.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// linkedConn closes the request's body with the connection. Without that, http.Transport waits for ever for a body that
-// still waits for the answer.
+// linkedConn closes the request body together with the connection. Otherwise http.Transport waits forever for a body that
+// itself waits for the response.
 type linkedConn struct {
 	net.Conn
 	body io.Reader
--- a/internal/lab/flows/options.go
+++ b/internal/lab/flows/options.go
@@ -17,51 +17,51 @@
 	DefaultWindow    = 15 * time.Second
 	DefaultUneven    = 3 * time.Second
 	DefaultRounds    = 1
-	// DefaultDetection is the time in which the fabric learns that a balancer has gone.
+	// DefaultDetection is the time after which the fabric detects that a balancer has gone.
 	DefaultDetection = time.Second
 )
 
 const (
-	longPart       = 0.75
-	spareFiles     = 1500
-	filesOfFlow    = 2
-	targetLoadPart = 0.6
-	shortAtOnce    = 800
+	longFraction       = 0.75
+	spareFiles         = 1500
+	filesPerFlow       = 2
+	targetLoadFraction = 0.6
+	shortFlowAllowance = 800
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
 	// Deployment is "zarqa" or "saobien".
 	Deployment string
 	// Balancers is the number of balancers at the start; 0 means DefaultBalancers.
 	Balancers int
-	// Flows is the number of flows in the whole run; 0 means DefaultFlows. About three of four are long and open at once.
+	// Flows is the number of flows in the whole run; 0 means DefaultFlows. About three quarters are long and open concurrently.
 	Flows int
-	// Faults happen together, after the warm-up.
+	// Faults are injected together, after the warm-up.
 	Faults []Fault
-	// Rounds repeats the joins and drains of targets, one after the other; 0 means DefaultRounds.
+	// Rounds is the number of joins and drains of targets, one after the other; 0 means DefaultRounds.
 	Rounds int
-	// Seed makes the choice of faults, their times and the spraying repeatable.
+	// Seed makes the faults, their times and the choice of balancer per packet repeatable.
 	Seed uint64
-	// Window is the time of the faults; 0 means DefaultWindow.
+	// Window is the time in which faults are injected; 0 means DefaultWindow.
 	Window time.Duration
-	// Uneven is the longest delay of a view with the fault uneven-updates; 0 means DefaultUneven.
+	// Uneven is the maximum delay of a view with the fault uneven-updates; 0 means DefaultUneven.
 	Uneven time.Duration
-	// Loss and Duplicate are the fabric's probabilities of losing and repeating a packet.
+	// Loss and Duplicate are the fabric's probabilities of dropping and duplicating a packet.
 	Loss, Duplicate float64
-	// LyingTarget lets the first target of each service report a load of 0.
+	// LyingTarget makes the first target of each service report a load of 0.
 	LyingTarget bool
 	// IPv6 gives services and callers IPv6 addresses.
 	IPv6 bool
 	// UDP makes every flow a UDP flow.
 	UDP bool
-	// ProxyProtocol lets agents tell targets the callers' addresses; each TCP flow checks its own.
+	// ProxyProtocol makes agents send callers' addresses to targets; each TCP flow checks its own.
 	ProxyProtocol bool
-	// Trace prints the packets of flows that broke or were slow.
+	// Trace prints the packets of flows that failed or were slow.
 	Trace bool
-	// Log takes the log lines of balancers and agents.
+	// Log receives the log of balancers and agents.
 	Log zerolog.Logger
-	// NewCluster makes the system under test; nil drives balancers and agents without a control plane.
+	// NewCluster starts the system under test; nil means NewDirect.
 	NewCluster func(ctx context.Context, cfg ClusterConfig) (Cluster, error)
 }
 
@@ -82,18 +82,19 @@
 		return trace.BadParameter("balancers, flows, rounds, window and uneven must not be negative")
 	}
 	if o.UDP && o.ProxyProtocol {
-		return trace.BadParameter("the PROXY protocol is for TCP only")
+		return trace.BadParameter("the PROXY protocol requires TCP")
 	}
 	return nil
 }
 
-// longFlows is the number of flows that are open together; each needs two files, one at the agent and one at the target.
+// longFlows returns the number of flows that are open concurrently, bounded by the file limit of the process; each needs
+// two files, one at the agent and one at the target.
 func (o Options) longFlows() int {
-	n := int(longPart * float64(o.Flows))
+	n := int(longFraction * float64(o.Flows))
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return n
 	}
-	most := (int(limit.Cur)-spareFiles)/filesOfFlow - shortAtOnce
+	most := (int(limit.Cur)-spareFiles)/filesPerFlow - shortFlowAllowance
 	return max(min(n, most), 1)
 }
--- a/internal/lab/flows/print.go
+++ b/internal/lab/flows/print.go
@@ -38,13 +38,13 @@
 		line("flows of killed targets     %d, %d of them with a record", x.Killed, x.Explained)
 	}
 	line("late work at leaving targets %d", x.LateWork)
-	for _, p := range x.BrokenPromises() {
+	for _, p := range x.Violations() {
 		line("PROMISE BROKEN: %s", p)
 	}
 	line("%s", x.Line())
 }
 
-// reasons lists how often each reason occurs.
+// reasons returns the number of refusals per reason as text.
 func reasons(records []refusal.Record) string {
 	count := map[refusal.Reason]int{}
 	var order []refusal.Reason
@@ -61,12 +61,12 @@
 	return text
 }
 
-// slowFlows prints the flows that were late to open or stalled for longest.
+// slowFlows prints the flows that took longest to open or stalled longest, if they exceed MaxWait.
 func (r *run) slowFlows(outcomes []outcome) {
 	delay := func(o outcome) time.Duration { return max(o.opened, o.stall) }
 	slow := slices.SortedFunc(slices.Values(outcomes), func(a, b outcome) int { return cmp.Compare(delay(b), delay(a)) })
 	for _, o := range slow[:min(slowest, len(slow))] {
-		if delay(o) < MostWait {
+		if delay(o) < MaxWait {
 			return
 		}
 		r.events.printf("slow flow %s (%s) to %s at %q from %v, started %.2fs: opened after %s, stalled for %s", o.plan.name,
@@ -76,7 +76,7 @@
 	}
 }
 
-// printTrace prints the packets of one flow when they were traced.
+// printTrace prints the packets of one flow if tracing is on.
 func (r *run) printTrace(caller netip.AddrPort) {
 	if r.trace == nil {
 		return
--- a/internal/lab/flows/run.go
+++ b/internal/lab/flows/run.go
@@ -21,35 +21,34 @@
 )
 
 const (
-	leastConnections = 50
+	minConnections = 50
 	// udpIdle ends UDP flows soon after their last datagram, so that drains end within the run.
 	udpIdle = 5 * time.Second
-	// settleTime is the longest time that faults may take after the last flow has ended.
+	// settleTime is the maximum time that faults may take after the last flow has ended.
 	settleTime = 10 * time.Second
-	// recordPoll is the time between two looks for missing refusal records.
-	recordPoll = 500 * time.Millisecond
+	// recordPollInterval is the interval between checks for missing refusal records.
+	recordPollInterval = 500 * time.Millisecond
 )
 
-// run is one run in progress.
 type run struct {
-	opts       Options
-	deployment Deployment
-	timeline   timeline
-	fabric     *fabric.Fabric
-	cluster    Cluster
-	events     *events
-	trace      *tracer
-	watched    atomic.Bool
-	open       atomic.Int64
-	mostOpen   atomic.Int64
+	opts          Options
+	deployment    Deployment
+	timeline      timeline
+	fabric        *fabric.Fabric
+	cluster       Cluster
+	events        *events
+	trace         *tracer
+	measureStalls atomic.Bool
+	open          atomic.Int64
+	maxOpen       atomic.Int64
 
-	mu       sync.Mutex
-	lied     map[string]bool
-	outcomes []outcome
+	mu                sync.Mutex
+	falseLoadAssigned map[string]bool
+	outcomes          []outcome
 }
 
-// Run starts a cluster, runs the flows and faults, prints what happens to out, and returns what was measured. The error
-// is trace.CompareFailed when a promise was broken.
+// Run starts a cluster, runs the flows and faults, prints events to out, and returns the measurements. The error is
+// trace.CompareFailed if Result.Violations is not empty.
 func Run(ctx context.Context, o Options, out io.Writer) (Result, error) {
 	o = o.withDefaults()
 	if err := o.check(); err != nil {
@@ -70,8 +69,8 @@
 		return result, trace.Wrap(err)
 	}
 	r.print(result)
-	if broken := result.BrokenPromises(); len(broken) > 0 {
-		return result, trace.CompareFailed("promises broken: %s", strings.Join(broken, "; "))
+	if broken := result.Violations(); len(broken) > 0 {
+		return result, trace.CompareFailed("run violated its limits: %s", strings.Join(broken, "; "))
 	}
 	return result, nil
 }
@@ -120,16 +119,16 @@
 	}
 }
 
-// connections gives each target so many connections that the long flows take the wanted part of them.
+// connections returns the connection limit per service, such that the long flows use targetLoadFraction of it.
 func (r *run) connections() map[string]uint32 {
 	targets := 0
 	for _, s := range r.deployment.Services {
 		targets += s.Targets
 	}
-	n := math.Ceil(float64(r.opts.longFlows()) / float64(targets) / targetLoadPart)
+	n := math.Ceil(float64(r.opts.longFlows()) / float64(targets) / targetLoadFraction)
 	out := make(map[string]uint32)
 	for _, s := range r.deployment.Services {
-		out[s.Name] = max(uint32(n), leastConnections)
+		out[s.Name] = max(uint32(n), minConnections)
 	}
 	return out
 }
@@ -150,13 +149,13 @@
 	return 0
 }
 
-// configureService changes a service as the options want it.
+// configureService applies the options to a service.
 func (r *run) configureService(s *resource.Service) {
 	s.Spec.ProxyProtocol = r.opts.ProxyProtocol
 	s.Spec.UDPIdle = resource.Duration(udpIdle)
 }
 
-// configureTarget lets the first target of each service report a load of 0 when the run asks for it.
+// configureTarget applies the options to a target stand-in, Options.LyingTarget to the first one of each service.
 func (r *run) configureTarget(c *target.Config) {
 	c.ProxyProtocol = r.opts.ProxyProtocol
 	if r.opts.LyingTarget && r.isFirstTarget(c) {
@@ -170,11 +169,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lied == nil {
-		r.lied = map[string]bool{}
+	if r.falseLoadAssigned == nil {
+		r.falseLoadAssigned = map[string]bool{}
 	}
-	first := !r.lied[c.Service]
-	r.lied[c.Service] = true
+	first := !r.falseLoadAssigned[c.Service]
+	r.falseLoadAssigned[c.Service] = true
 	return first
 }
 
@@ -191,13 +190,13 @@
 	if err := wait.For(ctx, r.timeline.ramp+r.timeline.warm/2); err != nil {
 		return Result{}, trace.Wrap(err)
 	}
-	r.events.printf("warm: %d flows open", r.open.Load())
+	r.events.printf("warm-up done: %d flows open", r.open.Load())
 	balances, times := sample(ctx, r.cluster, r.timeline.warm/2)
 	if err := wait.For(ctx, r.timeline.faults()-time.Since(began)); err != nil {
 		return Result{}, trace.Wrap(err)
 	}
 	counts := r.cluster.Counts()
-	r.watched.Store(true)
+	r.measureStalls.Store(true)
 	scriptCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	s := newScript(scriptCtx, r.opts, r.cluster, r.events)
@@ -211,8 +210,8 @@
 	return r.judge(balances, times, counts), trace.Wrap(ctx.Err())
 }
 
-// awaitRecords gives the records of flows whose target was killed some time: a caller that hears nothing more closes its
-// connection in the end, and only that packet is refused.
+// awaitRecords waits up to settleTime for the refusal records of flows whose target was killed: a caller that receives
+// nothing more eventually closes its connection, and only that packet is refused.
 func (r *run) awaitRecords(ctx context.Context) {
 	end := time.Now().Add(settleTime)
 	for time.Now().Before(end) {
@@ -220,7 +219,7 @@
 		if !slices.ContainsFunc(r.outcomes, func(o outcome) bool { return r.lacksRecord(&o, records) }) {
 			return
 		}
-		if wait.For(ctx, recordPoll) != nil {
+		if wait.For(ctx, recordPollInterval) != nil {
 			return
 		}
 	}
@@ -237,15 +236,15 @@
 	return !recorded
 }
 
-// client runs one flow at its time.
+// client waits for the start of a flow, runs it and adds its outcome.
 func (r *run) client(ctx context.Context, p *plan) {
 	if wait.For(ctx, p.start) != nil {
 		return
 	}
 	n := r.open.Add(1)
-	for most := r.mostOpen.Load(); n > most && !r.mostOpen.CompareAndSwap(most, n); most = r.mostOpen.Load() {
+	for most := r.maxOpen.Load(); n > most && !r.maxOpen.CompareAndSwap(most, n); most = r.maxOpen.Load() {
 	}
-	c := client{plan: p, caller: r.fabric.NewCaller(p.local.Addr()), watched: &r.watched, proxied: r.opts.ProxyProtocol}
+	c := client{plan: p, caller: r.fabric.NewCaller(p.local.Addr()), measureStalls: &r.measureStalls, proxied: r.opts.ProxyProtocol}
 	out := c.run(ctx)
 	r.open.Add(-1)
 	r.mu.Lock()
--- a/internal/lab/flows/run_test.go
+++ b/internal/lab/flows/run_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRunSurvivesEverythingPlanned runs real flows through every planned change, uneven views and a killed balancer.
+// TestRunSurvivesEverythingPlanned checks that flows survive every planned change, uneven views and a killed balancer.
 func TestRunSurvivesEverythingPlanned(t *testing.T) {
 	t.Parallel()
 	faults, err := ParseFaults("planned,balancer-kill")
@@ -48,7 +48,7 @@
 	require.Zero(t, result.Broken)
 }
 
-// TestFalseDeathBreaksNoFlow drops a target that lives from the views for a few seconds, as late heartbeats do.
+// TestFalseDeathBreaksNoFlow guards against broken flows when late heartbeats remove a live target from the views.
 func TestFalseDeathBreaksNoFlow(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
--- a/internal/lab/flows/sampler.go
+++ b/internal/lab/flows/sampler.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	sampleEvery = 250 * time.Millisecond
-	// judgedMean is the mean of open flows from which one flow more or less does not matter for the imbalance.
-	judgedMean = 100
+	sampleInterval = 250 * time.Millisecond
+	// minMeanOpen is the mean of open flows above which a single flow does not dominate the imbalance.
+	minMeanOpen = 100
 )
 
-// balance is the imbalance of one service at one time.
+// balance holds the open flows per target of one service at one time.
 type balance struct {
 	service       string
 	highest, mean float64
 }
 
-// ratio is the highest over the mean, or 1 without flows.
+// ratio returns the highest over the mean, or 1 without flows.
 func (b balance) ratio() float64 {
 	if b.mean == 0 {
 		return 1
@@ -50,7 +50,7 @@
 	return out
 }
 
-// sample measures until the time is over and returns the worst balance of each service, and when it measured.
+// sample measures for the duration d and returns the worst balance of each service and the times of measurement.
 func sample(ctx context.Context, c Cluster, d time.Duration) (worst map[string]balance, times []time.Time) {
 	worst = map[string]balance{}
 	end := time.Now().Add(d)
@@ -61,7 +61,7 @@
 				worst[name] = b
 			}
 		}
-		if !time.Now().Add(sampleEvery).Before(end) || wait.For(ctx, sampleEvery) != nil {
+		if !time.Now().Add(sampleInterval).Before(end) || wait.For(ctx, sampleInterval) != nil {
 			return worst, times
 		}
 	}
--- a/internal/lab/flows/script.go
+++ b/internal/lab/flows/script.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// faultSpread is the time within which the faults begin.
+	// faultSpread is the time within which the faults start.
 	faultSpread = 2 * time.Second
-	// storeDownPart is how long the store is down, as a part of the window.
-	storeDownPart = 0.6
-	// falseDeathTime is how long a live target is taken for dead.
+	// storeDownFraction is the duration of the store outage as a fraction of the window.
+	storeDownFraction = 0.6
+	// falseDeathTime is how long a live target is removed from the views.
 	falseDeathTime = 3 * time.Second
 )
 
-// script makes the faults of a run, each at its own time.
+// script injects the faults of a run, each at its own time.
 type script struct {
 	opts    Options
 	cluster Cluster
@@ -38,7 +38,7 @@
 	return &script{opts: o, cluster: c, events: e, ctx: ctx, random: rand.New(rand.NewPCG(o.Seed, 4)), taken: map[string]bool{}}
 }
 
-// start makes every fault at a random time of the first seconds.
+// start schedules every fault at a random time within faultSpread.
 func (s *script) start() {
 	for _, f := range s.opts.Faults {
 		at := s.draw(faultSpread)
@@ -98,7 +98,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.events.printf("%s told to leave", name)
+	s.events.printf("%s leaving", name)
 	if err := s.cluster.LeaveBalancer(s.ctx, name); err != nil {
 		return trace.Wrap(err)
 	}
@@ -116,7 +116,7 @@
 	return trace.Wrap(s.cluster.KillBalancer(name))
 }
 
-// pickBalancer draws a balancer that no other fault took.
+// pickBalancer selects a random balancer that no other fault uses.
 func (s *script) pickBalancer() (string, error) {
 	return s.pick(s.cluster.Balancers(), "balancer")
 }
@@ -126,19 +126,19 @@
 	defer s.mu.Unlock()
 	names = slices.DeleteFunc(names, func(n string) bool { return s.taken[n] })
 	if len(names) == 0 {
-		return "", trace.NotFound("no %s is left", what)
+		return "", trace.NotFound("no %s is available for a fault", what)
 	}
 	name := names[s.random.IntN(len(names))]
 	s.taken[name] = true
 	return name, nil
 }
 
-// pickTarget draws an active target of the service that no other fault took.
+// pickTarget selects a random active target of the service that no other fault uses.
 func (s *script) pickTarget(service string) (string, error) {
 	return s.pick(s.free(service), "target of "+service)
 }
 
-// free lists the active targets of a service that no fault took; a fault that took one may not have told it yet.
+// free returns the active targets of a service that no fault uses; a target that a fault has picked may still be active.
 func (s *script) free(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	return ids
 }
 
-// eachService does the rounds for every service at once.
+// eachService calls do concurrently for every service.
 func (s *script) eachService(do func(service string) error) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -169,7 +169,7 @@
 	return trace.NewAggregate(errs...)
 }
 
-// targetJoin lets as many targets join as there are rounds, spread over the window.
+// targetJoin adds one target per round, spread over the window.
 func (s *script) targetJoin(service string) error {
 	return s.rounds(func() error {
 		id, err := s.cluster.JoinTarget(s.ctx, service)
@@ -181,7 +181,7 @@
 	})
 }
 
-// targetDrain lets as many targets leave as there are rounds; each goes on until its last flow has ended.
+// targetDrain starts to drain one target per round; the drains run in the background until the last flow has ended.
 func (s *script) targetDrain(service string) error {
 	least := s.activeTargets(service)/2 + 1
 	return s.rounds(func() error {
@@ -198,11 +198,11 @@
 	})
 }
 
-// awaitTargets waits until the service has at least so many active targets: no operator drains a service empty. On a busy
-// machine joins are slower than drains.
+// awaitTargets waits until the service has at least the given number of active targets, so that drains don't empty a
+// service when joins are slower, as on a busy machine.
 func (s *script) awaitTargets(service string, least int) error {
 	for s.activeTargets(service) < least {
-		if err := wait.For(s.ctx, sampleEvery); err != nil {
+		if err := wait.For(s.ctx, sampleInterval); err != nil {
 			return trace.Wrap(err, "wait for %d targets of %s", least, service)
 		}
 	}
@@ -252,20 +252,20 @@
 func (s *script) falseDeath() error {
 	suspecter, ok := s.cluster.(Suspecter)
 	if !ok {
-		return trace.NotImplemented("the cluster cannot take a live target for dead")
+		return trace.NotImplemented("the cluster cannot falsely declare a live target dead")
 	}
 	id, err := s.pickTarget(s.cluster.Services()[0].Name)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.events.printf("target %s taken for dead for %s", id, falseDeathTime)
+	s.events.printf("target %s falsely declared dead for %s", id, falseDeathTime)
 	return trace.Wrap(suspecter.SuspectTarget(id, falseDeathTime))
 }
 
 func (s *script) storeDown() error {
 	s.cluster.StoreDown(true)
 	s.events.printf("store down")
-	err := wait.For(s.ctx, time.Duration(storeDownPart*float64(s.opts.Window)))
+	err := wait.For(s.ctx, time.Duration(storeDownFraction*float64(s.opts.Window)))
 	s.cluster.StoreDown(false)
 	s.events.printf("store up")
 	return trace.Wrap(err)
--- a/internal/lab/flows/tracer.go
+++ b/internal/lab/flows/tracer.go
@@ -34,7 +34,7 @@
 	return &tracer{start: start, flows: make(map[netip.AddrPort]*packetList)}
 }
 
-// tap fits fabric.Config.Tap.
+// tap records a packet as text; it is used as fabric.Config.Tap.
 func (t *tracer) tap(peer netip.AddrPort, toCaller bool, b []byte) {
 	info, err := packet.Parse(b)
 	if err != nil {
@@ -81,7 +81,8 @@
 	return append(out, l.last[:l.next]...)
 }
 
-// describe returns flags, numbers and length of a TCP segment.
+// describe returns flags, sequence numbers, window and payload length of a TCP segment, and only the length of an IPv6
+// packet.
 func describe(b []byte) string {
 	if header.IPVersion(b) != header.IPv4Version {
 		return fmt.Sprintf("%d bytes", len(b))
--- a/internal/lab/flows/variants_test.go
+++ b/internal/lab/flows/variants_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestVariantsSurviveChanges runs other kinds of flows through joins, drains and a killed balancer.
+// TestVariantsSurviveChanges checks that UDP, IPv6 and lossy flows survive joins, drains and a killed balancer.
 func TestVariantsSurviveChanges(t *testing.T) {
 	tests := map[string]Options{
 		"IPv6 with PROXY protocol": {IPv6: true, ProxyProtocol: true},
--- a/internal/lab/flows/view_race_test.go
+++ b/internal/lab/flows/view_race_test.go
@@ -19,7 +19,7 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// slowArbiter takes its time to adopt a view.
+// slowArbiter blocks in SetService until proceed is closed.
 type slowArbiter struct {
 	agent.Arbiter
 	adopting chan struct{}
@@ -32,7 +32,7 @@
 	return a.Arbiter.SetService(now, s)
 }
 
-// acknowledgement returns a packet of an open flow.
+// acknowledgement returns a TCP ACK of an open flow.
 func acknowledgement(from, to netip.AddrPort) []byte {
 	b := make([]byte, header.IPv4MinimumSize+header.TCPMinimumSize)
 	ip := header.IPv4(b)
@@ -48,7 +48,7 @@
 	return b
 }
 
-// TestNewcomerAgentRefusesNoOpenFlow sends a packet of an open flow to an agent that is about to adopt its first view.
+// TestNewcomerAgentRefusesNoOpenFlow guards against an agent that resets an open flow while it adopts its first view.
 func TestNewcomerAgentRefusesNoOpenFlow(t *testing.T) {
 	t.Parallel()
 	fabricConn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopbackPort()))
--- a/internal/lab/flows/workload.go
+++ b/internal/lab/flows/workload.go
@@ -10,60 +10,60 @@
 )
 
 const (
-	openRate     = 1500 // flows a second during the ramp
-	warmTime     = 3 * time.Second
-	closeTime    = 3 * time.Second
-	leastRamp    = time.Second
-	leastSize    = 1 << 10
-	mostSize     = 64 << 10
-	flowsOfHost  = 40
-	firstPort    = 10000
-	mediumPart   = 0.5             // of the flows that are not long
-	mediumHold   = 4 * time.Second // on average
-	chunksPerSec = 6000            // of all long flows together
-	leastEvery   = 500 * time.Millisecond
+	openRate       = 1500 // flows per second during the ramp
+	warmTime       = 3 * time.Second
+	closeTime      = 3 * time.Second
+	minRamp        = time.Second
+	minSize        = 1 << 10
+	maxSize        = 64 << 10
+	flowsPerHost   = 40
+	firstPort      = 10000
+	mediumFraction = 0.5             // fraction of the flows that are not long
+	mediumHold     = 4 * time.Second // mean
+	chunksPerSec   = 6000            // total of all long flows
+	minInterval    = 500 * time.Millisecond
 )
 
-// timeline is the course of a run: ramp, warm-up, faults, close.
+// timeline holds the durations of the phases of a run: ramp, warm-up, faults, close.
 type timeline struct {
 	ramp, warm, window, close time.Duration
 }
 
 func newTimeline(o Options) timeline {
 	ramp := time.Duration(o.longFlows()) * time.Second / openRate
-	return timeline{ramp: max(ramp, leastRamp), warm: warmTime, window: o.Window, close: closeTime}
+	return timeline{ramp: max(ramp, minRamp), warm: warmTime, window: o.Window, close: closeTime}
 }
 
-// faults is the time after the start at which the faults begin.
+// faults returns the offset from the start at which the faults begin.
 func (t timeline) faults() time.Duration { return t.ramp + t.warm }
 
-// end is the time after the start at which the last flow ends by itself.
+// end returns the offset from the start at which the fault window ends.
 func (t timeline) end() time.Duration { return t.faults() + t.window }
 
-// workload draws the flows of a run.
+// workload generates the random flows of a run.
 type workload struct {
-	random   *rand.Rand
-	timeline timeline
-	services []resource.Service
-	parts    []int
-	total    int
-	every    time.Duration
-	ipv6     bool
-	udp      bool
+	random            *rand.Rand
+	timeline          timeline
+	services          []resource.Service
+	cumulativeTargets []int
+	total             int
+	every             time.Duration
+	ipv6              bool
+	udp               bool
 }
 
 func newWorkload(o Options, d Deployment, services []resource.Service, t timeline) *workload {
 	w := &workload{random: rand.New(rand.NewPCG(o.Seed, 3)), timeline: t, ipv6: o.IPv6, udp: o.UDP}
 	for _, s := range services {
 		w.total += d.targetsOf(s.Name)
-		w.parts = append(w.parts, w.total)
+		w.cumulativeTargets = append(w.cumulativeTargets, w.total)
 		w.services = append(w.services, s)
 	}
-	w.every = max(leastEvery, time.Duration(o.longFlows())*time.Second/chunksPerSec)
+	w.every = max(minInterval, time.Duration(o.longFlows())*time.Second/chunksPerSec)
 	return w
 }
 
-// plans draws all flows: the long ones start during the ramp, the others at any time.
+// plans generates all flows: the long ones start during the ramp, the others at any time.
 func (w *workload) plans(o Options) []*plan {
 	long := o.longFlows()
 	out := make([]*plan, 0, o.Flows)
@@ -72,7 +72,7 @@
 		switch {
 		case i < long:
 			w.makeLong(p, i, long)
-		case w.random.Float64() < mediumPart:
+		case w.random.Float64() < mediumFraction:
 			w.makeMedium(p)
 		default:
 			w.makeShort(p)
@@ -85,14 +85,14 @@
 	return out
 }
 
-// plan draws a flow's service and gives it an address and port of its own.
+// plan selects a random service for flow i and assigns it a local address and port that no other flow has.
 func (w *workload) plan(i int) *plan {
 	s := w.service()
 	a := s.Spec.Addresses[0]
 	return &plan{
 		name:    fmt.Sprintf("f%d", i),
 		service: s.Name,
-		local:   netip.AddrPortFrom(w.host(i/flowsOfHost), uint16(firstPort+i%flowsOfHost)),
+		local:   netip.AddrPortFrom(w.host(i/flowsPerHost), uint16(firstPort+i%flowsPerHost)),
 		remote:  netip.AddrPortFrom(netip.MustParseAddr(a.IP), a.Port),
 	}
 }
@@ -107,10 +107,10 @@
 	return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// service draws a service in proportion to its targets.
+// service selects a random service, weighted by its number of targets.
 func (w *workload) service() *resource.Service {
 	n := w.random.IntN(w.total)
-	for i, upTo := range w.parts {
+	for i, upTo := range w.cumulativeTargets {
 		if n < upTo {
 			return &w.services[i]
 		}
@@ -128,7 +128,7 @@
 	p.hold = w.timeline.end() - p.start + time.Duration(w.random.Int64N(int64(w.timeline.close)))
 }
 
-// makeMedium lets a flow start at any time and last for a few seconds, so that flows end while others start.
+// makeMedium makes a flow start at any time and last for a few seconds, so that flows end while others start.
 func (w *workload) makeMedium(p *plan) {
 	p.kind = kindPacedDownload
 	p.start = time.Duration(w.random.Int64N(int64(w.timeline.end())))
@@ -143,5 +143,5 @@
 	}
 	p.start = time.Duration(w.random.Int64N(int64(w.timeline.end())))
 	p.every = w.every
-	p.size = leastSize + w.random.Int64N(mostSize-leastSize)
+	p.size = minSize + w.random.Int64N(maxSize-minSize)
 }
