--- a/internal/lab/passthrough/caller.go
+++ b/internal/lab/passthrough/caller.go
@@ -14,23 +14,22 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
 )
 
-// Times of a caller.
 const (
-	// openTime is how long a caller waits for an answer to its opening packet.
+	// openTime is the caller's timeout for an answer to its opening packet.
 	openTime = 1400 * time.Millisecond
-	// resend is the time between two copies of a request.
-	resend = 200 * time.Millisecond
-	// requestTime is how long a caller waits for an answer to a request. A stall this long counts as broken: a restart of
-	// an agent takes 600 ms, and copies come every 200 ms.
+	// retransmitInterval is the interval between transmissions of a request.
+	retransmitInterval = 200 * time.Millisecond
+	// requestTime is the caller's timeout for an answer to a request. A longer stall counts as broken: an agent is down for
+	// 600 ms when it restarts, and requests are retransmitted every 200 ms.
 	requestTime = 4 * time.Second
-	// thinkTime is the time between two requests of a flow.
+	// thinkTime is the time between an answer and the next request of a flow.
 	thinkTime = 150 * time.Millisecond
 )
 
-// copies are the times of the copies of an opening packet.
-var copies = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+// openingSchedule lists when an opening packet and its retransmissions are sent, from the start of the flow.
+var openingSchedule = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// caller is one flow: it opens, sends requests one after the other, and closes.
+// caller is the caller's side of one flow: it opens the flow, sends requests one after the other, and closes it.
 type caller struct {
 	lab      *lab
 	conn     *net.UDPConn
@@ -42,9 +41,9 @@
 	owner    string
 }
 
-// run plays the flow and counts its end.
+// run runs the flow and counts its outcome.
 func (c *caller) run(ctx context.Context) {
-	defer c.conn.Close() //nolint:errcheck // Nothing is left to be sent.
+	defer c.conn.Close() //nolint:errcheck // All packets have been sent.
 	c.lab.tally.count(func(r *Result) { r.Flows++ })
 	began := time.Now()
 	if !c.open(ctx) {
@@ -62,7 +61,7 @@
 	c.lab.tally.count(func(r *Result) { r.Finished++ })
 }
 
-// send sends a packet through any balancer.
+// send sends a packet through a random balancer in rotation.
 func (c *caller) send(p dsrtest.Packet) {
 	p.Source, p.Destination = c.address, c.service.address
 	if to, ok := c.lab.anyBalancer(c.random); ok {
@@ -70,7 +69,7 @@
 	}
 }
 
-// receive waits for a packet of the flow until a time.
+// receive waits for a packet of the flow until the deadline.
 func (c *caller) receive(b []byte, until time.Time) (segment.Segment, bool) {
 	for {
 		_ = c.conn.SetReadDeadline(until)
@@ -85,15 +84,15 @@
 	}
 }
 
-// open opens the flow; it counts one that was refused or not answered.
+// open opens the flow. It counts a flow that was refused or not answered, and returns false for it.
 func (c *caller) open(ctx context.Context) bool {
 	began := time.Now()
 	b := make([]byte, 2048)
-	for i := range copies {
+	for i := range openingSchedule {
 		c.send(dsrtest.Packet{Flags: segment.SYN, Attempt: byte(i), Sequence: 7})
 		until := began.Add(openTime)
-		if i+1 < len(copies) {
-			until = began.Add(copies[i+1])
+		if i+1 < len(openingSchedule) {
+			until = began.Add(openingSchedule[i+1])
 		}
 		for {
 			s, ok := c.receive(b, until)
@@ -113,19 +112,19 @@
 			return false
 		}
 	}
-	c.lab.log.Error().Str("caller", c.address.String()).Msg("a flow got no answer")
+	c.lab.log.Error().Str("caller", c.address.String()).Msg("flow got no answer to its opening packet")
 	c.lab.tally.count(func(r *Result) { r.Unopened++ })
 	return false
 }
 
-// request sends one request and checks its answer.
+// request sends one request, with retransmissions, and checks its answer.
 func (c *caller) request(ctx context.Context, i int) bool {
 	text := fmt.Sprintf("%s#%d", c.address, i)
 	began := time.Now()
 	b := make([]byte, 2048)
 	for time.Since(began) < requestTime && ctx.Err() == nil {
 		c.send(dsrtest.Packet{Flags: segment.ACK, Acknowledgement: c.ack, Data: []byte(text)})
-		until := time.Now().Add(resend)
+		until := time.Now().Add(retransmitInterval)
 		for {
 			s, ok := c.receive(b, until)
 			if !ok {
@@ -133,16 +132,16 @@
 			}
 			switch {
 			case s.Has(segment.RST):
-				return c.lost("reset")
+				return c.flowLost("reset")
 			case s.Length > 0 && bytes.HasSuffix(dsrtest.Data(s.Raw), []byte(text)):
 				return c.check(string(dsrtest.Data(s.Raw)))
 			}
 		}
 	}
-	return c.lost("no answer")
+	return c.flowLost("no answer")
 }
 
-// check compares an answer with what the flow's owner answers.
+// check checks that an answer comes from the right service and from the target that answered before.
 func (c *caller) check(answer string) bool {
 	words := strings.Fields(answer)
 	if words[0] != c.service.name {
@@ -157,10 +156,10 @@
 	return true
 }
 
-// lost counts a flow that ended early: broken when its target lives.
-func (c *caller) lost(why string) bool {
+// flowLost counts a flow that ended early: as broken if its target is alive, otherwise as ended. It returns false.
+func (c *caller) flowLost(why string) bool {
 	if c.lab.targetLives(c.owner) {
-		c.lab.log.Error().Str("caller", c.address.String()).Str("target", c.owner).Str("why", why).Msg("a flow broke")
+		c.lab.log.Error().Str("caller", c.address.String()).Str("target", c.owner).Str("why", why).Msg("flow broke, target alive")
 		c.lab.tally.count(func(r *Result) { r.Broken++ })
 		return false
 	}
--- a/internal/lab/passthrough/counts.go
+++ b/internal/lab/passthrough/counts.go
@@ -12,26 +12,26 @@
 	"github.com/auburnwood/auburnwood/pkg/dsr/segment"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
-	// Flows were run, Finished ended well, Refused were reset before they opened, Unopened got no answer in time, Ended
-	// lost their target.
+	// Flows is the number of flows: Finished completed, Refused were reset before they opened, Unopened got no answer in
+	// time, Ended lost their target.
 	Flows, Finished, Refused, Unopened, Ended int
-	// Broken flows ended or stalled although their target lived; Crossed flows were answered by another service; Mixed
-	// flows got wrong bytes or were answered by two targets; Misdelivered counts packets of open flows that were handed to
-	// a target that does not hold them.
+	// Broken flows ended or stalled although their target was alive; Crossed flows were answered by another service; Mixed
+	// flows were answered by two targets; Misdelivered counts packets of open flows that were delivered to a target that
+	// does not hold the flow.
 	Broken, Crossed, Mixed, Misdelivered int
-	// Imbalance is the worst ratio of flows that targets of one service opened, highest over mean; BaselineImbalance is
+	// Imbalance is the worst ratio, highest over mean, of the flows opened at the targets of a service; BaselineImbalance is
 	// that of a plain hash over the announced targets.
 	Imbalance, BaselineImbalance float64
-	// OpenP95 is the 95th percentile of the times to open a flow; DeadP95 that of the flows that began while an agent was
-	// dead to which a plain hash over the announced targets would have sent them, DeadBaselineP95 what that hash needs.
+	// OpenP95 is the 95th percentile of the time to open a flow; DeadP95 that of the flows whose first packet a plain hash
+	// over the announced targets would have sent to a dead agent; DeadBaselineP95 that of the plain hash for these flows.
 	OpenP95, DeadP95, DeadBaselineP95 time.Duration
-	// DeadFlows is the number of those flows.
+	// DeadFlows is the number of flows in DeadP95.
 	DeadFlows int
 }
 
-// counts collects what callers and targets see.
+// counts collects the observations of callers and targets.
 type counts struct {
 	mu       sync.Mutex
 	result   Result
@@ -41,8 +41,9 @@
 	lab      *lab
 }
 
-// strange counts a packet that reached a target which does not hold its flow, when another target holds it open.
-func (t *counts) strange(at *target, s segment.Segment) {
+// checkMisdelivered counts a packet that reached a target which does not hold its flow, if the flow is open at another
+// target.
+func (t *counts) checkMisdelivered(at *target, s segment.Segment) {
 	for _, other := range t.lab.living() {
 		if other != at && other.holds(s.Source) {
 			t.mu.Lock()
@@ -59,7 +60,8 @@
 	f(&t.result)
 }
 
-// opened notes the time to open a flow, and what a plain hash would have needed.
+// opened records the time to open a flow, and for a flow that a plain hash would have sent to a dead agent also the
+// baseline.
 func (t *counts) opened(took time.Duration, baseline time.Duration, dead bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +72,7 @@
 	}
 }
 
-// finish works out the percentiles.
+// finish computes the percentiles and returns the result.
 func (t *counts) finish() Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +92,7 @@
 	return d[len(d)*95/100]
 }
 
-// print writes the result; its last line holds what is promised.
+// print writes the result; the last line holds the values that Err checks, and the imbalance.
 func (r Result) print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "flows=%d finished=%d refused=%d unopened=%d ended=%d open_p95=%s\n",
 		r.Flows, r.Finished, r.Refused, r.Unopened, r.Ended, r.OpenP95.Round(100*time.Microsecond))
@@ -100,10 +102,10 @@
 		r.Broken, r.Crossed, r.Mixed, r.Misdelivered, r.Imbalance, r.BaselineImbalance)
 }
 
-// Err returns an error when a promise was broken.
+// Err returns an error if flows broke, crossed or mixed, or packets were misdelivered.
 func (r Result) Err() error {
 	if r.Broken+r.Crossed+r.Mixed+r.Misdelivered > 0 {
-		return trace.Errorf("a promise was broken: broken=%d crossed=%d mixed=%d misdelivered=%d", r.Broken, r.Crossed, r.Mixed, r.Misdelivered)
+		return trace.Errorf("run violated its guarantees: broken=%d crossed=%d mixed=%d misdelivered=%d", r.Broken, r.Crossed, r.Mixed, r.Misdelivered)
 	}
 	return nil
 }
--- a/internal/lab/passthrough/explain_test.go
+++ b/internal/lab/passthrough/explain_test.go
@@ -17,10 +17,9 @@
 	"github.com/auburnwood/auburnwood/internal/standin/store"
 )
 
-// These tests make a request fail, take only the log of the processes, and find the cause by the caller's address, as
-// docs/OPERATIONS.md describes it.
+// These tests make a request fail and find the cause in the log by the caller's address alone, as docs/OPERATIONS.md
+// describes.
 
-// logBuffer keeps log lines.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -50,7 +49,7 @@
 	Waited        float64 `json:"waited_ms"`
 }
 
-// lines returns the lines that pass the filter.
+// lines returns the decoded lines for which keep returns true.
 func (l *logBuffer) lines(t *testing.T, keep func(line) bool) []line {
 	t.Helper()
 	l.mu.Lock()
@@ -66,18 +65,18 @@
 	return out
 }
 
-// of returns the operations of a caller's lines, by which an engineer goes.
-func (l *logBuffer) of(t *testing.T, caller netip.AddrPort) []line {
+// forCaller returns the lines with the caller's address.
+func (l *logBuffer) forCaller(t *testing.T, caller netip.AddrPort) []line {
 	return l.lines(t, func(one line) bool { return one.Caller == caller.String() })
 }
 
-// refusal waits for the line of a caller's refusal, which is written just after the caller is told.
+// refusal waits for the log line of a caller's refusal, which is written just after the packet to the caller is sent.
 func (l *logBuffer) refusal(t *testing.T, caller netip.AddrPort) line {
 	t.Helper()
 	var refused line
 	require.Eventually(t, func() bool {
 		var ok bool
-		refused, ok = has(l.of(t, caller), "refuse")
+		refused, ok = has(l.forCaller(t, caller), "refuse")
 		return ok
 	}, 10*time.Second, 20*time.Millisecond)
 	return refused
@@ -92,7 +91,7 @@
 	return line{}, false
 }
 
-// newTestLab starts an installation whose log is kept.
+// newTestLab returns an installation with the given number of targets, not yet started, and its log.
 func newTestLab(t *testing.T, targets int) (*lab, *logBuffer) {
 	t.Helper()
 	log := &logBuffer{}
@@ -106,13 +105,13 @@
 	return l, log
 }
 
-// flow plays a flow of one request and returns its caller's address.
+// flow runs a flow with the given number of requests and returns its caller's address.
 func flow(t *testing.T, l *lab, requests int) netip.AddrPort {
 	t.Helper()
 	return flowsAtOnce(t, l, requests, 1)[0]
 }
 
-// flowsAtOnce plays several flows at the same time and returns their callers' addresses.
+// flowsAtOnce runs n flows concurrently and returns their callers' addresses.
 func flowsAtOnce(t *testing.T, l *lab, requests, n int) []netip.AddrPort {
 	t.Helper()
 	var out []netip.AddrPort
@@ -128,7 +127,7 @@
 	return out
 }
 
-func TestARefusalForLackOfRoomIsExplained(t *testing.T) {
+func TestRefusalForLackOfCapacityIsExplained(t *testing.T) {
 	l, log := newTestLab(t, 1)
 	require.NoError(t, l.start(t.Context()))
 	var wg sync.WaitGroup
@@ -143,10 +142,10 @@
 	require.Contains(t, []string{"all-targets-full", "deadline-cannot-be-met"}, one.Reason)
 	require.NotEmpty(t, one.Record)
 	declined := log.lines(t, func(x line) bool { return x.Flow == one.Flow && x.Busy > 0 })
-	require.NotEmpty(t, declined, "the agent's line with the same flow names its load")
+	require.NotEmpty(t, declined, "the agent logs its load with the same flow hash")
 }
 
-func TestATargetThatDiedInTheMiddleIsExplained(t *testing.T) {
+func TestTargetDeathDuringFlowIsExplained(t *testing.T) {
 	l, log := newTestLab(t, 1)
 	require.NoError(t, l.start(t.Context()))
 	target := l.agents[0].target
@@ -155,31 +154,31 @@
 		defer target.mu.Unlock()
 		clear(target.flows)
 	})
-	caller := flow(t, l, mostRequests)
-	lines := log.of(t, caller)
+	caller := flow(t, l, maxRequests)
+	lines := log.forCaller(t, caller)
 	_, accepted := has(lines, "accepted")
 	require.True(t, accepted)
 	_, reset := has(lines, "reset")
-	require.True(t, reset, "the agent says that the target has lost the flow")
+	require.True(t, reset, "the agent logs that the target lost the flow")
 	refused := log.refusal(t, caller)
 	require.Equal(t, "target-died", refused.Reason)
 }
 
-func TestAFlowThatOpenedLateAfterAnAgentsDeathIsExplained(t *testing.T) {
+func TestLateOpenAfterAgentDeathIsExplained(t *testing.T) {
 	l, log := newTestLab(t, 2)
 	require.NoError(t, l.start(t.Context()))
 	dead := l.agents[0]
 	dead.daemon.Close()
 	<-dead.done
-	// Of two flows at once each target gets one: its slot is taken by the first.
+	// Two concurrent flows are placed on different targets, as each target has one slot.
 	var late []line
 	for _, caller := range flowsAtOnce(t, l, 1, 2) {
-		lines := log.of(t, caller)
+		lines := log.forCaller(t, caller)
 		if _, ok := has(lines, "unanswered"); ok {
 			late = lines
 		}
 	}
-	require.NotNil(t, late, "the flow that meets the dead agent")
+	require.NotNil(t, late, "a flow must have been offered to the dead agent")
 	unanswered, _ := has(late, "unanswered")
 	placed, ok := has(late, "placed")
 	require.True(t, ok)
@@ -188,10 +187,10 @@
 	require.NotEqual(t, unanswered.Agent, placed.Agent)
 	require.Eventually(t, func() bool {
 		return len(log.lines(t, func(one line) bool { return one.Op == "agent-lost" && one.Peer == unanswered.Agent })) > 0
-	}, 10*time.Second, 20*time.Millisecond, "the balancer says that the agent is gone")
+	}, 10*time.Second, 20*time.Millisecond, "the balancer logs that the agent was lost")
 }
 
-func TestARefusalByARemovedRouteIsExplained(t *testing.T) {
+func TestRefusalByRemovedRouteIsExplained(t *testing.T) {
 	l, log := newTestLab(t, 1)
 	require.NoError(t, l.start(t.Context()))
 	l.services[0].address = netip.MustParseAddrPort("198.51.100.77:80")
@@ -200,17 +199,17 @@
 	adopted := log.lines(t, func(one line) bool {
 		return one.Op == "adopt-configuration" && one.Configuration == refused.Configuration
 	})
-	require.Len(t, adopted, 1, "the version is the one that the balancer took into force")
+	require.Len(t, adopted, 1, "the refusal names the version that the balancer adopted")
 	require.Equal(t, fmt.Sprint(l.version), adopted[0].Label)
 }
 
-func TestAStoreThatWasAwayAtABalancersStartIsExplained(t *testing.T) {
+func TestStoreOutageAtBalancerStartIsExplained(t *testing.T) {
 	l, log := newTestLab(t, 0)
 	l.store.SetFaults(store.Faults{Outage: true})
 	require.NoError(t, l.startBalancer(l.store))
 	refused := log.refusal(t, flow(t, l, 1))
 	require.Equal(t, "no-configuration", refused.Reason)
 	lost := log.lines(t, func(one line) bool { return one.Op == "check-configuration" })
-	require.NotEmpty(t, lost, "the balancer says that the object API was lost")
+	require.NotEmpty(t, lost, "the balancer logs that the object API is unreachable")
 	require.Empty(t, log.lines(t, func(one line) bool { return one.Op == "adopt-configuration" }))
 }
--- a/internal/lab/passthrough/faults.go
+++ b/internal/lab/passthrough/faults.go
@@ -12,23 +12,22 @@
 	"github.com/auburnwood/auburnwood/pkg/objectapi"
 )
 
-// Times of the faults.
 const (
-	// awayTime is how long an agent that was killed is away.
-	awayTime = 600 * time.Millisecond
-	// detection is how long the fabric sends packets to a balancer that was killed.
+	// agentDowntime is the time before a killed agent is started again.
+	agentDowntime = 600 * time.Millisecond
+	// detection is how long the fabric goes on sending packets to a balancer that leaves or was killed.
 	detection = time.Second
-	// outage is how long the object API is down.
+	// outage is the duration of an outage of the object API.
 	outage = 3 * time.Second
-	// drainTime is how long a leaving target waits for its flows; the longest take about 4 s.
+	// drainTime is the drain timeout of a target; the longest flows take about 4 s.
 	drainTime = 6 * time.Second
-	// lateTime is how late the heartbeats of a living target are: it is taken for gone after three intervals.
-	lateTime = 3 * time.Second
-	// unevenDelay is how late the object API answers one balancer.
+	// heartbeatDelay is how long the heartbeats of a live target are withheld: it is considered lost after three intervals.
+	heartbeatDelay = 3 * time.Second
+	// unevenDelay is the delay of the object API's answers to the balancer that uneven-updates starts.
 	unevenDelay = 800 * time.Millisecond
 )
 
-// faults makes the faults within the window.
+// faults injects the faults at random times within the window, and changes the configuration four times.
 func (l *lab) faults(ctx context.Context, r *rand.Rand) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, f := range l.o.Faults {
@@ -46,9 +45,9 @@
 	g.Go(func() error {
 		for range 4 {
 			time.Sleep(l.o.Window / 6)
-			// The object API may be down; the next change is tried again.
+			// The object API may be down; the next change is attempted anyway.
 			if err := l.configure(ctx); err != nil {
-				l.log.Info().Err(err).Msg("a change was not taken")
+				l.log.Info().Err(err).Msg("configuration change failed")
 			}
 		}
 		return nil
@@ -61,18 +60,18 @@
 	case flows.FaultBalancerJoin:
 		return l.startBalancer(l.store)
 	case flows.FaultUneven:
-		return l.startBalancer(late{l.store})
+		return l.startBalancer(delayedStore{l.store})
 	case flows.FaultBalancerLeave:
 		b := l.takeBalancer(r)
 		time.Sleep(detection)
-		l.outOfRotation(b)
+		l.removeFromRotation(b)
 		b.stop()
 		<-b.done
 	case flows.FaultBalancerKill:
 		b := l.takeBalancer(r)
 		b.daemon.Close()
 		time.Sleep(detection)
-		l.outOfRotation(b)
+		l.removeFromRotation(b)
 	case flows.FaultTargetJoin:
 		return l.startTarget(l.services[r.IntN(len(l.services))], false)
 	case flows.FaultTargetDrain:
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// takeBalancer chooses a balancer in rotation that no other fault has.
+// takeBalancer selects a random balancer in rotation.
 func (l *lab) takeBalancer(r *rand.Rand) *balancerNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,13 +104,13 @@
 	return l.balancers[first]
 }
 
-func (l *lab) outOfRotation(b *balancerNode) {
+func (l *lab) removeFromRotation(b *balancerNode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b.rotation = false
 }
 
-// takeAgent chooses an agent that no other fault has, of a service with several.
+// takeAgent selects a random agent that no other fault uses and marks it as leaving. If there is none, it returns any agent.
 func (l *lab) takeAgent(r *rand.Rand) *agentNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,12 +125,12 @@
 	return l.agents[first]
 }
 
-// drain lets a target leave: it says so, goes on with its flows, and ends with its agent.
+// drain drains a target: it announces the state, serves its flows until they end or drainTime is over, and stops its agent.
 func (l *lab) drain(n *agentNode) {
 	n.target.mu.Lock()
 	n.target.draining = true
 	n.target.mu.Unlock()
-	// A flow whose last packet was lost stays open at the target; it is not waited for.
+	// The wait is bounded, as a flow whose last packet was lost stays open at the target.
 	for end := time.Now().Add(drainTime); n.target.open() > 0 && time.Now().Before(end); {
 		time.Sleep(heartbeat)
 	}
@@ -139,24 +138,24 @@
 	<-n.done
 }
 
-// holdHeartbeats keeps the heartbeats of a living target back for a while.
+// holdHeartbeats withholds the heartbeats of a live target for heartbeatDelay.
 func (l *lab) holdHeartbeats(n *agentNode) {
 	n.target.hold(true)
-	time.Sleep(lateTime)
+	time.Sleep(heartbeatDelay)
 	n.target.hold(false)
 	l.mu.Lock()
 	n.leaving = false
 	l.mu.Unlock()
 }
 
-// killAgent ends an agent beside its living target, and starts it again after a while.
+// killAgent kills an agent while its target keeps running, and starts it again after agentDowntime.
 func (l *lab) killAgent(n *agentNode) error {
 	l.mu.Lock()
 	n.leaving, n.deadAt = false, time.Now()
 	l.mu.Unlock()
 	n.daemon.Close()
 	<-n.done
-	time.Sleep(awayTime)
+	time.Sleep(agentDowntime)
 	err := l.startAgent(n, false)
 	l.mu.Lock()
 	n.backAt = time.Now()
@@ -164,13 +163,13 @@
 	return err
 }
 
-// late is an object API whose answers come late.
-type late struct {
+// delayedStore is an object API that delays the answers to Get by unevenDelay.
+type delayedStore struct {
 	objectapi.Store
 }
 
 // Get implements objectapi.Store.
-func (s late) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
+func (s delayedStore) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
 	o, err := s.Store.Get(ctx, kind, name)
 	select {
 	case <-ctx.Done():
--- a/internal/lab/passthrough/lab.go
+++ b/internal/lab/passthrough/lab.go
@@ -28,13 +28,13 @@
 	"github.com/auburnwood/auburnwood/pkg/telemetry"
 )
 
-// The object with the configuration.
+// Kind and name of the object that holds the configuration.
 const (
 	configurationKind objectapi.Kind = "routes"
 	configurationName string         = "all"
 )
 
-// Networks of the processes; each gets an address of its own in 127.0.0.0/8, and the ports are the same everywhere.
+// Networks of the processes; each process has its own address in 127.0.0.0/8, and all use the same ports.
 const (
 	balancerNet = 1
 	agentNet    = 2
@@ -49,7 +49,6 @@
 	slots   int
 }
 
-// balancerNode is a running balancer.
 type balancerNode struct {
 	daemon  *dsrd.Balancer
 	packets netip.AddrPort
@@ -59,7 +58,7 @@
 	rotation bool
 }
 
-// agentNode is a target with its agent. The agent may be away while the target lives.
+// agentNode is a target with its agent. The agent may be down while the target is alive.
 type agentNode struct {
 	target  *target
 	daemon  *dsrd.Agent
@@ -73,7 +72,7 @@
 	hashed int
 }
 
-// lab is the whole installation.
+// lab is an installation under test.
 type lab struct {
 	o        Options
 	d        flows.Deployment
@@ -111,11 +110,11 @@
 	return l, nil
 }
 
-// freePort returns a port that was free a moment ago.
+// freePort returns a UDP port that was free at the time of the call.
 func freePort() (int, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return 0, trace.Wrap(err, "looking for a free port")
+		return 0, trace.Wrap(err, "find a free port")
 	}
 	defer c.Close() //nolint:errcheck // Nothing was sent.
 	return c.LocalAddr().(*net.UDPAddr).Port, nil
@@ -130,7 +129,7 @@
 	return netip.AddrFrom4([4]byte{127, byte(10 + network), byte(n >> 8), byte(n)})
 }
 
-// configure writes the next configuration; each has one more address without targets.
+// configure writes the next configuration; each has one more route without targets.
 func (l *lab) configure(ctx context.Context) error {
 	l.version++
 	c := configuration.Configuration{Label: fmt.Sprint(l.version)}
@@ -162,7 +161,7 @@
 	return err
 }
 
-// platform is what the daemons run on.
+// platform returns the platform of the daemons, with s as the object API.
 func (l *lab) platform(s objectapi.Store) dsrd.Platform {
 	return dsrd.Platform{
 		Codec:             dsrtest.Codec{},
@@ -194,7 +193,7 @@
 	}
 }
 
-// seeds are the first balancers that were started.
+// seeds returns the addresses of the first balancers, at most three.
 func (l *lab) seeds() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +208,7 @@
 	return telemetry.Env{Log: l.log, Scope: tally.NoopScope, Status: new(telemetry.Status)}
 }
 
-// startBalancer starts a balancer; s is its object API.
+// startBalancer starts a balancer that uses s as its object API.
 func (l *lab) startBalancer(s objectapi.Store) error {
 	address := l.address(balancerNet)
 	cfg := settings.DSRBalancer{DSRProcess: l.process(fmt.Sprintf("balancer-%s", address), address, int(address.As4()[3]))}
@@ -226,15 +225,15 @@
 	return nil
 }
 
-// run waits for a daemon and logs how it ended.
+// run runs a daemon, logs its error and closes done.
 func (l *lab) run(done chan struct{}, f func() error) {
 	defer close(done)
 	if err := f(); err != nil && !errors.Is(err, context.Canceled) {
-		l.log.Error().Err(err).Msg("a daemon failed")
+		l.log.Error().Err(err).Msg("daemon failed")
 	}
 }
 
-// startTarget starts a target and its agent.
+// startTarget starts a target, its agent and its heartbeats.
 func (l *lab) startTarget(s serviceAt, first bool) error {
 	number := l.address(targetNet)
 	t, err := newTarget(fmt.Sprintf("target-%s", number), s.name, s.slots, netip.AddrPortFrom(number, uint16(l.port)), l.tally)
@@ -248,11 +247,11 @@
 	l.mu.Lock()
 	l.agents = append(l.agents, n)
 	l.mu.Unlock()
-	go l.beat(n)
+	go l.sendHeartbeats(n)
 	return nil
 }
 
-// startAgent starts the agent beside a target, at the same address as before.
+// startAgent starts the agent of a target; a restarted agent gets the same address.
 func (l *lab) startAgent(n *agentNode, first bool) error {
 	address := netip.AddrFrom4([4]byte{127, 10 + agentNet, 0, byte(n.number)})
 	outbound := netip.AddrPortFrom(address, uint16(l.messages))
@@ -281,8 +280,8 @@
 	return nil
 }
 
-// beat announces a target to its agent until it is dead.
-func (l *lab) beat(n *agentNode) {
+// sendHeartbeats announces a target to its agent until the target is killed.
+func (l *lab) sendHeartbeats(n *agentNode) {
 	for {
 		a, ok := n.target.announcement()
 		if !ok {
@@ -298,7 +297,7 @@
 	}
 }
 
-// anyBalancer returns a balancer in rotation.
+// anyBalancer returns the address of a random balancer in rotation.
 func (l *lab) anyBalancer(r *rand.Rand) (netip.AddrPort, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -314,7 +313,7 @@
 	return in[r.IntN(len(in))], true
 }
 
-// living are the targets that live.
+// living returns the targets that are alive.
 func (l *lab) living() []*target {
 	l.mu.Lock()
 	agents := slices.Clone(l.agents)
@@ -332,7 +331,7 @@
 	return slices.ContainsFunc(l.living(), func(t *target) bool { return t.name == name })
 }
 
-// close ends everything at once.
+// close closes all balancers, targets and agents without draining them.
 func (l *lab) close() {
 	l.mu.Lock()
 	balancers, agents := slices.Clone(l.balancers), slices.Clone(l.agents)
--- a/internal/lab/passthrough/options.go
+++ b/internal/lab/passthrough/options.go
@@ -17,21 +17,21 @@
 	DefaultWindow    = 12 * time.Second
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
 	// Deployment is "zarqa" or "saobien".
 	Deployment string
-	// Balancers is the number of balancers at the start.
+	// Balancers is the number of balancers at the start; 0 means DefaultBalancers.
 	Balancers int
-	// Flows is the number of flows in the whole run.
+	// Flows is the number of flows in the whole run; 0 means DefaultFlows.
 	Flows int
-	// Faults happen together.
+	// Faults are injected at random times between 20 % and 60 % of the window.
 	Faults []flows.Fault
-	// Seed makes the choices repeatable.
+	// Seed makes random choices repeatable.
 	Seed uint64
-	// Window is the time in which flows begin.
+	// Window is the time in which flows start; 0 means DefaultWindow.
 	Window time.Duration
-	// Log takes the log lines of balancers and agents.
+	// Log receives the log of balancers, agents and callers.
 	Log zerolog.Logger
 }
 
@@ -55,5 +55,5 @@
 			return d, nil
 		}
 	}
-	return flows.Deployment{}, trace.BadParameter("no deployment is named %q", o.Deployment)
+	return flows.Deployment{}, trace.BadParameter("unknown deployment %q", o.Deployment)
 }
--- a/internal/lab/passthrough/plain_hash.go
+++ b/internal/lab/passthrough/plain_hash.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// forgetAfter is how long a plain hash goes on sending flows to an agent that is silent: four announcements of 250 ms.
-const forgetAfter = time.Second
+// silentExpiry is how long a plain hash keeps sending flows to a silent agent: four announcement intervals of 250 ms.
+const silentExpiry = time.Second
 
-// plainHash works out when a flow that began at a time would have opened, if its balancer sent each copy of the opening
-// packet to the target that has the highest hash of those announced then. Dead tells whether its first copy would have met
-// a dead agent.
+// plainHash returns the time in which a flow would have opened if its balancer had sent each transmission of the opening
+// packet to the target with the highest hash among those announced at that time. Dead is set if the first transmission
+// would have gone to a dead agent.
 func (l *lab) plainHash(caller netip.AddrPort, service string, began time.Time) (took time.Duration, dead bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, c := range copies {
+	for i, c := range openingSchedule {
 		at := began.Add(c)
 		n := l.hashed(caller, service, at)
 		if n == nil {
@@ -25,7 +25,7 @@
 		if i == 0 {
 			n.hashed++
 		}
-		if !n.deadTime(at) {
+		if !n.isDownAt(at) {
 			return c, dead
 		}
 		if i == 0 {
@@ -35,12 +35,12 @@
 	return openTime, dead
 }
 
-// hashed returns the announced agent of a service with the highest hash for the flow. l.mu is held.
+// hashed returns the announced agent of a service with the highest hash for the flow, or nil. The caller must hold l.mu.
 func (l *lab) hashed(caller netip.AddrPort, service string, at time.Time) *agentNode {
 	var best *agentNode
 	var highest uint64
 	for _, n := range l.agents {
-		if n.target.service != service || n.leaving || n.deadTime(at) && at.Sub(n.deadAt) > forgetAfter {
+		if n.target.service != service || n.leaving || n.isDownAt(at) && at.Sub(n.deadAt) > silentExpiry {
 			continue
 		}
 		h := xxhash.Sum64String(caller.String() + n.target.name)
@@ -51,7 +51,7 @@
 	return best
 }
 
-// deadTime reports whether the agent was away at a time.
-func (n *agentNode) deadTime(at time.Time) bool {
+// isDownAt reports whether the agent was down at the given time.
+func (n *agentNode) isDownAt(at time.Time) bool {
 	return !n.deadAt.IsZero() && !at.Before(n.deadAt) && (n.backAt.IsZero() || at.Before(n.backAt))
 }
--- a/internal/lab/passthrough/run.go
+++ b/internal/lab/passthrough/run.go
@@ -13,13 +13,12 @@
 )
 
 const (
-	// settleTime is how long the installation runs before the first flow.
-	settleTime = 1200 * time.Millisecond
-	// mostRequests is the highest number of requests of a flow.
-	mostRequests = 20
+	// settleTime is the wait between the start of the processes and the first flow.
+	settleTime  = 1200 * time.Millisecond
+	maxRequests = 20
 )
 
-// Run runs the installation and writes what was measured. It returns an error when a promise was broken.
+// Run runs the installation and writes the measurements to w. It returns the error of Result.Err if the run completes.
 func Run(ctx context.Context, o Options, w io.Writer) (Result, error) {
 	o = o.withDefaults()
 	if err := o.check(); err != nil {
@@ -37,7 +36,7 @@
 	if err := l.start(ctx); err != nil {
 		return Result{}, err
 	}
-	if err := l.play(ctx); err != nil {
+	if err := l.runFlows(ctx); err != nil {
 		return Result{}, err
 	}
 	r := l.tally.finish()
@@ -47,20 +46,20 @@
 	return r, r.Err()
 }
 
-// start starts every process.
+// start writes the first configuration and starts every process.
 func (l *lab) start(ctx context.Context) error {
 	if err := l.configure(ctx); err != nil {
-		return trace.Wrap(err, "writing the first configuration")
+		return trace.Wrap(err, "write the first configuration")
 	}
 	for range l.o.Balancers {
 		if err := l.startBalancer(l.store); err != nil {
-			return trace.Wrap(err, "starting a balancer")
+			return trace.Wrap(err, "start a balancer")
 		}
 	}
 	for i, s := range l.services {
 		for range l.d.Services[i].Targets {
 			if err := l.startTarget(s, true); err != nil {
-				return trace.Wrap(err, "starting a target of %s", s.name)
+				return trace.Wrap(err, "start a target of %s", s.name)
 			}
 		}
 	}
@@ -68,8 +67,8 @@
 	return nil
 }
 
-// play begins the flows one after the other while the faults happen, and waits for all.
-func (l *lab) play(ctx context.Context) error {
+// runFlows starts the flows evenly over the window while faults are injected, and waits until all flows and faults end.
+func (l *lab) runFlows(ctx context.Context) error {
 	r := rand.New(rand.NewPCG(l.o.Seed, 2))
 	failed := make(chan error, 1)
 	go func() { failed <- l.faults(ctx, rand.New(rand.NewPCG(l.o.Seed, 3))) }()
@@ -87,16 +86,16 @@
 	return <-failed
 }
 
-// newCaller returns the next flow; a few have many requests, most have few.
+// newCaller returns the caller of flow i. A quarter of the flows send maxRequests requests, the others up to three.
 func (l *lab) newCaller(r *rand.Rand, i int) (*caller, error) {
 	address := netip.AddrPortFrom(l.address(callerNet), uint16(l.port))
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, trace.Wrap(err, "binding caller %d", i)
+		return nil, trace.Wrap(err, "listen for caller %d", i)
 	}
 	requests := 1 + r.IntN(3)
 	if r.IntN(4) == 0 {
-		requests = mostRequests
+		requests = maxRequests
 	}
 	return &caller{
 		lab:      l,
@@ -108,7 +107,8 @@
 	}, nil
 }
 
-// imbalance is the worst ratio of opened flows among the targets of a service that were there all the time.
+// imbalance returns the worst ratio, highest over mean, of the flows among the targets of a service that were present for
+// the whole run.
 func (l *lab) imbalance(flows func(*agentNode) int) float64 {
 	worst := 0.0
 	for i, s := range l.services {
@@ -126,7 +126,7 @@
 	return worst
 }
 
-// targets is the number of targets at the start.
+// targets returns the number of targets at the start.
 func (l *lab) targets() int {
 	n := 0
 	for _, s := range l.d.Services {
--- a/internal/lab/passthrough/run_test.go
+++ b/internal/lab/passthrough/run_test.go
@@ -11,7 +11,7 @@
 	"github.com/auburnwood/auburnwood/internal/lab/flows"
 )
 
-// A short run with every fault must keep the promises.
+// TestFlowsSurviveChangesAndDeaths guards against broken and misdelivered flows while processes join, leave and fail.
 func TestFlowsSurviveChangesAndDeaths(t *testing.T) {
 	faults, err := flows.ParseFaults("planned,balancer-kill,agent-kill,false-death")
 	require.NoError(t, err)
--- a/internal/lab/passthrough/target.go
+++ b/internal/lab/passthrough/target.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// heartbeat is the time between two announcements of a target.
+	// heartbeat is the interval between announcements of a target.
 	heartbeat = 400 * time.Millisecond
-	// work is the time that a target takes for a request.
-	work = 20 * time.Millisecond
+	// requestDuration is the processing time of a request.
+	requestDuration = 20 * time.Millisecond
 )
 
-// target is a stand-in for a target: it holds flows, answers requests with its name, and returns what it does not hold.
+// target is a stand-in for a target: it holds flows, answers requests with its name, and returns packets of flows that it
+// does not hold.
 type target struct {
 	name    string
 	service string
 	slots   int
 	conn    *net.UDPConn
-	// outbound is where its packets go; it is set once the agent lives.
+	// outbound is the destination of its packets; it is set when the agent starts. Guarded by mu.
 	outbound netip.AddrPort
 	tally    *counts
 
 	mu       sync.Mutex
 	dead     bool
 	draining bool
-	// held is set while heartbeats are kept back.
+	// held is set while heartbeats are withheld.
 	held     bool
 	sequence uint64
 	next     uint32
@@ -40,7 +41,7 @@
 	opened   int
 }
 
-// held is one flow at a target.
+// held is the state of one flow at a target.
 type held struct {
 	initial uint32
 	open    bool
@@ -65,14 +66,14 @@
 			return
 		}
 		s, err := dsrtest.Codec{}.Decode(b[:n])
-		if err == nil && !t.packet(s) {
-			t.tally.strange(t, s)
+		if err == nil && !t.handlePacket(s) {
+			t.tally.checkMisdelivered(t, s)
 		}
 	}
 }
 
-// packet takes a packet; it returns false for one of a flow that the target does not hold.
-func (t *target) packet(s segment.Segment) bool {
+// handlePacket handles one packet; it returns false if the target does not hold its flow.
+func (t *target) handlePacket(s segment.Segment) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dead {
@@ -81,18 +82,18 @@
 	f := t.flows[s.Source]
 	switch {
 	case s.IsOpening():
-		t.opening(s, f)
+		t.handleOpening(s, f)
 	case f == nil || f.initial+1 > s.Acknowledgement || s.Acknowledgement > f.initial+1<<20:
-		t.giveBack(s)
+		t.returnPacket(s)
 		return false
 	default:
-		t.of(f, s)
+		t.handleHeld(f, s)
 	}
 	return true
 }
 
-// opening answers an opening packet.
-func (t *target) opening(s segment.Segment, f *held) {
+// handleOpening answers an opening packet; it creates the flow if it is new or closed.
+func (t *target) handleOpening(s segment.Segment, f *held) {
 	if f == nil || f.closed {
 		t.next += 1 << 21
 		f = &held{initial: t.next}
@@ -102,8 +103,8 @@
 	t.send(dsrtest.Packet{Source: s.Destination, Destination: s.Source, Flags: segment.SYN | segment.ACK, Sequence: f.initial})
 }
 
-// of answers a packet of a held flow: the text of a request comes back with the target's name.
-func (t *target) of(f *held, s segment.Segment) {
+// handleHeld answers a packet of a held flow: a request is echoed with the names of the service and the target.
+func (t *target) handleHeld(f *held, s segment.Segment) {
 	f.open = true
 	reply := dsrtest.Packet{Source: s.Destination, Destination: s.Source, Flags: segment.ACK, Sequence: s.Acknowledgement}
 	if s.Has(segment.FIN) {
@@ -116,7 +117,7 @@
 		return
 	}
 	reply.Data = fmt.Appendf(nil, "%s %s %s", t.service, t.name, dsrtest.Data(s.Raw))
-	time.AfterFunc(work, func() {
+	time.AfterFunc(requestDuration, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if !t.dead {
@@ -125,7 +126,7 @@
 	})
 }
 
-func (t *target) giveBack(s segment.Segment) {
+func (t *target) returnPacket(s segment.Segment) {
 	raw := append([]byte(nil), s.Raw...)
 	raw[0] |= byte(segment.Returned)
 	_, _ = t.conn.WriteToUDPAddrPort(raw, t.outbound)
@@ -135,7 +136,7 @@
 	_, _ = t.conn.WriteToUDPAddrPort(dsrtest.Encode(p), t.outbound)
 }
 
-// announcement is the next heartbeat; nothing when the target is dead.
+// announcement returns the next heartbeat, and false if the target is dead.
 func (t *target) announcement() (announcement.Announcement, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +148,7 @@
 	return a, !t.dead
 }
 
-// open is the number of flows that are open.
+// open returns the number of open flows.
 func (t *target) open() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +161,7 @@
 	return n
 }
 
-// holds reports whether the flow of a caller is open here.
+// holds reports whether the caller's flow is open at the target.
 func (t *target) holds(caller netip.AddrPort) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,14 +169,14 @@
 	return f != nil && f.open && !f.closed
 }
 
-// hold keeps heartbeats back, or lets them go.
+// hold starts or stops withholding heartbeats.
 func (t *target) hold(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.held = on
 }
 
-// holding reports whether heartbeats are kept back.
+// holding reports whether heartbeats are withheld.
 func (t *target) holding() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
