--- a/internal/lab/policy/scenario.go
+++ b/internal/lab/policy/scenario.go
@@ -9,7 +9,7 @@
 // Scenario is a named workload with faults and the minimum mean worth that a run must reach.
 type Scenario struct {
 	Name string
-	// MinWorth is compared by Violations; seeds 1 to 3 exceed it by at least 0.01 each.
+	// MinWorth is the lower bound for the mean worth; Violations checks it.
 	MinWorth float64
 	options  func() Options
 }
