--- a/internal/lab/cluster/authority_test.go
+++ b/internal/lab/cluster/authority_test.go
@@ -60,12 +60,12 @@
 	return path
 }
 
-// issue returns the files of a process with a certificate for loopback that is valid until the given time.
+// issue returns the TLS files of a process with a certificate for loopback that expires at the given time.
 func (a *authority) issue(process string, until time.Time) settings.TLS {
 	return a.issueFor(process, until, net.IPv4(127, 0, 0, 1))
 }
 
-// issueFor returns the files of a process with a certificate for an address that is valid until the given time.
+// issueFor is issue for a certificate of another IP address.
 func (a *authority) issueFor(process string, until time.Time, address net.IP) settings.TLS {
 	key := a.newKey()
 	cert := a.sign(&x509.Certificate{
--- a/internal/lab/cluster/balancer.go
+++ b/internal/lab/cluster/balancer.go
@@ -20,7 +20,7 @@
 	daemon *balancerd.Daemon
 	stop   context.CancelFunc
 	ended  chan struct{}
-	// view is the view that the packet path uses.
+	// view is the view last delivered to the packet path.
 	view atomic.Pointer[view.View]
 }
 
@@ -79,7 +79,7 @@
 	c.mu.Lock()
 	c.balancers = append(c.balancers, b)
 	c.mu.Unlock()
-	// The fabric hands packets to a newcomer at once, before it has heard of configuration and targets.
+	// The fabric sends packets to a new balancer at once, before it has received configuration and targets.
 	c.cfg.Fabric.AddBalancer(d.PacketAddr())
 	return s.Name, nil
 }
@@ -115,7 +115,7 @@
 
 // LeaveBalancer implements flows.Cluster.
 func (c *Cluster) LeaveBalancer(ctx context.Context, name string) error {
-	b, err := c.takeBalancer(name)
+	b, err := c.removeBalancer(name)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -131,7 +131,7 @@
 
 // KillBalancer implements flows.Cluster.
 func (c *Cluster) KillBalancer(name string) error {
-	b, err := c.takeBalancer(name)
+	b, err := c.removeBalancer(name)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -141,20 +141,20 @@
 	return nil
 }
 
-func (c *Cluster) takeBalancer(name string) (*balancer, error) {
+func (c *Cluster) removeBalancer(name string) (*balancer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, b := range c.balancers {
 		if b.name == name {
 			c.balancers = slices.Delete(c.balancers, i, i+1)
-			c.gone = append(c.gone, b)
+			c.removed = append(c.removed, b)
 			return b, nil
 		}
 	}
-	return nil, trace.NotFound("balancer %s does not live", name)
+	return nil, trace.NotFound("balancer %s is not running", name)
 }
 
-func (b *balancer) knowsActive(id string) bool {
+func (b *balancer) seesActive(id string) bool {
 	for _, m := range b.daemon.Members() {
 		if m.ID == id {
 			return m.State == membership.StateActive
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -24,11 +24,11 @@
 const (
 	// startTimeout bounds the time until the whole installation serves.
 	startTimeout = 30 * time.Second
-	// pollTime is the time between two looks at something that is awaited.
+	// pollTime is the polling interval of awaited conditions.
 	pollTime = 20 * time.Millisecond
-	// callRate is the call budget of each process towards the stand-in, calls a second.
+	// callRate is the object API budget of each process, in calls per second.
 	callRate = 50
-	// refusalSpan is how far back refusal records are read.
+	// refusalSpan is how far back refusal records are read from the store.
 	refusalSpan = 30 * time.Minute
 	loopback    = "127.0.0.1:0"
 )
@@ -48,7 +48,7 @@
 	mu        sync.Mutex
 	targets   []*target
 	balancers []*balancer
-	gone      []*balancer
+	removed   []*balancer
 	started   int
 }
 
@@ -94,7 +94,7 @@
 	return trace.Wrap(c.awaitServing(ctx), "wait for the installation to serve")
 }
 
-// serveStore makes the stand-in reachable by HTTP, as the platform's API is.
+// serveStore serves the object API stand-in over HTTP.
 func (c *Cluster) serveStore() error {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return c.cfg.TLS(process)
 }
 
-// Store returns the stand-in, for faults and counts.
+// Store returns the object API stand-in, for fault injection and call counts.
 func (c *Cluster) Store() *store.Store { return c.store }
 
 // APIURL returns the base URL of the object API stand-in.
@@ -166,22 +166,22 @@
 // Counts implements flows.Cluster.
 func (c *Cluster) Counts() flows.PathCounts { return flows.CountPath(c.scope.Snapshot()) }
 
-// Refusals implements flows.Cluster: the records that the processes hold and those that were written to the store.
+// Refusals implements flows.Cluster. It merges the records still held by processes with those written to the store.
 func (c *Cluster) Refusals() []refusal.Record {
 	seen := map[string]refusal.Record{}
 	c.mu.Lock()
-	targets, balancers := append([]*target(nil), c.targets...), append(append([]*balancer(nil), c.balancers...), c.gone...)
+	targets, balancers := append([]*target(nil), c.targets...), append(append([]*balancer(nil), c.balancers...), c.removed...)
 	c.mu.Unlock()
 	for _, t := range targets {
-		note(seen, t.daemon.Refusals().Held())
+		addRecords(seen, t.daemon.Refusals().Held())
 	}
 	for _, b := range balancers {
-		note(seen, b.daemon.Refusals().Held())
+		addRecords(seen, b.daemon.Refusals().Held())
 	}
 	now := time.Now()
 	answer, err := refusal.NewReader(c.store).Find(c.ctx, refusal.Query{From: now.Add(-refusalSpan), To: now.Add(time.Minute)})
 	if err == nil {
-		note(seen, answer.Records)
+		addRecords(seen, answer.Records)
 	}
 	out := make([]refusal.Record, 0, len(seen))
 	for _, r := range seen {
@@ -190,13 +190,13 @@
 	return out
 }
 
-func note(seen map[string]refusal.Record, records []refusal.Record) {
+func addRecords(seen map[string]refusal.Record, records []refusal.Record) {
 	for _, r := range records {
 		seen[r.ID] = r
 	}
 }
 
-// awaitServing waits until every balancer knows every target as active, and every agent those of its service.
+// awaitServing waits until every balancer sees all targets as active, and every agent all targets of its service.
 func (c *Cluster) awaitServing(ctx context.Context) error {
 	all := 0
 	want := map[string]int{}
@@ -213,7 +213,7 @@
 				return false
 			}
 		}
-		return !slices.ContainsFunc(targets, func(t *target) bool { return !t.knowsActive(want[t.service]) })
+		return !slices.ContainsFunc(targets, func(t *target) bool { return !t.seesActiveTargets(want[t.service]) })
 	})
 }
 
--- a/internal/lab/cluster/lives_test.go
+++ b/internal/lab/cluster/connection_reuse_test.go
@@ -20,14 +20,14 @@
 	"github.com/auburnwood/auburnwood/pkg/packet"
 )
 
-// life is one connection of a caller from a chosen port.
-type life struct {
+// fixedPortConn is one connection of a caller from a fixed port.
+type fixedPortConn struct {
 	caller *fabric.Caller
 	port   uint16
 	conn   net.Conn
 }
 
-func (f *life) client() *http.Client {
+func (f *fixedPortConn) client() *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, err := netip.ParseAddrPort(address)
 		if err != nil {
@@ -36,17 +36,17 @@
 		f.conn, err = f.caller.Dial(ctx, network, netip.AddrPortFrom(f.caller.Addr(), f.port), to)
 		return f.conn, err
 	}
-	return &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}, Timeout: patience}
+	return &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}, Timeout: waitTimeout}
 }
 
 // abort resets the connection, so that its port is free at once.
-func (f *life) abort() { f.conn.(*netstack.Conn).Abort() }
+func (f *fixedPortConn) abort() { f.conn.(*netstack.Conn).Abort() }
 
-// TestLatePacketsOfAnEarlierLife uses one port of a caller for flow after flow, while every packet of the earlier lives
-// comes again in another order. Each life ends by a reset, which leaves no time between two lives.
-func TestLatePacketsOfAnEarlierLife(t *testing.T) {
+// TestLatePacketsOfEarlierConnection reuses one caller port while packets of all earlier connections are replayed in
+// random order. Each connection ends by a reset, so that the next follows without TIME-WAIT.
+func TestLatePacketsOfEarlierConnection(t *testing.T) {
 	l := newStreamLab(t, nil)
-	const port, lives, size = 4321, 4, 60_000
+	const port, rounds, size = 4321, 4, 60_000
 	for _, ip := range []string{routeIP, routeIP6} {
 		caller := l.caller(ip)
 		random := rand.New(rand.NewPCG(1, uint64(len(ip))))
@@ -54,23 +54,23 @@
 			info, err := packet.Parse(raw)
 			return err == nil && !toCaller && info.Key.Source == netip.AddrPortFrom(caller.Addr(), port)
 		})
-		for n := range lives {
-			earlier := l.tap.taken()
+		for n := range rounds {
+			earlier := l.tap.captured()
 			stop, stopped := make(chan struct{}), make(chan struct{})
 			go func() {
 				defer close(stopped)
 				l.replay(earlier, random, stop)
 			}()
 			name := fmt.Sprintf("life-%d-%s", n, ip)
-			l.once(&life{caller: caller, port: port}, ip, name, size)
+			l.downloadAndReset(&fixedPortConn{caller: caller, port: port}, ip, name, size)
 			close(stop)
 			<-stopped
 		}
 	}
 }
 
-// replay sends packets again to any balancer until stop is closed.
-func (l *streamLab) replay(packets []tapped, random *rand.Rand, stop <-chan struct{}) {
+// replay resends random packets to random balancers until stop is closed.
+func (l *streamLab) replay(packets []capturedPacket, random *rand.Rand, stop <-chan struct{}) {
 	if len(packets) == 0 {
 		return
 	}
@@ -81,7 +81,7 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 		balancers := l.fabric.Balancers()
-		// More would fill the sockets of a busy machine and so lose what the test is about.
+		// A higher rate would overflow socket buffers on a busy machine and drop the packets under test.
 		for range 4 {
 			p := packets[random.IntN(len(packets))]
 			_ = l.fabric.SendTo(balancers[random.IntN(len(balancers))], p.packet)
@@ -89,11 +89,11 @@
 	}
 }
 
-// once downloads through a new connection, checks every byte and resets the connection before its orderly end.
-func (l *streamLab) once(f *life, ip, name string, size int) {
+// downloadAndReset downloads over a new connection, checks every byte and resets the connection before its regular end.
+func (l *streamLab) downloadAndReset(f *fixedPortConn, ip, name string, size int) {
 	l.t.Helper()
-	// The target would send more than is read.
-	url := fmt.Sprintf("http://%s%s?flow=%s&size=%d&chunk=%d&every=10ms", at(ip, tcpPort), standin.PathDownload, name, 2*size, size/20)
+	// The target has more to send than is read, so that the connection is still open at the reset.
+	url := fmt.Sprintf("http://%s%s?flow=%s&size=%d&chunk=%d&every=10ms", serviceAddress(ip, tcpPort), standin.PathDownload, name, 2*size, size/20)
 	var resp *http.Response
 	l.eventually(name+" begins", func() bool {
 		var err error
@@ -107,17 +107,17 @@
 	f.abort()
 }
 
-// TestSwappedServicesDoNotCross gives the packet addresses of two agents to agents of the other service while balancers
-// and agents learn of it late and flows run.
-func TestSwappedServicesDoNotCross(t *testing.T) {
+// TestSwappedAgentAddressesDoNotCrossServices reassigns the packet addresses of two agents across services while flows
+// run and balancers and agents receive their views late.
+func TestSwappedAgentAddressesDoNotCrossServices(t *testing.T) {
 	l := newStreamLab(t, func(c *flows.ClusterConfig) {
 		c.Uneven = time.Second
 		c.Deployment.Services[1].Targets = 3
 	})
 	running := l.running(6, 2*time.Second)
-	route, reports := l.of(routeService)[0], l.of(reportsService)[0]
+	route, reports := l.targetsOf(routeService)[0], l.targetsOf(reportsService)[0]
 	routeAt, reportsAt := route.daemon.Agent().PacketAddr(), reports.daemon.Agent().PacketAddr()
-	survivors := l.without(running, route.id, reports.id)
+	survivors := l.notServedBy(running, route.id, reports.id)
 	require.NoError(t, l.c.KillAgent(route.id))
 	require.NoError(t, l.c.KillAgent(reports.id))
 	<-route.ended
@@ -126,12 +126,12 @@
 	l.replace(reportsService, "swapped-reports", routeAt)
 	stop := make(chan struct{})
 	time.AfterFunc(2*time.Second, func() { close(stop) })
-	l.onlyOwnBytes(stop)
-	l.whole(survivors)
+	l.requireOwnBytes(stop)
+	l.requireComplete(survivors)
 	l.eventually("the new agents serve", func() bool {
 		seen := map[string]bool{}
 		for _, ip := range []string{routeIP, reportsIP} {
-			if id, err := l.try(ip, "late"); err == nil {
+			if id, err := l.tryDownload(ip, "late"); err == nil {
 				seen[id] = true
 			}
 		}
@@ -139,8 +139,8 @@
 	})
 }
 
-// without returns the downloads that other targets than the given ones serve.
-func (l *streamLab) without(all []*download, targets ...string) []*download {
+// notServedBy returns the downloads that other targets than the two given ones serve.
+func (l *streamLab) notServedBy(all []*download, targets ...string) []*download {
 	var out []*download
 	for _, d := range all {
 		if id := d.header.Get(standin.HeaderTarget); id != targets[0] && id != targets[1] {
@@ -151,7 +151,7 @@
 	return out
 }
 
-// replace starts a target and an agent with a given packet address.
+// replace starts a target whose agent uses the given packet address.
 func (l *streamLab) replace(service, id string, packets netip.AddrPort) {
 	l.t.Helper()
 	st, err := standin.Start(standin.Config{Service: service, ID: id}, nil)
@@ -165,9 +165,9 @@
 	require.NoError(l.t, announce(deadline(l.t), x.daemon.AnnounceAddr(), a))
 }
 
-// onlyOwnBytes opens flows of both services until stop is closed. A flow may be refused, with a record, while processes
-// learn of the change; one that is answered gets its own service's bytes.
-func (l *streamLab) onlyOwnBytes(stop <-chan struct{}) {
+// requireOwnBytes opens flows of both services until stop is closed. A flow may be refused while views change; one that
+// is answered must get the bytes of its own service.
+func (l *streamLab) requireOwnBytes(stop <-chan struct{}) {
 	l.t.Helper()
 	for i := 0; ; i++ {
 		select {
@@ -176,13 +176,13 @@
 		default:
 		}
 		for _, ip := range []string{routeIP, routeIP6, reportsIP, reportsIP6} {
-			_, _ = l.try(ip, fmt.Sprintf("swap-%d-%s", i, ip))
+			_, _ = l.tryDownload(ip, fmt.Sprintf("swap-%d-%s", i, ip))
 		}
 	}
 }
 
-// try downloads once and returns the target that answered. Bytes of another flow or service end the test.
-func (l *streamLab) try(ip, name string) (string, error) {
+// tryDownload downloads once and returns the target that answered. Bytes of another flow or service fail the test.
+func (l *streamLab) tryDownload(ip, name string) (string, error) {
 	l.t.Helper()
 	client, _ := l.client(ip)
 	client.Timeout = time.Second
@@ -190,7 +190,7 @@
 	if ip == reportsIP || ip == reportsIP6 {
 		service = reportsService
 	}
-	resp, err := client.Get(fmt.Sprintf("http://%s%s?flow=%s&size=20000", at(ip, tcpPort), standin.PathDownload, name))
+	resp, err := client.Get(fmt.Sprintf("http://%s%s?flow=%s&size=20000", serviceAddress(ip, tcpPort), standin.PathDownload, name))
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/cluster/delays.go
+++ b/internal/lab/cluster/delays.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// delays draws for each process and view how late the process learns of it.
+// delays draws a random delay for each view that is delivered to a process.
 type delays struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	most   time.Duration
+	mu       sync.Mutex
+	random   *rand.Rand
+	maxDelay time.Duration
 }
 
-func newDelays(seed uint64, most time.Duration) *delays {
-	return &delays{random: rand.New(rand.NewPCG(seed, 3)), most: most}
+func newDelays(seed uint64, maxDelay time.Duration) *delays {
+	return &delays{random: rand.New(rand.NewPCG(seed, 3)), maxDelay: maxDelay}
 }
 
 func (d *delays) draw() time.Duration {
-	if d.most == 0 {
+	if d.maxDelay == 0 {
 		return 0
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Duration(d.random.Int64N(int64(d.most)))
+	return time.Duration(d.random.Int64N(int64(d.maxDelay)))
 }
 
-// wrapView returns a wrapper that holds each view back for a drawn time and keeps their order. Seen is called with each
-// view that was handed over; it may be nil.
+// wrapView returns a wrapper that delays each view by a random time and never delivers an older view after a newer one.
+// seen, which may be nil, is called with each delivered view.
 func wrapView[V any](d *delays, seen func(V)) func(func(V)) func(V) {
 	return func(next func(V)) func(V) {
 		pass := func(v V) {
@@ -36,37 +36,37 @@
 				seen(v)
 			}
 		}
-		if d.most == 0 {
+		if d.maxDelay == 0 {
 			return pass
 		}
-		h := &holdBack[V]{next: pass, delays: d}
-		return h.take
+		h := &delayer[V]{next: pass, delays: d}
+		return h.schedule
 	}
 }
 
-// holdBack delays views; a later view replaces an earlier one that has not been handed over.
-type holdBack[V any] struct {
-	next   func(V)
-	delays *delays
-	mu     sync.Mutex
-	number uint64
-	passed uint64
+// delayer delivers views after a delay; a view is dropped if a later one was delivered first.
+type delayer[V any] struct {
+	next      func(V)
+	delays    *delays
+	mu        sync.Mutex
+	number    uint64
+	delivered uint64
 }
 
-func (h *holdBack[V]) take(v V) {
+func (h *delayer[V]) schedule(v V) {
 	h.mu.Lock()
 	h.number++
 	number := h.number
 	h.mu.Unlock()
-	time.AfterFunc(h.delays.draw(), func() { h.pass(number, v) })
+	time.AfterFunc(h.delays.draw(), func() { h.deliver(number, v) })
 }
 
-func (h *holdBack[V]) pass(number uint64, v V) {
+func (h *delayer[V]) deliver(number uint64, v V) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if number <= h.passed {
+	if number <= h.delivered {
 		return
 	}
-	h.passed = number
+	h.delivered = number
 	h.next(v)
 }
--- a/internal/lab/cluster/handover_tls_test.go
+++ b/internal/lab/cluster/handover_tls_test.go
@@ -19,14 +19,14 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// Headers between agents.
+// Headers of requests between agents.
 const (
 	headerHop     = "Auburnwood-Hop"
 	headerKind    = "Auburnwood-Hop-Kind"
 	headerService = "Auburnwood-Service"
 )
 
-// newSecureRequestLab starts an installation in request mode whose processes have certificates of one authority.
+// newSecureRequestLab starts an installation in request mode whose processes use the given TLS files.
 func newSecureRequestLab(t *testing.T, log *logBuffer, files func(process string) settings.TLS) *requestLab {
 	return newRequestLab(t, func(c *flows.ClusterConfig) {
 		c.Log = zerolog.New(log)
@@ -34,7 +34,7 @@
 	})
 }
 
-// forwarded returns how many tickets agents handed to the issuer and got an answer of it.
+// forwarded returns how many tickets agents forwarded to the issuer and had answered.
 func (l *requestLab) forwarded() int64 {
 	if c := l.c.scope.Snapshot().Counters()["request_forward+"]; c != nil {
 		return c.Value()
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// controlAddress returns where other agents reach an agent, as its own view names it.
+// controlAddress returns the control address of an agent from that agent's own view.
 func (l *requestLab) controlAddress(id string) string {
 	l.t.Helper()
 	agent, err := l.c.find(id)
@@ -56,7 +56,7 @@
 	return ""
 }
 
-// submitNew spends a new ticket over a new connection. It reports whether another agent than the issuer passed it on.
+// submitNew submits a new ticket over a new connection and reports whether an agent forwarded it to the issuer.
 func (l *requestLab) submitNew(id string) (r reply, issuer string, passedOn bool) {
 	l.t.Helper()
 	text := l.tickets(l.caller(http1), routeService, 1)[0]
@@ -65,7 +65,7 @@
 	return r, l.issuer(text).id, l.forwarded() > before
 }
 
-// tlsClient returns an HTTP client that shows a certificate and trusts its own authority.
+// tlsClient returns an HTTP client that presents a certificate and trusts only the CA in files.
 func tlsClient(t *testing.T, files settings.TLS) *http.Client {
 	t.Helper()
 	config, err := peer.TLSConfig{CA: files.CA, Cert: files.Certificate, Key: files.Key}.Load()
@@ -75,10 +75,10 @@
 
 func client(t *testing.T, transport *http.Transport) *http.Client {
 	t.Cleanup(transport.CloseIdleConnections)
-	return &http.Client{Transport: transport, Timeout: patience}
+	return &http.Client{Transport: transport, Timeout: waitTimeout}
 }
 
-// unverifiedClient returns a client that would talk to any server, with the certificates given.
+// unverifiedClient returns a client that accepts any server certificate and presents the given ones.
 func unverifiedClient(t *testing.T, certificates ...tls.Certificate) *http.Client {
 	config := &tls.Config{InsecureSkipVerify: true, Certificates: certificates}
 	return client(t, &http.Transport{TLSClientConfig: config})
@@ -91,13 +91,13 @@
 	return pair
 }
 
-// handOver asks an agent for its load, as another agent does.
-func handOver(c *http.Client, scheme, address string) (reply, error) {
+// queryLoad asks an agent for its load, as another agent does.
+func queryLoad(c *http.Client, scheme, address string) (reply, error) {
 	return ask(c, http.MethodGet, scheme+"://"+address+"/",
 		headerHop, "1", headerKind, "load", headerService, routeService)
 }
 
-func TestTicketIsHandedOverByTLS(t *testing.T) {
+func TestTicketForwardedOverTLS(t *testing.T) {
 	own := newAuthority(t)
 	var log logBuffer
 	l := newSecureRequestLab(t, &log, func(process string) settings.TLS {
@@ -112,7 +112,7 @@
 		require.Empty(t, r.header.Get(request.HeaderRepeated))
 		require.Equal(t, 1, l.ran(id))
 		return passedOn
-	}, patience, time.Millisecond, "a ticket is submitted at another agent than its issuer")
+	}, waitTimeout, time.Millisecond, "a ticket is submitted at another agent than its issuer")
 	require.False(t, log.hasLine(0, `"peer refused"`))
 }
 
@@ -123,7 +123,7 @@
 	l := newSecureRequestLab(t, &log, func(process string) settings.TLS { return own.issue(process, until) })
 	issuer := l.issuer(l.tickets(l.caller(http1), routeService, 1)[0])
 	address := l.controlAddress(issuer.id)
-	r, err := handOver(tlsClient(t, own.issue("agent", until)), "https", address)
+	r, err := queryLoad(tlsClient(t, own.issue("agent", until)), "https", address)
 	require.NoError(t, err, "a client with a valid certificate is answered")
 	require.Equal(t, http.StatusNoContent, r.status)
 
@@ -137,23 +137,23 @@
 		{"expired", "https", unverifiedClient(t, loadPair(t, own.issue("expired", time.Now().Add(-time.Hour))))},
 	} {
 		mark := log.mark()
-		r, err := handOver(x.client, x.scheme, address)
+		r, err := queryLoad(x.client, x.scheme, address)
 		require.Error(t, err, "%s: answered with status %d", x.name, r.status)
 		require.False(t, timedOut(err), "%s: %v", x.name, err)
 		require.Eventually(t, func() bool {
 			return log.hasLine(mark, `"peer refused"`, `"op":"accept peer"`, `"process":"`+issuer.id+`"`)
-		}, patience, time.Millisecond, "%s: the refusal is logged", x.name)
+		}, waitTimeout, time.Millisecond, "%s: the refusal is logged", x.name)
 	}
-	requireSilence(t, address)
+	requireNoHTTPAnswer(t, address)
 }
 
-// requireSilence sends a plain request and expects the connection to end without a byte of an HTTP answer.
-func requireSilence(t *testing.T, address string) {
+// requireNoHTTPAnswer sends a plain HTTP request and requires the connection to end without an answer.
+func requireNoHTTPAnswer(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
-	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: %s\r\n%s: load\r\n\r\n", address, headerKind)
 	require.NoError(t, err)
 	answer := make([]byte, 64)
@@ -167,9 +167,9 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// TestAgentWithACertificateForAnotherAddressGetsNothing has an agent that balancers know, but at whose address another
-// agent finds a certificate that isn't for it.
-func TestAgentWithACertificateForAnotherAddressGetsNothing(t *testing.T) {
+// TestAgentCertificateForAnotherAddressRefused guards against forwarding a ticket to an agent whose certificate is not
+// valid for the address in the view.
+func TestAgentCertificateForAnotherAddressRefused(t *testing.T) {
 	const misnamed = "route-svc-03"
 	own := newAuthority(t)
 	until := time.Now().Add(time.Hour)
@@ -196,6 +196,6 @@
 		require.Equal(t, refusal.ReasonTicketGone, p.Reason)
 		require.Zero(t, l.ran(id))
 		return true
-	}, patience, time.Millisecond, "a ticket of the agent is submitted at another")
+	}, waitTimeout, time.Millisecond, "a ticket of the agent is submitted at another")
 	require.True(t, log.hasLine(0, `"peer refused"`, `"op":"call peer"`))
 }
--- a/internal/lab/cluster/hostile_test.go
+++ b/internal/lab/cluster/hostile_test.go
@@ -21,17 +21,17 @@
 	"github.com/auburnwood/auburnwood/pkg/wire"
 )
 
-// attacker is a process of no part of the installation, which knows every running flow.
+// attacker is a process outside the installation that has observed packets of every running flow.
 type attacker struct {
 	l     *streamLab
 	conn  *net.UDPConn
 	addr  netip.AddrPort
-	known []tapped
-	// sent are the packets that the attacker itself sent in envelopes.
+	known []capturedPacket
+	// sent holds the packets that the attacker itself sent in envelopes.
 	mu   sync.Mutex
 	sent map[string]bool
-	// stolen are packets that reached the attacker and that it had not sent.
-	stolen []string
+	// diverted holds the datagrams that reached the attacker with packets that it had not sent.
+	diverted []string
 }
 
 func newAttacker(l *streamLab) *attacker {
@@ -43,7 +43,7 @@
 	return a
 }
 
-// listen notes each packet that comes here though the attacker has not sent it: then a flow was led away.
+// listen records each packet received here that the attacker did not send: a flow was diverted.
 func (a *attacker) listen() {
 	b := make([]byte, 64<<10)
 	for {
@@ -57,7 +57,7 @@
 		}
 		a.mu.Lock()
 		if !a.sent[string(d.Packet)] {
-			a.stolen = append(a.stolen, d.String())
+			a.diverted = append(a.diverted, d.String())
 		}
 		a.mu.Unlock()
 	}
@@ -68,7 +68,7 @@
 	require.NoError(a.l.t, err)
 }
 
-func (a *attacker) envelope(to netip.AddrPort, d *wire.Datagram) {
+func (a *attacker) sendEnvelope(to netip.AddrPort, d *wire.Datagram) {
 	a.mu.Lock()
 	a.sent[string(d.Packet)] = true
 	a.mu.Unlock()
@@ -80,7 +80,7 @@
 // agents returns the packet addresses of a service's agents.
 func (l *streamLab) agents(service string) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, x := range l.of(service) {
+	for _, x := range l.targetsOf(service) {
 		out = append(out, x.daemon.Agent().PacketAddr())
 	}
 	return out
@@ -121,8 +121,8 @@
 	}
 }
 
-// malformed sends what is no packet, or a broken one, to balancers and agents.
-func (a *attacker) malformed(random *rand.Rand) {
+// sendMalformed sends non-packets and corrupted packets to balancers and agents.
+func (a *attacker) sendMalformed(random *rand.Rand) {
 	for _, to := range append(a.l.fabric.Balancers(), a.l.allAgents()...) {
 		a.send(to, nil)
 		a.send(to, []byte("GET / HTTP/1.1\r\n\r\n"))
@@ -152,7 +152,7 @@
 	out := [][]byte{
 		raw[:random.IntN(len(raw))],
 		variant(func(b []byte) { b[0] = 0x90 }),
-		variant(func(b []byte) { flip(transport(b)) }),
+		variant(func(b []byte) { corruptChecksum(transport(b)) }),
 	}
 	if header.IPVersion(raw) == header.IPv6Version {
 		return append(out,
@@ -177,11 +177,11 @@
 	return header.IPv4(raw).Payload()
 }
 
-// flip changes the transport checksum.
-func flip(b []byte) { b[len(b)-1] ^= 0x55; b[4] ^= 0x55 }
+// corruptChecksum makes the transport checksum wrong.
+func corruptChecksum(b []byte) { b[len(b)-1] ^= 0x55; b[4] ^= 0x55 }
 
-// envelopes sends forged envelopes of running flows to every agent.
-func (a *attacker) envelopes() {
+// sendForgedEnvelopes sends forged envelopes of running flows to agents of both services.
+func (a *attacker) sendForgedEnvelopes() {
 	for i, p := range a.known {
 		service := serviceOf(p.packet)
 		own := a.l.agents(service)
@@ -204,10 +204,10 @@
 		} {
 			d := a.forge(p.packet)
 			change(d)
-			a.envelope(own[i%len(own)], d)
+			a.sendEnvelope(own[i%len(own)], d)
 		}
 	}
-	// An opening packet in the envelope of the other service.
+	// Packets in the envelope of their own service, sent to an agent of the other service.
 	route, reports := a.l.agents(routeService), a.l.agents(reportsService)
 	for _, p := range a.known {
 		to := reports[0]
@@ -215,15 +215,15 @@
 			to = route[0]
 		}
 		d := a.forge(p.packet)
-		a.envelope(to, d)
+		a.sendEnvelope(to, d)
 	}
 }
 
-// misplaced sends the latest packet of each flow to an agent of the other service, as a balancer with an old view does
-// after an agent's address was given to another agent.
-func (a *attacker) misplaced() {
+// sendMisrouted sends the latest packet of each flow to an agent of the other service, as a balancer with a stale view
+// does after an agent's address was reassigned.
+func (a *attacker) sendMisrouted() {
 	latest := map[flow.Key][]byte{}
-	for _, p := range a.l.tap.taken() {
+	for _, p := range a.l.tap.captured() {
 		info, _ := packet.Parse(p.packet)
 		latest[info.Key] = p.packet
 	}
@@ -232,12 +232,12 @@
 		if serviceOf(raw) == reportsService {
 			to = a.l.agents(routeService)[0]
 		}
-		a.envelope(to, a.forge(raw))
+		a.sendEnvelope(to, a.forge(raw))
 	}
 }
 
-// messages sends forged messages about all running flows to every agent and balancer.
-func (a *attacker) messages() {
+// sendForgedMessages sends forged messages about all running flows to every agent of their service and every balancer.
+func (a *attacker) sendForgedMessages() {
 	flows := map[string][]uint64{}
 	for _, p := range a.known {
 		flows[serviceOf(p.packet)] = append(flows[serviceOf(p.packet)], hashOf(p.packet))
@@ -255,11 +255,11 @@
 						d.Owner = row(owner)
 					}
 					for _, to := range append(agents, a.l.fabric.Balancers()...) {
-						a.envelope(to, d)
+						a.sendEnvelope(to, d)
 					}
 					d.Flow, d.Flows = hashes[0], nil
 					for _, to := range append(agents, a.l.fabric.Balancers()...) {
-						a.envelope(to, d)
+						a.sendEnvelope(to, d)
 					}
 				}
 			}
@@ -278,20 +278,20 @@
 	var datagrams []*udpFlow
 	for i := range 4 {
 		for _, ip := range []string{routeIP, routeIP6, reportsIP, reportsIP6} {
-			u := l.udp(ip, fmt.Sprintf("udp-%d-%s", i, ip))
+			u := l.newUDPFlow(ip, fmt.Sprintf("udp-%d-%s", i, ip))
 			u.ping()
 			u.ping()
 			datagrams = append(datagrams, u)
 		}
 	}
 	a := newAttacker(l)
-	a.known = oneOfEach(l.tap.taken())
+	a.known = samplePerFlow(l.tap.captured())
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 3 {
-		a.misplaced()
-		a.malformed(random)
-		a.envelopes()
-		a.messages()
+		a.sendMisrouted()
+		a.sendMalformed(random)
+		a.sendForgedEnvelopes()
+		a.sendForgedMessages()
 		for _, u := range datagrams {
 			u.ping()
 		}
@@ -303,28 +303,28 @@
 	} {
 		require.Positive(t, l.counter(c.name, c.reason), "%s %s", c.name, c.reason)
 	}
-	l.whole(downloads)
+	l.requireComplete(downloads)
 	for _, u := range datagrams {
 		u.ping()
 	}
-	require.Empty(t, a.stolen, "packets of running flows reached the attacker")
+	require.Empty(t, a.diverted, "packets of running flows reached the attacker")
 	require.Zero(t, l.counter("agent.flows_owned_elsewhere", ""))
 	require.NotEmpty(t, l.refusals(), "an opening packet in the envelope of another service")
-	// No running flow was cut, so that a lost owner is that of a flow that had ended when its old packet came.
+	// Running flows were checked above, so owner-lost records can only concern flows that had ended.
 	for _, r := range l.refusals() {
 		require.Contains(t, []refusal.Reason{refusal.ReasonWrongService, refusal.ReasonOwnerLost}, r.Reason, "%+v", r)
 		require.True(t, r.Caller.IsValid())
 	}
 }
 
-// oneOfEach returns for each flow its opening packet and a later one.
-func oneOfEach(seen []tapped) []tapped {
+// samplePerFlow returns for each flow its first opening packet and its first later one.
+func samplePerFlow(seen []capturedPacket) []capturedPacket {
 	type kind struct {
 		key     flow.Key
 		opening bool
 	}
 	taken := map[kind]bool{}
-	var out []tapped
+	var out []capturedPacket
 	for _, p := range seen {
 		info, _ := packet.Parse(p.packet)
 		k := kind{info.Key, info.Opening}
@@ -336,8 +336,8 @@
 	return out
 }
 
-// TestCallersOfNothingAreRefusedWithARecord calls addresses that no service has, and a service whose envelope is wrong.
-func TestCallersOfNothingAreRefusedWithARecord(t *testing.T) {
+// TestUnknownAddressRefusedWithRecord dials addresses and a port that belong to no service.
+func TestUnknownAddressRefusedWithRecord(t *testing.T) {
 	l := newStreamLab(t, nil)
 	for _, to := range []string{"198.51.100.77:80", "[2001:db8:f::77]:80", "198.51.100.1:81"} {
 		caller := l.caller(netip.MustParseAddrPort(to).Addr().String())
@@ -353,12 +353,12 @@
 		})
 	}
 	d := l.start(routeService, routeIP, "after", 10_000, 10*time.Millisecond)
-	l.whole([]*download{d})
+	l.requireComplete([]*download{d})
 }
 
 func TestBadAnnouncementsAreRefused(t *testing.T) {
 	l := newStreamLab(t, nil)
-	x := l.of(routeService)[0]
+	x := l.targetsOf(routeService)[0]
 	url := "http://" + x.daemon.AnnounceAddr() + agentd.PathTarget
 	for _, body := range []string{
 		"", "{", "[]", "null", `{"service":7}`, `{"service":"route-svc","slots":2,"connections":5,"extra":1}`,
@@ -370,7 +370,7 @@
 		r.Close = true
 		resp, err := http.DefaultClient.Do(r)
 		if err != nil {
-			// The agent closed the connection in the middle of a body that is too long.
+			// The agent closed the connection while the oversized body was being sent.
 			require.Greater(t, len(body), 1000)
 			continue
 		}
@@ -378,5 +378,5 @@
 		require.GreaterOrEqual(t, resp.StatusCode, http.StatusBadRequest, body)
 		require.Less(t, resp.StatusCode, http.StatusInternalServerError, body)
 	}
-	l.whole(l.running(1, 50*time.Millisecond))
+	l.requireComplete(l.running(1, 50*time.Millisecond))
 }
--- a/internal/lab/cluster/request_daemons.go
+++ b/internal/lab/cluster/request_daemons.go
@@ -23,12 +23,12 @@
 const (
 	requestBalancers   = 3
 	requestConnections = 2000
-	// Parts of the writes whose answer is lost after and before they took effect.
-	lostAfter  = 0.10
-	lostBefore = 0.05
+	// Shares of writes whose answer is lost after the write took effect, and of writes lost before it.
+	answerLostShare = 0.10
+	writeLostShare  = 0.05
 )
 
-// requestDaemons are the real daemons of a run of requests. The targets belong to the run.
+// requestDaemons runs the daemons of a request lab run; the lab itself runs the targets.
 type requestDaemons struct {
 	c       *Cluster
 	fabric  *fabric.Fabric
@@ -110,7 +110,7 @@
 		if slices.ContainsFunc(r.c.balancers, func(b *balancer) bool { return b.activeTargets() < targets }) {
 			return false
 		}
-		return !slices.ContainsFunc(r.c.targets, func(t *target) bool { return !t.knowsActive(want[t.service]) })
+		return !slices.ContainsFunc(r.c.targets, func(t *target) bool { return !t.seesActiveTargets(want[t.service]) })
 	})
 }
 
@@ -118,7 +118,7 @@
 func (r *requestDaemons) StoreFaults(down, loses bool) {
 	f := store.Faults{Outage: down}
 	if loses {
-		f.LoseShare, f.DropShare = lostAfter, lostBefore
+		f.LoseShare, f.DropShare = answerLostShare, writeLostShare
 	}
 	r.c.store.SetFaults(f)
 }
@@ -129,7 +129,7 @@
 	r.fabric.Close()
 }
 
-// requestDaemon is one agent of a run of requests.
+// requestDaemon is one agent of a request lab run.
 type requestDaemon struct {
 	c *Cluster
 	t *target
--- a/internal/lab/cluster/request_daemons_test.go
+++ b/internal/lab/cluster/request_daemons_test.go
@@ -11,8 +11,8 @@
 	"github.com/auburnwood/auburnwood/internal/lab/requests"
 )
 
-// TestRequestRunThroughDaemons runs the workload of the request lab, with its checker, through real daemons. It does
-// not run beside other tests, as its deadlines are real.
+// TestRequestRunThroughDaemons runs the checked workload of the request lab through real daemons. It is not parallel,
+// as its deadlines are in real time.
 func TestRequestRunThroughDaemons(t *testing.T) {
 	for _, name := range []string{"zarqa", "saobien"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/cluster/requests_bench_test.go
+++ b/internal/lab/cluster/requests_bench_test.go
@@ -11,8 +11,8 @@
 	standin "github.com/auburnwood/auburnwood/internal/standin/target"
 )
 
-// BenchmarkSmallRequest measures a small request over an open connection: to the target itself, in stream mode and in
-// request mode. The difference is what the path adds.
+// BenchmarkSmallRequest measures a small request over an open connection: directly to the target, in stream mode and in
+// request mode.
 func BenchmarkSmallRequest(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		st, err := standin.Start(standin.Config{Service: "direct", ID: "d1"}, nil)
@@ -34,7 +34,7 @@
 	}
 }
 
-// measure reports the latencies of b.N requests, one after the other.
+// measure reports the latencies of b.N sequential requests.
 func measure(b *testing.B, c *http.Client, url string) {
 	h := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	for b.Loop() {
--- a/internal/lab/cluster/requests_drain_test.go
+++ b/internal/lab/cluster/requests_drain_test.go
@@ -25,26 +25,27 @@
 
 var protocols = []string{http1, http2}
 
-// startDrain announces that a target leaves, and returns when its agent has begun to.
+// startDrain requests the drain of a target and returns once its agent has begun it.
 func (l *requestLab) startDrain(t *target) {
 	l.t.Helper()
 	l.c.setState(t, view.StateDraining)
 	require.NoError(l.t, call(context.Background(), http.MethodPost, "http://"+t.daemon.AnnounceAddr()+agentd.PathDrain, nil))
-	require.Eventually(l.t, func() bool { return t.daemon.Load().Limit == 0 }, patience, time.Millisecond)
+	require.Eventually(l.t, func() bool { return t.daemon.Load().Limit == 0 }, waitTimeout, time.Millisecond)
 }
 
-// awaitGone waits until the agent of a draining target has ended. The drain time of the service is far longer.
-func (l *requestLab) awaitGone(t *target) {
+// awaitEnded waits until the agent of a draining target has ended, within waitTimeout, which is well below the drain
+// time of the service.
+func (l *requestLab) awaitEnded(t *target) {
 	l.t.Helper()
 	select {
 	case <-t.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		l.t.Fatalf("the agent of %s has not ended; %d flows", t.id, t.daemon.Agent().OpenFlows())
 	}
 }
 
-// owner sends a request over a caller's connection and returns the target whose agent owns it: with idle targets, each
-// agent gives the work to its own.
+// owner sends a request over a caller's connection and returns the target whose agent owns the connection: while targets
+// are idle, each agent uses its own.
 func (l *requestLab) owner(c *http.Client, service string) *target {
 	l.t.Helper()
 	r := l.ask(c, http.MethodPost, service, work("owner", time.Millisecond))
@@ -63,7 +64,7 @@
 	}
 	victim := l.owner(l.caller(http1), routeService)
 	l.startDrain(victim)
-	l.awaitGone(victim)
+	l.awaitEnded(victim)
 }
 
 func TestDrainCutsNoRequestInProgress(t *testing.T) {
@@ -74,7 +75,7 @@
 			c := l.caller(protocol)
 			victim := l.owner(c, routeService)
 			done := make(chan reply, 1)
-			go func() { done <- l.mustAsk(c, work("long", time.Second)) }()
+			go func() { done <- l.tryAsk(c, work("long", time.Second)) }()
 			l.awaitRun("long")
 			l.startDrain(victim)
 			r := <-done
@@ -83,14 +84,14 @@
 			if protocol == http1 {
 				require.True(t, r.close)
 			}
-			l.awaitGone(victim)
+			l.awaitEnded(victim)
 			require.Equal(t, 1, l.ran("long"))
 		})
 	}
 }
 
-// mustAsk is ask for goroutines other than the test's: an error is the body of the reply.
-func (l *requestLab) mustAsk(c *http.Client, path string, headers ...string) reply {
+// tryAsk is ask for goroutines other than the test's: it returns an error as the body of the reply.
+func (l *requestLab) tryAsk(c *http.Client, path string, headers ...string) reply {
 	r, err := ask(c, http.MethodPost, l.address(routeService)+path, headers...)
 	if err != nil {
 		r.body = err.Error()
@@ -108,7 +109,7 @@
 			r, _ := ask(c, http.MethodPost, l.address(reportsService)+work(id, time.Second))
 			replies[id] <- r
 		}()
-		require.Eventually(t, func() bool { return victim.daemon.Load().Busy+victim.daemon.Load().Waiting == i+1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return victim.daemon.Load().Busy+victim.daemon.Load().Waiting == i+1 }, waitTimeout, time.Millisecond)
 	}
 	l.startDrain(victim)
 	r := <-replies["waiting"]
@@ -118,13 +119,13 @@
 	require.NotEmpty(t, r.header.Get("Retry-After"))
 	require.Equal(t, 0, l.ran("waiting"))
 	require.Equal(t, http.StatusOK, (<-replies["running"]).status)
-	l.awaitGone(victim)
+	l.awaitEnded(victim)
 	require.Equal(t, 0, l.ran("waiting"))
 }
 
 func TestDrainWaitsForWorkOfOtherAgents(t *testing.T) {
-	// The draining agent has no connection of a caller, only work that another agent handed over, and which takes longer
-	// than all times for which the agent lingers.
+	// The draining agent has no caller connection, only work forwarded by another agent that takes longer than all of
+	// the agent's linger times.
 	l := newRequestLab(t, nil)
 	const longWork = 8 * time.Second
 	c := l.caller(http1)
@@ -135,14 +136,14 @@
 		spent = l.tickets(c, routeService, 1)[0]
 		victim = l.issuer(spent)
 		return victim != own
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	done := make(chan reply, 1)
-	go func() { done <- l.mustAsk(c, work("handed", longWork), request.HeaderTicket, spent) }()
+	go func() { done <- l.tryAsk(c, work("handed", longWork), request.HeaderTicket, spent) }()
 	l.awaitRun("handed")
 	l.startDrain(victim)
 	r := <-done
 	require.Equal(t, http.StatusOK, r.status, r.body)
-	l.awaitGone(victim)
+	l.awaitEnded(victim)
 	require.Equal(t, 1, l.ran("handed"))
 }
 
@@ -178,7 +179,7 @@
 				l.startDrain(victim)
 				r, err := ask(c, http.MethodPost, l.address(tt.service)+work("after", time.Millisecond))
 				if err != nil {
-					// The caller was told by GOAWAY to open a new connection, for which there is no target.
+					// GOAWAY made the caller open a new connection, for which there is no target.
 					require.Equal(t, http2, protocol)
 					require.NotEqual(t, http.StatusOK, tt.status)
 					require.ErrorContains(t, err, "refused")
@@ -187,7 +188,7 @@
 				}
 				require.Equal(t, tt.status, r.status, r.body)
 				if protocol == http1 {
-					require.True(t, r.close, "the answer tells the caller to open a new connection")
+					require.True(t, r.close, "the response asks the caller to open a new connection")
 				}
 				if tt.status == http.StatusOK {
 					require.NotEqual(t, victim.id, r.header.Get(standin.HeaderTarget))
@@ -199,15 +200,15 @@
 					require.NotEmpty(t, r.header.Get("Retry-After"))
 					require.Zero(t, l.ran("after"))
 				}
-				l.awaitGone(victim)
+				l.awaitEnded(victim)
 			})
 		}
 	}
 }
 
-// TestRequestsWithoutBreakDuringADrain lets callers ask without a break, each over one connection, while one of their
-// agents leaves.
-func TestRequestsWithoutBreakDuringADrain(t *testing.T) {
+// TestContinuousRequestsDuringDrain has callers send requests continuously, each over one connection, while one of their
+// agents drains.
+func TestContinuousRequestsDuringDrain(t *testing.T) {
 	t.Parallel()
 	for _, protocol := range protocols {
 		t.Run(protocol, func(t *testing.T) {
@@ -223,10 +224,10 @@
 						id := fmt.Sprintf("w-%d-%d", i, n)
 						r, err := ask(c, http.MethodPost, l.address(routeService)+work(id, time.Millisecond))
 						asked.Add(1)
-						if why := l.wrong(id, r, err); why != "" {
+						if why := l.mismatch(id, r, err); why != "" {
 							t.Errorf("%s: %s", id, why)
 						}
-						// Some callers pause for about as long as an idle connection is kept, so that a request meets its end.
+						// Some callers pause for about the idle timeout, so that requests race with the close of the connection.
 						if i%2 == 0 {
 							time.Sleep(time.Duration(990+10*(n%5)) * time.Millisecond)
 						}
@@ -235,7 +236,7 @@
 			}
 			victim := l.owner(l.caller(http1), routeService)
 			l.startDrain(victim)
-			l.awaitGone(victim)
+			l.awaitEnded(victim)
 			stop()
 			done.Wait()
 			require.Greater(t, asked.Load(), int64(100))
@@ -243,9 +244,8 @@
 	}
 }
 
-// wrong compares what a caller was told with the journal; a refusal must say that this
-// submission was not run.
-func (l *requestLab) wrong(id string, r reply, err error) string {
+// mismatch compares a caller's result with the journal: a refusal must say that this submission was not run.
+func (l *requestLab) mismatch(id string, r reply, err error) string {
 	ran := l.ran(id)
 	switch {
 	case err != nil:
@@ -260,7 +260,7 @@
 	return fmt.Sprintf("status %d, ran %d times: %s", r.status, ran, r.body)
 }
 
-// rawCaller opens a bare connection, which shows each byte and each reset.
+// rawCaller opens a TCP connection without an HTTP client, which exposes each byte and each reset.
 func (l *requestLab) rawCaller(service string) net.Conn {
 	l.t.Helper()
 	l.callers++
@@ -269,7 +269,7 @@
 			caller := l.fabric.NewCaller(netip.AddrFrom4([4]byte{10, 9, 0, l.callers}))
 			conn, err := caller.DialContext(context.Background(), "tcp", fmt.Sprintf("%s:%d", s.Address.IP, s.Address.Port))
 			require.NoError(l.t, err)
-			require.NoError(l.t, conn.SetDeadline(time.Now().Add(patience)))
+			require.NoError(l.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 			l.t.Cleanup(func() { _ = conn.Close() })
 			return conn
 		}
@@ -306,7 +306,7 @@
 	require.NoError(t, err)
 	l.awaitRun("first")
 	l.startDrain(l.c.targets[len(l.c.targets)-1])
-	// These arrive while the first runs, and are unread when its answer ends the connection.
+	// These arrive while the first request runs, and are unread when the connection closes after its response.
 	for i := range 200 {
 		_, err = io.WriteString(conn, rawWork(fmt.Sprintf("next-%d", i), time.Millisecond))
 		require.NoError(t, err)
@@ -318,10 +318,10 @@
 	require.Zero(t, l.ran("next-0"))
 }
 
-func TestIdleConnectionOfADrainingAgentIsToldWhy(t *testing.T) {
+func TestIdleConnectionOfDrainingAgentGetsReason(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
-		// first is sent and answered before the drain, racing when the last answer is on its way.
+		// first is sent and answered before the drain; racing is sent after the 408 response has arrived but is unread.
 		first, racing bool
 	}{
 		"never used":      {},
@@ -343,7 +343,7 @@
 			_, err := b.Peek(1)
 			require.NoError(t, err)
 			if tt.racing {
-				// The answer has arrived, but a caller that has not read it sends its next request.
+				// The caller sends its next request before it reads the response that has arrived.
 				_, err := io.WriteString(conn, rawWork("racing", time.Millisecond))
 				require.NoError(t, err)
 			}
@@ -352,17 +352,18 @@
 			require.True(t, r.close)
 			p := r.problem(t)
 			require.Equal(t, refusal.RunNo, p.Submission)
-			require.Equal(t, refusal.RunUnknown, p.Run, "a request that is still on its way may repeat work that has run")
+			require.Equal(t, refusal.RunUnknown, p.Run, "a request in flight may repeat work that has run")
 			requireEnd(t, b)
 			require.NoError(t, conn.Close())
 			require.Zero(t, l.ran("racing"))
-			l.awaitGone(victim)
+			l.awaitEnded(victim)
 			require.Equal(t, refusal.ReasonDraining, l.storedRecord(p.Instance).Reason)
 		})
 	}
 }
 
-// TestDrainDoesNotWaitForCallersThatKeepClosedConnections has a caller whose pool does not look at idle connections.
+// TestDrainDoesNotWaitForCallersThatKeepClosedConnections has a caller that does not close its idle connection when the
+// agent has closed it.
 func TestDrainDoesNotWaitForCallersThatKeepClosedConnections(t *testing.T) {
 	l := newRequestLab(t, nil)
 	conn := l.rawCaller(reportsService)
@@ -372,7 +373,7 @@
 	require.Equal(t, http.StatusOK, readReply(t, b).status)
 	victim := l.c.targets[len(l.c.targets)-1]
 	l.startDrain(victim)
-	l.awaitGone(victim)
+	l.awaitEnded(victim)
 	require.Equal(t, http.StatusRequestTimeout, readReply(t, b).status)
 	require.NoError(t, conn.Close())
 	for _, r := range l.c.Refusals() {
@@ -382,7 +383,7 @@
 
 func TestJoinedAgentGetsAndGivesWork(t *testing.T) {
 	l := newRequestLab(t, func(c *flows.ClusterConfig) { c.Deployment.Services[0].Targets = 1 })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	joined, err := l.c.JoinTarget(ctx, routeService)
 	require.NoError(t, err)
@@ -394,11 +395,11 @@
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond, "tickets of the joined agent")
+	}, waitTimeout, 10*time.Millisecond, "tickets of the joined agent")
 	for _, old := range l.c.targets {
 		if old.service == routeService && old.id != joined {
 			l.startDrain(old)
-			l.awaitGone(old)
+			l.awaitEnded(old)
 		}
 	}
 	r := l.ask(l.caller(http1), http.MethodPost, routeService, work("after", time.Millisecond))
--- a/internal/lab/cluster/requests_test.go
+++ b/internal/lab/cluster/requests_test.go
@@ -36,8 +36,8 @@
 const (
 	routeService   = "route-svc"
 	reportsService = "reports-svc"
-	// patience bounds every wait of these tests.
-	patience = 20 * time.Second
+	// waitTimeout bounds every wait of these tests.
+	waitTimeout = 20 * time.Second
 )
 
 // requestLab is an installation in request mode.
@@ -49,16 +49,15 @@
 	callers byte
 }
 
-// labs bounds the installations that run at once, so that a small machine is not so short of time that calls of the
-// object API and callers time out.
-var labs = make(chan struct{}, 6)
+// labSlots limits concurrent installations, so that object API calls and callers do not time out on a small machine.
+var labSlots = make(chan struct{}, 6)
 
-// newRequestLab starts two services; edit may change the configuration before.
+// newRequestLab starts two services; edit may change the configuration first.
 func newRequestLab(t *testing.T, edit func(*flows.ClusterConfig)) *requestLab {
 	t.Helper()
 	t.Parallel()
-	labs <- struct{}{}
-	t.Cleanup(func() { <-labs })
+	labSlots <- struct{}{}
+	t.Cleanup(func() { <-labSlots })
 	return startRequestLab(t, edit)
 }
 
@@ -83,7 +82,7 @@
 	if edit != nil {
 		edit(&cfg)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	c, err := New(ctx, cfg)
 	require.NoError(t, err)
@@ -101,7 +100,7 @@
 		transport.Protocols.SetUnencryptedHTTP2(true)
 	}
 	l.t.Cleanup(transport.CloseIdleConnections)
-	return &http.Client{Transport: transport, Timeout: patience}
+	return &http.Client{Transport: transport, Timeout: waitTimeout}
 }
 
 func (l *requestLab) address(service string) string {
@@ -114,7 +113,7 @@
 	return ""
 }
 
-// reply is an answer that was read whole.
+// reply is a response that was read completely.
 type reply struct {
 	status int
 	header http.Header
@@ -134,7 +133,7 @@
 	return p
 }
 
-// ask sends one request and reads the whole answer. It may be called by any goroutine.
+// ask sends one request and reads the whole response. It may be called from any goroutine.
 func ask(c *http.Client, method, url string, headers ...string) (reply, error) {
 	r, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -176,7 +175,7 @@
 
 func (l *requestLab) awaitRun(id string) {
 	l.t.Helper()
-	require.Eventually(l.t, func() bool { return l.ran(id) > 0 }, patience, time.Millisecond)
+	require.Eventually(l.t, func() bool { return l.ran(id) > 0 }, waitTimeout, time.Millisecond)
 }
 
 func (l *requestLab) tickets(c *http.Client, service string, n int) []string {
@@ -212,11 +211,11 @@
 		}
 		found = a.Records[0]
 		return true
-	}, patience, 50*time.Millisecond, "record %s", id)
+	}, waitTimeout, 50*time.Millisecond, "record %s", id)
 	return found
 }
 
-func TestAnswersAreWholeAndOfTheRightService(t *testing.T) {
+func TestAnswersCompleteAndFromRightService(t *testing.T) {
 	l := newRequestLab(t, nil)
 	const flow, size = "f1", 300_000
 	for _, protocol := range []string{http1, http2} {
@@ -251,14 +250,14 @@
 	taker := l.caller(http1)
 	var tickets []string
 	issuers := map[string]bool{}
-	// An agent learns of its peers shortly after it serves.
+	// An agent receives its list of peers shortly after it begins to serve.
 	require.Eventually(t, func() bool {
 		tickets = l.tickets(taker, routeService, 6)
 		for _, text := range tickets {
 			issuers[l.issuer(text).id] = true
 		}
 		return len(issuers) > 1
-	}, patience, 50*time.Millisecond, "tickets are spread over the agents")
+	}, waitTimeout, 50*time.Millisecond, "tickets are spread over the agents")
 	for i, text := range tickets {
 		id := fmt.Sprintf("ticket-%d", i)
 		// Each submission comes over a new connection, which any agent may own.
@@ -273,16 +272,16 @@
 	require.NotNil(t, forwarded, "a ticket was submitted at another agent than its issuer")
 }
 
-func TestClaimsWithTheStoreUpAndDown(t *testing.T) {
+func TestClaimsDuringStoreOutage(t *testing.T) {
 	l := newRequestLab(t, nil)
 	const key, second = "manifest-0123456789abcdef", "manifest-fedcba9876543210"
 	for n := range 3 {
 		var r reply
-		// On a busy machine a call of the object API may take too long; the claim is then refused, and not run.
+		// On a busy machine an object API call may time out; the claim is then refused and the work not run.
 		require.Eventually(t, func() bool {
 			r = l.ask(l.caller(http1), http.MethodPost, routeService, work("claimed", time.Millisecond), request.HeaderKey, key)
 			return r.status == http.StatusOK || r.problem(t).Reason != refusal.ReasonClaimStore
-		}, patience, 10*time.Millisecond)
+		}, waitTimeout, 10*time.Millisecond)
 		require.Equal(t, http.StatusOK, r.status, r.body)
 		require.Equal(t, n > 0, r.header.Get(request.HeaderRepeated) == "true")
 	}
@@ -298,12 +297,12 @@
 	require.Eventually(t, func() bool {
 		r := l.ask(l.caller(http1), http.MethodPost, routeService, work("unclaimed", time.Millisecond), request.HeaderKey, second)
 		return r.status == http.StatusOK
-	}, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
 	require.Equal(t, 1, l.ran("unclaimed"))
 }
 
 func TestTargetShedIsRefusedAsNotRun(t *testing.T) {
-	// The stand-in sheds all work beyond its only slot, the agent believes the announced two.
+	// The stand-in sheds all work beyond its only slot, while two slots are announced to the agent.
 	l := newRequestLab(t, func(c *flows.ClusterConfig) {
 		c.Deployment.Services[1].Slots = 2
 		c.Target = func(c *standin.Config) { c.Slots = 1 }
@@ -339,7 +338,7 @@
 		}
 	}
 	server := l.c.targets[len(l.c.targets)-1].daemon
-	require.Eventually(t, func() bool { return server.Load().Waiting == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return server.Load().Waiting == 1 }, waitTimeout, time.Millisecond)
 	c := l.caller(http1)
 	r := l.ask(c, http.MethodPost, reportsService, work("refused", time.Millisecond))
 	p := r.problem(t)
@@ -376,7 +375,7 @@
 		caller.Timeout = 2 * time.Second
 		r, err := ask(caller, http.MethodPost, l.address(routeService)+work("lost", time.Millisecond), request.HeaderTicket, spent)
 		if err != nil {
-			// The balancers had not yet learned of the death, and gave the flow to the dead agent.
+			// The balancers had not yet detected the failure and sent the flow to the killed agent.
 			continue
 		}
 		p := r.problem(t)
@@ -415,7 +414,7 @@
 		s.Limits.Queue = 1
 		s.Limits.Deadline = resource.Duration(2 * time.Second)
 	})
-	require.Eventually(t, func() bool { return agent.Load().Limit == 3 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return agent.Load().Limit == 3 }, waitTimeout, 10*time.Millisecond)
 
 	// Three run, one waits, and one more is refused.
 	var running sync.WaitGroup
@@ -427,23 +426,23 @@
 				t.Errorf("%s: status %d %s %v", id, r.status, r.body, err)
 			}
 		})
-		require.Eventually(t, func() bool { return agent.Load().Busy+agent.Load().Waiting == i+1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return agent.Load().Busy+agent.Load().Waiting == i+1 }, waitTimeout, time.Millisecond)
 	}
 	r := l.ask(l.caller(http1), http.MethodPost, reportsService, work("over", time.Millisecond))
 	require.Equal(t, refusal.ReasonQueueFull, r.problem(t).Reason)
 	require.Zero(t, l.ran("over"))
 	running.Wait()
 
-	// The connection that was open before the change follows the new deadline too.
-	late := l.ask(c, http.MethodPost, reportsService, work("late", patience))
+	// The new deadline also applies to the connection that was open before the change.
+	late := l.ask(c, http.MethodPost, reportsService, work("late", waitTimeout))
 	p := late.problem(t)
 	require.Equal(t, refusal.ReasonDeadline, p.Reason)
 	require.Equal(t, refusal.RunUnknown, p.Run)
 	require.Equal(t, 1, l.ran("late"))
 }
 
-// TestTicketsOfAnEarlierLifeNeverRun restarts an agent under its name, at once or not at all.
-func TestTicketsOfAnEarlierLifeNeverRun(t *testing.T) {
+// TestTicketsOfEarlierIncarnationNeverRun kills an agent and, in one case, restarts it under the same name.
+func TestTicketsOfEarlierIncarnationNeverRun(t *testing.T) {
 	t.Parallel()
 	for name, restart := range map[string]bool{"gone": false, "restarted": true} {
 		t.Run(name, func(t *testing.T) {
@@ -473,7 +472,8 @@
 	}
 }
 
-// restart starts the next life of an agent with a new target, and waits until all know it.
+// restart starts a new incarnation of an agent with a new target, and waits until the first agent's view has it as active
+// and its own view is complete.
 func (l *requestLab) restart(old *target) {
 	l.t.Helper()
 	st, err := standin.Start(standin.Config{Service: old.service, ID: old.id, Slots: 2}, l.journal)
@@ -492,14 +492,14 @@
 		v := l.c.targets[0].view.Load()
 		for _, x := range v.Targets {
 			if x.ID == old.id && x.State == view.StateActive && x.Incarnation > 0 && x.Control != "" {
-				return next.knowsActive(3)
+				return next.seesActiveTargets(3)
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
-// askUntilAnswered submits again while flows still go to an agent that is dead.
+// askUntilAnswered repeats a request while flows are still sent to the killed agent.
 func (l *requestLab) askUntilAnswered(path string, headers ...string) reply {
 	l.t.Helper()
 	for {
--- a/internal/lab/cluster/rollout_test.go
+++ b/internal/lab/cluster/rollout_test.go
@@ -26,11 +26,11 @@
 const (
 	oldVersion = "v41"
 	newVersion = "v42"
-	// inForceTime is the time that a step gets to be in force everywhere before flows are held against its shares.
+	// inForceTime is allowed for a step to be in force everywhere before flows are compared with its shares.
 	inForceTime = time.Second
 )
 
-// withVersions makes the second half of the route targets run the new version; edit may change these before they start.
+// withVersions makes the later two of the four route targets run the new version; edit may change their configuration.
 // All new flows go to the old version until a rollout begins.
 func withVersions(edit func(c *standin.Config)) func(*flows.ClusterConfig) {
 	return func(cfg *flows.ClusterConfig) {
@@ -70,13 +70,13 @@
 	callers sync.WaitGroup
 }
 
-// arrival is one flow and the version that took it.
+// arrival is one flow and the version that answered it.
 type arrival struct {
 	began   time.Time
 	version string
 }
 
-// newRolloutLab begins a rollout, and callers that open flows until the test ends.
+// newRolloutLab starts to watch the rollout records, and callers that open flows until the test ends.
 func newRolloutLab(t *testing.T, c *Cluster, path string, clients []*http.Client, address string) *rolloutLab {
 	ctx, cancel := context.WithCancel(deadline(t))
 	l := &rolloutLab{t: t, c: c, stop: cancel}
@@ -93,7 +93,7 @@
 	l.callers.Wait()
 }
 
-// begin asks for the rollout as an operator does.
+// begin applies the rollout as an operator does.
 func (l *rolloutLab) begin(steps ...resource.RolloutStep) {
 	l.t.Helper()
 	applier := ctl.Applier{Store: objectapi.NewClient(l.c.APIURL(), objectapi.Options{})}
@@ -113,7 +113,7 @@
 	return resource.RolloutStep{Weight: weight, Window: resource.Duration(window)}
 }
 
-// watch keeps each state that is stored.
+// watch records each rollout state that is stored.
 func (l *rolloutLab) watch(ctx context.Context) {
 	from := uint64(0)
 	for ctx.Err() == nil {
@@ -123,12 +123,12 @@
 		}
 		from = next
 		for _, e := range events {
-			l.note(e.Object.Value)
+			l.recordState(e.Object.Value)
 		}
 	}
 }
 
-func (l *rolloutLab) note(value []byte) {
+func (l *rolloutLab) recordState(value []byte) {
 	var r rollout.Record
 	if json.Unmarshal(value, &r) != nil {
 		return
@@ -152,7 +152,7 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
-		l.arrived(arrival{began, l.version(resp.Header.Get(standin.HeaderTarget))})
+		l.recordArrival(arrival{began, l.version(resp.Header.Get(standin.HeaderTarget))})
 	}
 }
 
@@ -164,13 +164,13 @@
 	return t.standin.Config().Version
 }
 
-func (l *rolloutLab) arrived(a arrival) {
+func (l *rolloutLab) recordArrival(a arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seen = append(l.seen, a)
 }
 
-// states returns the states that were stored, without those that a claim only repeated.
+// states returns the stored states, without empty ones and consecutive repetitions.
 func (l *rolloutLab) states() []resource.RolloutStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,7 +184,7 @@
 	return out
 }
 
-// await waits until a state of the weight or the end is stored.
+// await waits until a status with the state and weight is stored.
 func (l *rolloutLab) await(state resource.RolloutState, weight uint32) resource.RolloutStatus {
 	l.t.Helper()
 	var last resource.RolloutStatus
@@ -196,7 +196,7 @@
 		}
 		return false
 	}
-	for end := time.Now().Add(2 * patience); !reached(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(2 * waitTimeout); !reached(); time.Sleep(10 * time.Millisecond) {
 		require.True(l.t, time.Now().Before(end), "%s at %d%%: %+v", state, weight, l.states())
 	}
 	return last
@@ -211,7 +211,7 @@
 	return out
 }
 
-// share returns the part of the new version in the flows that began in a time, and their number.
+// share returns the new version's share of the flows that began between from and to, and the number of these flows.
 func (l *rolloutLab) share(from, to time.Time) (float64, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,8 +227,8 @@
 	return float64(fresh) / float64(max(all, 1)), all
 }
 
-// awaitShares waits until every balancer's view gives the new version a part of the new flows in percent, and logs how
-// long that took from the step on.
+// awaitShares waits until every balancer's view gives the new version the given percentage of new flows, and logs how long
+// that took.
 func (l *rolloutLab) awaitShares(percent int) {
 	l.t.Helper()
 	begin := time.Now()
@@ -241,11 +241,11 @@
 			}
 		}
 		return true
-	}, patience, time.Millisecond, "%d%% in force", percent)
+	}, waitTimeout, time.Millisecond, "%d%% in force", percent)
 	l.t.Logf("%d%% in force on every balancer after %v", percent, time.Since(begin))
 }
 
-// newVersionPart returns the part of new flows, in percent, that the balancer's view gives to the new version.
+// newVersionPart returns the percentage of new flows that the balancer's view gives to the new version.
 func (b *balancer) newVersionPart() int {
 	fresh, all := 0.0, 0.0
 	for _, s := range b.view.Load().Services {
@@ -262,12 +262,12 @@
 	return int(math.Round(100 * fresh / max(all, 1)))
 }
 
-// settled lets the last step come into force, and returns the new version's part from then on.
-func (l *rolloutLab) settled() float64 {
+// settledShare waits inForceTime and then returns the new version's share of at least 100 new flows.
+func (l *rolloutLab) settledShare() float64 {
 	l.t.Helper()
 	time.Sleep(inForceTime)
 	from := time.Now()
-	require.Eventually(l.t, func() bool { _, n := l.share(from, time.Now()); return n >= 100 }, patience, 10*time.Millisecond)
+	require.Eventually(l.t, func() bool { _, n := l.share(from, time.Now()); return n >= 100 }, waitTimeout, 10*time.Millisecond)
 	part, _ := l.share(from, time.Now())
 	return part
 }
@@ -283,14 +283,14 @@
 	return name
 }
 
-// status waits until the service's status speaks of the state.
+// status waits until the service's stored status has the rollout state.
 func (l *rolloutLab) status(state resource.RolloutState) resource.RolloutStatus {
 	l.t.Helper()
 	var s resource.ServiceStatus
 	require.Eventually(l.t, func() bool {
 		o, err := l.c.Store().Get(l.t.Context(), resource.KindServiceStatus, routeService)
 		return err == nil && json.Unmarshal(o.Value, &s) == nil && s.Rollout != nil && s.Rollout.State == state
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return *s.Rollout
 }
 
@@ -300,12 +300,12 @@
 		client, _ := l.client(routeIP)
 		clients = append(clients, client)
 	}
-	return newRolloutLab(l.t, l.c, standin.PathHealth, clients, "http://"+at(routeIP, tcpPort))
+	return newRolloutLab(l.t, l.c, standin.PathHealth, clients, "http://"+serviceAddress(routeIP, tcpPort))
 }
 
-// A healthy version takes all steps, new flows follow them, and no flow of the old version is cut by one. The holder of
-// the duty dies in the middle: the next one neither skips nor repeats a step.
-func TestHealthyVersionIsPromotedThoughTheHolderDies(t *testing.T) {
+// TestHealthyVersionPromotedAfterLeaseHolderDies kills the lease holder in the middle of a rollout: its successor must
+// neither skip nor repeat a step, and no flow of the old version may be cut.
+func TestHealthyVersionPromotedAfterLeaseHolderDies(t *testing.T) {
 	l := newStreamLab(t, withVersions(func(*standin.Config) {}))
 	old := l.running(3, 12*time.Second)
 	r := l.rolloutLab()
@@ -324,18 +324,18 @@
 	require.NotEqual(t, dead, r.holder())
 	require.Equal(t, []uint32{10, 50, 90, 100}, r.weights())
 	require.Contains(t, r.status(resource.RolloutCompleted).Message, "harm has probability")
-	require.EqualValues(t, 1, r.settled(), "every new flow goes to the new version")
+	require.EqualValues(t, 1, r.settledShare(), "every new flow goes to the new version")
 	r.end()
-	l.whole(old)
+	l.requireComplete(old)
 	require.Empty(t, l.refusals())
 }
 
-// A version whose targets take no connection is given up; the flows that are open go on.
+// TestDeadVersionIsRolledBack rolls out a version whose targets accept no connections; open flows must continue.
 func TestDeadVersionIsRolledBack(t *testing.T) {
 	l := newStreamLab(t, withVersions(func(*standin.Config) {}))
 	old := l.running(2, 10*time.Second)
 	r := l.rolloutLab()
-	for _, target := range l.of(routeService) {
+	for _, target := range l.targetsOf(routeService) {
 		if target.standin.Config().Version == newVersion {
 			target.standin.Kill()
 		}
@@ -344,12 +344,12 @@
 	r.await(resource.RolloutRolledBack, 0)
 	require.Equal(t, []uint32{20, 0}, r.weights())
 	require.Regexp(t, `after \d+ requests with \d+ failures|no request has reached`, r.status(resource.RolloutRolledBack).Message)
-	require.Zero(t, r.settled(), "every new flow goes to the old version")
+	require.Zero(t, r.settledShare(), "every new flow goes to the old version")
 	r.end()
-	l.whole(old)
+	l.requireComplete(old)
 }
 
-// A version that answers with failures is given up, and the status says on which counts.
+// TestFailingVersionIsRolledBack rolls out a version that answers with failures; the status must state the counts.
 func TestFailingVersionIsRolledBack(t *testing.T) {
 	l := newRequestLab(t, withVersions(func(c *standin.Config) { c.FailWork = 1 }))
 	var clients []*http.Client
@@ -364,11 +364,11 @@
 	require.Equal(t, []uint32{20, 0}, r.weights())
 	require.Regexp(t, `harm has probability \S+ after [1-9]\d* requests with [1-9]\d* failures, old version [1-9]\d* with 0`,
 		r.status(resource.RolloutRolledBack).Message)
-	require.Zero(t, r.settled(), "every new flow goes to the old version")
+	require.Zero(t, r.settledShare(), "every new flow goes to the old version")
 }
 
-// A store that fails for a while holds a rollout up and does no other harm.
-func TestRolloutGoesOnAfterAnOutage(t *testing.T) {
+// TestRolloutContinuesAfterOutage checks that an object API outage only delays a rollout.
+func TestRolloutContinuesAfterOutage(t *testing.T) {
 	l := newStreamLab(t, withVersions(func(*standin.Config) {}))
 	r := l.rolloutLab()
 	r.begin(step(20, 300*time.Millisecond), step(60, time.Second), step(100, time.Second))
--- a/internal/lab/cluster/stream_lab_test.go
+++ b/internal/lab/cluster/stream_lab_test.go
@@ -42,8 +42,8 @@
 	tap     *tap
 	log     *logBuffer
 	callers uint16
-	// network distinguishes the callers of this installation from those of others on the same machine, which may still
-	// send packets to a port that has changed its owner.
+	// network is part of the callers' addresses and distinguishes this installation from others on the same machine, which
+	// may still send packets to a port that was reused.
 	network uint16
 }
 
@@ -53,15 +53,15 @@
 func newNetwork() uint16 { return uint16(os.Getpid()*31) + uint16(networks.Add(1)) }
 
 // newStreamLab starts two services of four and two targets behind three balancers; edit may change the configuration
-// before.
+// first.
 func newStreamLab(t *testing.T, edit func(*flows.ClusterConfig)) *streamLab {
 	t.Helper()
 	t.Parallel()
 	l := &streamLab{t: t, tap: &tap{}, log: &logBuffer{}, network: newNetwork()}
-	// Certificates of its own keep an installation apart from others on the machine when a port changes its owner.
+	// A separate CA isolates this installation from others on the machine when a port is reused.
 	own := newAuthority(t)
 	var err error
-	l.fabric, err = fabric.New(fabric.Config{Seed: 1, Tap: l.tap.see})
+	l.fabric, err = fabric.New(fabric.Config{Seed: 1, Tap: l.tap.observe})
 	require.NoError(t, err)
 	t.Cleanup(l.fabric.Close)
 	cfg := flows.ClusterConfig{
@@ -81,18 +81,18 @@
 	if edit != nil {
 		edit(&cfg)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	c, err := New(ctx, cfg)
 	require.NoError(t, err)
 	l.c = c.(*Cluster)
 	t.Cleanup(l.c.Close)
-	t.Cleanup(l.explain)
+	t.Cleanup(l.logFlowEnds)
 	return l
 }
 
-// explain logs the lines that tell why flows ended, when the test has failed.
-func (l *streamLab) explain() {
+// logFlowEnds logs, if the test has failed, the log lines that may explain why flows ended.
+func (l *streamLab) logFlowEnds() {
 	if !l.t.Failed() {
 		return
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// allAddresses gives a service the three addresses beside that of its deployment.
+// allAddresses adds the IPv6 and UDP addresses to a service.
 func allAddresses(s *resource.Service) {
 	ip6 := routeIP6
 	if s.Name == reportsService {
@@ -119,7 +119,7 @@
 	)
 }
 
-func at(ip string, port uint16) string {
+func serviceAddress(ip string, port uint16) string {
 	return netip.AddrPortFrom(netip.MustParseAddr(ip), port).String()
 }
 
@@ -135,10 +135,10 @@
 func (l *streamLab) client(ip string) (*http.Client, *fabric.Caller) {
 	c := l.caller(ip)
 	transport := &http.Transport{DialContext: c.DialContext, DisableKeepAlives: true}
-	return &http.Client{Transport: transport, Timeout: 2 * patience}, c
+	return &http.Client{Transport: transport, Timeout: 2 * waitTimeout}, c
 }
 
-// download is one flow whose answer is checked byte by byte while it arrives.
+// download is one flow whose response is checked byte by byte as it arrives.
 type download struct {
 	service, name string
 	caller        *fabric.Caller
@@ -146,14 +146,14 @@
 	done          chan error
 }
 
-// start opens a download of size bytes that takes about the given time, and returns once its answer has begun.
+// start opens a download of size bytes that takes about the given time, and returns once its response has begun.
 func (l *streamLab) start(service, ip, name string, size int, takes time.Duration) *download {
 	l.t.Helper()
 	client, caller := l.client(ip)
 	d := &download{service: service, name: name, caller: caller, done: make(chan error, 1)}
 	const pieces = 50
 	url := fmt.Sprintf("http://%s%s?flow=%s&size=%d&chunk=%d&every=%s",
-		at(ip, tcpPort), standin.PathDownload, name, size, size/pieces, takes/pieces)
+		serviceAddress(ip, tcpPort), standin.PathDownload, name, size, size/pieces, takes/pieces)
 	resp, err := client.Get(url)
 	require.NoError(l.t, err, name)
 	require.Equal(l.t, http.StatusOK, resp.StatusCode)
@@ -171,8 +171,8 @@
 	return d
 }
 
-// whole waits until every download has ended, and checks that none was cut or got other bytes.
-func (l *streamLab) whole(downloads []*download) {
+// requireComplete waits until every download has ended, and requires that none was cut or got wrong bytes.
+func (l *streamLab) requireComplete(downloads []*download) {
 	l.t.Helper()
 	for _, d := range downloads {
 		require.NoError(l.t, <-d.done, "%s of %s", d.name, d.service)
@@ -194,7 +194,7 @@
 	return all
 }
 
-// counter sums the counters of a name over all processes; with a reason only those.
+// counter sums the counters of a name over all processes, limited to a reason if one is given.
 func (l *streamLab) counter(name, reason string) int64 {
 	var sum int64
 	for _, c := range l.c.scope.Snapshot().Counters() {
@@ -235,11 +235,11 @@
 
 func (l *streamLab) eventually(text string, ready func() bool) {
 	l.t.Helper()
-	require.Eventually(l.t, ready, patience, 10*time.Millisecond, text)
+	require.Eventually(l.t, ready, waitTimeout, 10*time.Millisecond, text)
 }
 
-// of returns the living targets of a service.
-func (l *streamLab) of(service string) []*target {
+// targetsOf returns the running targets of a service.
+func (l *streamLab) targetsOf(service string) []*target {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
 	var out []*target
@@ -252,47 +252,47 @@
 }
 
 func deadline(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// tap keeps the packets that cross the fabric while it is asked to.
+// tap captures the packets crossing the fabric that its filter keep selects.
 type tap struct {
 	mu   sync.Mutex
 	keep func(toCaller bool, packet []byte) bool
-	seen []tapped
+	seen []capturedPacket
 }
 
-type tapped struct {
+type capturedPacket struct {
 	peer     netip.AddrPort
 	toCaller bool
 	packet   []byte
 }
 
-func (p *tap) see(peer netip.AddrPort, toCaller bool, packet []byte) {
+func (p *tap) observe(peer netip.AddrPort, toCaller bool, packet []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.keep != nil && p.keep(toCaller, packet) {
-		p.seen = append(p.seen, tapped{peer, toCaller, bytes.Clone(packet)})
+		p.seen = append(p.seen, capturedPacket{peer, toCaller, bytes.Clone(packet)})
 	}
 }
 
-// start keeps the packets for which keep is true, and forgets the earlier ones.
+// start sets the filter and discards the packets captured before.
 func (p *tap) start(keep func(toCaller bool, packet []byte) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.keep, p.seen = keep, nil
 }
 
-// taken returns what was kept so far.
-func (p *tap) taken() []tapped {
+// captured returns the packets captured so far.
+func (p *tap) captured() []capturedPacket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]tapped(nil), p.seen...)
+	return append([]capturedPacket(nil), p.seen...)
 }
 
-// logBuffer takes log lines from several goroutines.
+// logBuffer collects log lines; it is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -310,14 +310,14 @@
 	return l.b.String()
 }
 
-// mark returns the present end of the log.
+// mark returns the current length of the log in bytes.
 func (l *logBuffer) mark() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Len()
 }
 
-// hasLine reports whether one line after the mark holds all the parts.
+// hasLine reports whether one line after the mark contains all the parts.
 func (l *logBuffer) hasLine(mark int, parts ...string) bool {
 	for line := range strings.Lines(l.String()[mark:]) {
 		all := true
--- a/internal/lab/cluster/streams_test.go
+++ b/internal/lab/cluster/streams_test.go
@@ -12,13 +12,13 @@
 	"github.com/auburnwood/auburnwood/pkg/resource"
 )
 
-// TestIPv6DownloadsOutliveDrainAndReplacedBalancer lets a target drain and a balancer be replaced while downloads of
-// both IP versions run.
+// TestIPv6DownloadsOutliveDrainAndReplacedBalancer drains a target and replaces a balancer while downloads of both IP
+// versions run.
 func TestIPv6DownloadsOutliveDrainAndReplacedBalancer(t *testing.T) {
 	l := newStreamLab(t, nil)
 	const flowsEach = 6
 	downloads := l.running(flowsEach, 3*time.Second)
-	leaving := l.of(routeService)[0]
+	leaving := l.targetsOf(routeService)[0]
 	go func() { _ = l.c.DrainTarget(deadline(t), leaving.id) }()
 	balancer := l.c.Balancers()[0]
 	_, err := l.c.JoinBalancer(deadline(t))
@@ -26,7 +26,7 @@
 	require.NoError(t, l.c.LeaveBalancer(deadline(t), balancer))
 	require.NoError(t, l.c.KillBalancer(l.c.Balancers()[0]))
 	downloads = append(downloads, l.running(2, time.Second)...)
-	l.whole(downloads)
+	l.requireComplete(downloads)
 	l.eventually("the drained target's flows have ended", func() bool { return leaving.daemon.Agent().OpenFlows() == 0 })
 	require.Empty(t, l.refusals())
 }
@@ -49,6 +49,6 @@
 		require.NoError(t, err)
 		require.Equal(t, d.caller.Addr().String(), host)
 		require.NotEqual(t, "0", port)
-		l.whole([]*download{d})
+		l.requireComplete([]*download{d})
 	}
 }
--- a/internal/lab/cluster/target.go
+++ b/internal/lab/cluster/target.go
@@ -19,17 +19,17 @@
 	"github.com/auburnwood/auburnwood/pkg/view"
 )
 
-// target is a target stand-in and the agent daemon beside it.
+// target is a target stand-in and its agent daemon.
 type target struct {
 	id, service string
-	// standin is nil when the target belongs to another.
+	// standin is nil when the target is run by the caller of runAgent.
 	standin *standin.Target
 	daemon  *agentd.Daemon
 	stop    context.CancelFunc
 	ended   chan struct{}
-	// view is the view that the agent uses.
+	// view is the view last delivered to the agent.
 	view atomic.Pointer[view.Service]
-	// state and since are guarded by the cluster's lock.
+	// state and since are guarded by Cluster.mu.
 	state view.TargetState
 	since time.Time
 }
@@ -41,8 +41,8 @@
 	}
 }
 
-// knowsActive reports whether the agent knows that many active targets of its service.
-func (t *target) knowsActive(targets int) bool {
+// seesActiveTargets reports whether the agent's view has at least the given number of active targets.
+func (t *target) seesActiveTargets(targets int) bool {
 	v := t.view.Load()
 	if v == nil {
 		return false
@@ -56,7 +56,7 @@
 	return n >= targets
 }
 
-// addTarget starts a target and its agent; the target announces itself.
+// addTarget starts a target and its agent, and announces the target to the agent.
 func (c *Cluster) addTarget(size flows.ServiceSize) (*target, error) {
 	n := c.nextNumber()
 	id := processName(size.Name, n)
@@ -128,7 +128,7 @@
 	return t, nil
 }
 
-// announce sends a target's announcement to its agent, as the target's program does.
+// announce sends a target's announcement to its agent, as the target program does.
 func announce(ctx context.Context, addr string, a agentd.Announcement) error {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	// A connection that is kept open may lead to an agent of the same port that is gone.
+	// A kept-alive connection may lead to a stopped agent whose port was reused.
 	r.Close = true
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -169,7 +169,7 @@
 			return t, nil
 		}
 	}
-	return nil, trace.NotFound("target %s does not live", id)
+	return nil, trace.NotFound("target %s is not running", id)
 }
 
 // Targets implements flows.Cluster.
@@ -196,18 +196,18 @@
 		c.setState(t, view.StateJoining)
 		err = await(ctx, func() bool { return c.activeEverywhere(t.id) })
 		c.setState(t, view.StateActive)
-		return t.id, trace.Wrap(err, "target %s becomes active", t.id)
+		return t.id, trace.Wrap(err, "wait for target %s to become active", t.id)
 	}
 	return "", trace.NotFound("unknown service %q", service)
 }
 
-// activeEverywhere reports whether every balancer knows the target as active.
+// activeEverywhere reports whether every balancer has the target as an active member.
 func (c *Cluster) activeEverywhere(id string) bool {
 	c.mu.Lock()
 	balancers := append([]*balancer(nil), c.balancers...)
 	c.mu.Unlock()
 	for _, b := range balancers {
-		if !b.knowsActive(id) {
+		if !b.seesActive(id) {
 			return false
 		}
 	}
--- a/internal/lab/cluster/tls_test.go
+++ b/internal/lab/cluster/tls_test.go
@@ -12,11 +12,11 @@
 	"github.com/auburnwood/auburnwood/pkg/settings"
 )
 
-// nobody is the URL of an object API that does not answer.
-const nobody = "http://127.0.0.1:1"
+// unreachableAPI is the URL of an object API that does not answer.
+const unreachableAPI = "http://127.0.0.1:1"
 
-// intruders returns the TLS files of processes that must be refused, by the reason.
-func intruders(own *authority) map[string]settings.TLS {
+// invalidIdentities returns, by reason, the TLS files of processes that must be refused.
+func invalidIdentities(own *authority) map[string]settings.TLS {
 	other := newAuthority(own.t)
 	foreign := other.issue("foreign", time.Now().Add(time.Hour))
 	foreign.CA = own.ca
@@ -28,8 +28,8 @@
 	}
 }
 
-// knownAnywhere reports whether a balancer of the installation holds a record of a process.
-func (l *streamLab) knownAnywhere(id string) bool {
+// isMemberAnywhere reports whether a balancer of the installation has a process as a member.
+func (l *streamLab) isMemberAnywhere(id string) bool {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
 	for _, b := range l.c.balancers {
@@ -42,24 +42,24 @@
 	return false
 }
 
-func TestProcessesWithoutValidCertificateStayOutside(t *testing.T) {
+func TestProcessesWithoutValidCertificateRejected(t *testing.T) {
 	own := newAuthority(t)
 	until := time.Now().Add(time.Hour)
 	l := newStreamLab(t, func(c *flows.ClusterConfig) {
 		c.TLS = func(process string) settings.TLS { return own.issue(process, until) }
 	})
 	downloads := l.running(2, 2*time.Second)
-	for name, files := range intruders(own) {
+	for name, files := range invalidIdentities(own) {
 		mark := l.log.mark()
-		agent := l.agentOutside("agent-"+name, files, l.c.controlAddrs())
-		balancer := l.intrudingBalancer("balancer-"+name, files)
+		agent := l.startOutsideAgent("agent-"+name, files, l.c.controlAddrs())
+		balancer := l.startOutsideBalancer("balancer-"+name, files)
 		l.eventually("refusal of "+name+" is logged", func() bool {
 			return l.log.hasLine(mark, `"peer refused"`, `"op":"accept peer"`, `"process":"balancer-0`)
 		})
-		l.eventually("the agent has tried in vain", func() bool {
+		l.eventually("the agent gives up on the balancers", func() bool {
 			return l.log.hasLine(mark, `"process":"agent-`+name, "no balancer answered")
 		})
-		misled := l.agentOutside("misled-"+name, own.issue("misled-"+name, until), []string{balancer.daemon.ControlAddr()})
+		misled := l.startOutsideAgent("misled-"+name, own.issue("misled-"+name, until), []string{balancer.daemon.ControlAddr()})
 		l.eventually("an agent refuses the balancer "+name, func() bool {
 			return l.log.hasLine(mark, `"peer refused"`, `"op":"call peer"`, `"process":"misled-`+name)
 		})
@@ -68,12 +68,12 @@
 		require.Zero(t, balancer.daemon.Revision(), name)
 		require.Nil(t, balancer.view.Load(), name)
 		for _, m := range balancer.daemon.Members() {
-			require.Equal(t, balancer.name, m.ID, "%s knows another process", name)
+			require.Equal(t, balancer.name, m.ID, "%s has another process as a member", name)
 		}
-		require.False(t, l.knownAnywhere(agent.id), name)
-		require.False(t, l.knownAnywhere(balancer.name), name)
+		require.False(t, l.isMemberAnywhere(agent.id), name)
+		require.False(t, l.isMemberAnywhere(balancer.name), name)
 	}
-	l.whole(downloads)
+	l.requireComplete(downloads)
 	require.Empty(t, l.refusals())
 }
 
@@ -81,8 +81,8 @@
 	return agentd.Announcement{Service: service, Slots: 2, Connections: 500}
 }
 
-// agentOutside starts an agent, beside those of the installation, that announces a target of the route service.
-func (l *streamLab) agentOutside(id string, files settings.TLS, balancers []string) *target {
+// startOutsideAgent starts an agent that is not part of the installation and announces a target of the route service.
+func (l *streamLab) startOutsideAgent(id string, files settings.TLS, balancers []string) *target {
 	l.t.Helper()
 	st, err := standin.Start(standin.Config{Service: routeService, ID: id}, nil)
 	require.NoError(l.t, err)
@@ -96,14 +96,14 @@
 	return x
 }
 
-// intrudingBalancer starts a balancer that reaches its peers only, not the object API.
-func (l *streamLab) intrudingBalancer(name string, files settings.TLS) *balancer {
+// startOutsideBalancer starts a balancer that can reach its peers but not the object API, and gets no packets.
+func (l *streamLab) startOutsideBalancer(name string, files settings.TLS) *balancer {
 	l.t.Helper()
 	s := l.c.balancerSettings()
-	s.Name, s.TLS, s.ObjectAPI.URL = name, files, nobody
+	s.Name, s.TLS, s.ObjectAPI.URL = name, files, unreachableAPI
 	_, err := l.c.runBalancer(s)
 	require.NoError(l.t, err)
-	b, err := l.c.takeBalancer(name)
+	b, err := l.c.removeBalancer(name)
 	require.NoError(l.t, err)
 	l.fabric.RemoveBalancer(b.daemon.PacketAddr())
 	l.t.Cleanup(b.daemon.Kill)
--- a/internal/lab/cluster/udp_test.go
+++ b/internal/lab/cluster/udp_test.go
@@ -27,13 +27,13 @@
 	sent            int
 }
 
-func (l *streamLab) udp(ip, name string) *udpFlow {
+func (l *streamLab) newUDPFlow(ip, name string) *udpFlow {
 	l.t.Helper()
 	service := routeService
 	if ip == reportsIP || ip == reportsIP6 {
 		service = reportsService
 	}
-	return &udpFlow{t: l.t, name: name, service: service, conn: mustDial(l.t, l.caller(ip), "udp", at(ip, udpPort))}
+	return &udpFlow{t: l.t, name: name, service: service, conn: mustDial(l.t, l.caller(ip), "udp", serviceAddress(ip, udpPort))}
 }
 
 // key is the five-tuple of the flow.
@@ -45,7 +45,7 @@
 	}
 }
 
-// ping sends a datagram until its echo comes back. Any datagram of another flow is an error.
+// ping sends a datagram until its echo is received. A datagram of another flow fails the test.
 func (u *udpFlow) ping() {
 	u.t.Helper()
 	u.sent++
@@ -68,7 +68,7 @@
 	u.t.Fatalf("%s: no echo", text)
 }
 
-// check returns the text of an answer, which must be the flow's own.
+// check requires that a datagram belongs to the flow and returns its text.
 func (u *udpFlow) check(b []byte) string {
 	u.t.Helper()
 	label, rest, ok := standin.CutLabel(b)
@@ -82,7 +82,7 @@
 	return string(rest)
 }
 
-// udpIdle starts an installation whose UDP flows end after the given time.
+// udpIdle starts an installation whose UDP flows end after the given idle time.
 func udpIdle(t *testing.T, idle time.Duration) *streamLab {
 	t.Helper()
 	return newStreamLab(t, func(c *flows.ClusterConfig) {
@@ -93,13 +93,13 @@
 	})
 }
 
-// manyUDP opens UDP flows of both services and IP versions.
-func (l *streamLab) manyUDP(each int) []*udpFlow {
+// newUDPFlows opens UDP flows of both services and IP versions.
+func (l *streamLab) newUDPFlows(each int) []*udpFlow {
 	l.t.Helper()
 	var all []*udpFlow
 	for i := range each {
 		for _, ip := range []string{routeIP, routeIP6, reportsIP, reportsIP6} {
-			all = append(all, l.udp(ip, fmt.Sprintf("udp-%d-%s", i, ip)))
+			all = append(all, l.newUDPFlow(ip, fmt.Sprintf("udp-%d-%s", i, ip)))
 		}
 	}
 	return all
@@ -114,7 +114,7 @@
 // busiest returns the target of the route service with the most flows.
 func (l *streamLab) busiest() *target {
 	var busiest *target
-	for _, x := range l.of(routeService) {
+	for _, x := range l.targetsOf(routeService) {
 		if busiest == nil || x.daemon.Agent().OpenFlows() > busiest.daemon.Agent().OpenFlows() {
 			busiest = x
 		}
@@ -122,11 +122,11 @@
 	return busiest
 }
 
-// beginDrain lets a target drain and returns when every balancer knows it.
+// beginDrain starts to drain a target and returns when no balancer has it as active.
 func (l *streamLab) beginDrain(x *target) {
 	l.t.Helper()
 	go func() { _ = l.c.DrainTarget(deadline(l.t), x.id) }()
-	l.eventually("drain is known", func() bool {
+	l.eventually("balancers see the drain", func() bool {
 		for _, b := range l.c.Balancers() {
 			if l.activeAt(b, x.id) {
 				return false
@@ -138,9 +138,9 @@
 
 // TestUDPFlowsKeepTheirTargets sends datagrams through a killed balancer, a joining target and a draining one.
 func TestUDPFlowsKeepTheirTargets(t *testing.T) {
-	// No flow may end by itself, however slow the machine is.
+	// The long idle time keeps flows from expiring on a slow machine.
 	l := udpIdle(t, time.Hour)
-	all := l.manyUDP(10)
+	all := l.newUDPFlows(10)
 	pingAll(all)
 	pingAll(all)
 	require.NoError(t, l.c.KillBalancer(l.c.Balancers()[0]))
@@ -160,12 +160,12 @@
 
 func TestUDPFlowsEndByIdleTime(t *testing.T) {
 	l := udpIdle(t, time.Second)
-	all := l.manyUDP(4)
+	all := l.newUDPFlows(4)
 	pingAll(all)
 	leaving := l.busiest()
 	l.beginDrain(leaving)
 	l.eventually("idle flows end", func() bool {
-		for _, x := range append(l.of(routeService), l.of(reportsService)...) {
+		for _, x := range append(l.targetsOf(routeService), l.targetsOf(reportsService)...) {
 			if x.daemon.Agent().OpenFlows() > 0 {
 				return false
 			}
@@ -185,23 +185,23 @@
 	defer l.c.mu.Unlock()
 	for _, b := range l.c.balancers {
 		if b.name == balancer {
-			return b.knowsActive(target)
+			return b.seesActive(target)
 		}
 	}
 	return false
 }
 
-// TestUDPFlowOfADeadTargetIsRecorded kills the target process under a UDP flow; its agent lives on.
+// TestUDPFlowOfADeadTargetIsRecorded kills the target process of a UDP flow while its agent keeps running.
 func TestUDPFlowOfADeadTargetIsRecorded(t *testing.T) {
 	l := newStreamLab(t, func(c *flows.ClusterConfig) {
 		c.Deployment.Services[1].Targets = 1
 	})
-	doomed := []*udpFlow{l.udp(reportsIP, "doomed-4"), l.udp(reportsIP6, "doomed-6")}
+	doomed := []*udpFlow{l.newUDPFlow(reportsIP, "doomed-4"), l.newUDPFlow(reportsIP6, "doomed-6")}
 	for _, u := range doomed {
 		u.ping()
 		u.ping()
 	}
-	require.NoError(t, l.c.KillTarget(l.of(reportsService)[0].id))
+	require.NoError(t, l.c.KillTarget(l.targetsOf(reportsService)[0].id))
 	for _, u := range doomed {
 		l.eventually("refusal record of "+u.name, func() bool {
 			_, _ = u.conn.Write([]byte(u.name + " #0"))
