--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds simple ways to choose a target, against which the project measures its own.
+// Package baseline implements simple target selection policies that serve as baselines in measurements.
 //
-// The choosers keep no count of open flows themselves; the measurement does. They are not safe for concurrent use.
+// The choosers do not count open flows; the measurement does. They are not safe for concurrent use.
 package baseline
 
 import "github.com/cespare/xxhash/v2"
@@ -22,13 +22,13 @@
 	return int(flow % uint64(h.Targets))
 }
 
-// RoundRobin lets each balancer go through the targets in turn, without knowledge of the other balancers.
+// RoundRobin has each balancer cycle through the targets independently of the other balancers.
 type RoundRobin struct {
 	targets int
 	next    []int
 }
 
-// NewRoundRobin returns a RoundRobin whose balancers start at different targets.
+// NewRoundRobin returns a RoundRobin whose balancers start at targets chosen by a hash, which may coincide.
 func NewRoundRobin(targets, balancers int) *RoundRobin {
 	r := &RoundRobin{targets: targets, next: make([]int, balancers)}
 	for i := range r.next {
@@ -44,7 +44,8 @@
 	return i
 }
 
-// LeastReported chooses the target that last reported the fewest open flows; between reports the choice stays the same.
+// LeastReported chooses the target that last reported the fewest open flows. Between reports its choice changes only
+// among ties.
 type LeastReported struct {
 	loads []int
 }
@@ -54,10 +55,10 @@
 	return &LeastReported{loads: make([]int, targets)}
 }
 
-// Report notes what a target says about its load, true or not.
+// Report records the number of open flows that a target reports; it is not verified.
 func (l *LeastReported) Report(target, load int) { l.loads[target] = load }
 
-// Choose implements Chooser. Targets with the same report are told apart by the flow's hash.
+// Choose implements Chooser. Ties are broken by the flow's hash.
 func (l *LeastReported) Choose(_ int, flow uint64) int {
 	n := len(l.loads)
 	start := int(flow % uint64(n))
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -13,7 +13,7 @@
 	a := r.Choose(0, 1)
 	require.Equal(t, (a+1)%3, r.Choose(0, 1))
 	r.Choose(1, 1)
-	require.Equal(t, (a+2)%3, r.Choose(0, 1), "balancers do not share their turn")
+	require.Equal(t, (a+2)%3, r.Choose(0, 1), "balancers do not share their position")
 
 	l := NewLeastReported(3)
 	l.Report(0, 5)
--- a/internal/lab/demo/answers.go
+++ b/internal/lab/demo/answers.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// answers counts answers by target.
+// answers counts the responses of each target.
 type answers struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/internal/lab/demo/doc.go
+++ b/internal/lab/demo/doc.go
@@ -1,2 +1,2 @@
-// Package demo shows a small installation at work: requests of ordinary HTTP clients, a drain, a death and a refusal.
+// Package demo runs a small installation with ordinary HTTP clients through a drain, a balancer failure and a refusal.
 package demo
--- a/internal/lab/demo/faults.go
+++ b/internal/lab/demo/faults.go
@@ -14,18 +14,18 @@
 	"github.com/auburnwood/auburnwood/pkg/refusal"
 )
 
-// longFlows is the number of slow downloads that run through a change.
+// longFlows is the number of slow downloads in progress during a change.
 const longFlows = 20
 
-// running are slow downloads in progress.
+// running holds the slow downloads in progress.
 type running struct {
 	group  sync.WaitGroup
 	mu     sync.Mutex
 	errors []error
 }
 
-// startLong starts slow downloads that last some seconds.
-func (s *show) startLong(ctx context.Context, size flows.ServiceSize, name string) *running {
+// startLongDownloads starts slow downloads that take several seconds.
+func (s *show) startLongDownloads(ctx context.Context, size flows.ServiceSize, name string) *running {
 	r := &running{}
 	for i := range longFlows {
 		client := s.client()
@@ -43,19 +43,19 @@
 	return r
 }
 
-// wait returns the number of downloads that were cut or wrong, and prints the first reason.
+// wait returns the number of downloads that were cut or wrong, and prints the first error.
 func (r *running) wait(s *show) int {
 	r.group.Wait()
 	if len(r.errors) > 0 {
-		s.say("first of %d failures: %v", len(r.errors), trace.UserMessage(r.errors[0]))
+		s.printf("first of %d failures: %v", len(r.errors), trace.UserMessage(r.errors[0]))
 	}
 	return len(r.errors)
 }
 
-// drain lets a target and a balancer leave while downloads run; none may be cut.
+// drain drains a target and replaces a balancer while downloads run; none may be cut.
 func (s *show) drain(ctx context.Context) error {
 	size := s.deployment.Services[0]
-	long := s.startLong(ctx, size, "drain")
+	long := s.startLongDownloads(ctx, size, "drain")
 	leaving := s.firstTarget(size.Name)
 	drained := make(chan error, 1)
 	go func() { drained <- s.cluster.DrainTarget(ctx, leaving) }()
@@ -69,27 +69,27 @@
 	if err := <-drained; err != nil {
 		return trace.Wrap(err)
 	}
-	s.wrong += cut
-	s.say("drained %s and replaced a balancer during %d long downloads: %d cut", leaving, longFlows, cut)
+	s.failures += cut
+	s.printf("drained %s and replaced a balancer during %d long downloads: %d cut", leaving, longFlows, cut)
 	return nil
 }
 
-// deaths kills a balancer and cuts the object API off while downloads run; none may be cut.
-func (s *show) deaths(ctx context.Context) error {
+// balancerFailure kills a balancer during an object API outage while downloads run; none may be cut.
+func (s *show) balancerFailure(ctx context.Context) error {
 	size := s.deployment.Services[1]
-	long := s.startLong(ctx, size, "kill")
+	long := s.startLongDownloads(ctx, size, "kill")
 	s.cluster.StoreDown(true)
 	if err := s.cluster.KillBalancer(s.cluster.Balancers()[0]); err != nil {
 		return trace.Wrap(err)
 	}
 	cut := long.wait(s)
 	s.cluster.StoreDown(false)
-	s.wrong += cut
-	s.say("killed a balancer during an outage of the object API and %d long downloads: %d cut", longFlows, cut)
+	s.failures += cut
+	s.printf("killed a balancer during an outage of the object API and %d long downloads: %d cut", longFlows, cut)
 	return nil
 }
 
-// refusal calls an address of no service and looks for the record of the refusal.
+// refusal dials an address of no service and looks for the refusal record.
 func (s *show) refusal(ctx context.Context) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+unusedAddress, nil)
 	if err != nil {
@@ -104,7 +104,7 @@
 	for time.Now().Before(deadline) {
 		for _, rec := range s.cluster.Refusals() {
 			if rec.Reason == refusal.ReasonUnknownAddress {
-				s.say("called %s, which belongs to no service: refused; record %s: reason=%s caller=%s decided by %s, run=%s",
+				s.printf("called %s, which belongs to no service: refused; record %s: reason=%s caller=%s decided by %s, run=%s",
 					unusedAddress, rec.ID, rec.Reason, rec.Caller, rec.DecidedBy, rec.Run)
 				return nil
 			}
--- a/internal/lab/demo/run.go
+++ b/internal/lab/demo/run.go
@@ -18,7 +18,6 @@
 	"github.com/auburnwood/auburnwood/internal/standin/fabric"
 )
 
-// Numbers of the demo.
 const (
 	balancers         = 3
 	connections       = 2000
@@ -34,13 +33,12 @@
 	unusedAddress = "192.0.2.99:80"
 )
 
-// Options say what the demo runs.
 type Options struct {
 	// Deployment is "zarqa" or "saobien".
 	Deployment string
-	// Seed makes it repeatable.
+	// Seed seeds the fabric and the cluster.
 	Seed uint64
-	// Log takes the log lines of all processes.
+	// Log receives the log lines of all processes.
 	Log zerolog.Logger
 }
 
@@ -52,10 +50,11 @@
 	fabric     *fabric.Fabric
 	cluster    flows.Cluster
 	callers    int
-	wrong      int
+	failures   int
 }
 
-// Run runs the demo of one deployment, prints what happens, and returns an error when anything was not as promised.
+// Run runs the demo of one deployment, prints what happens, and returns an error if a response was missing, cut or wrong
+// or a step failed.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	d, err := flows.FindDeployment(o.Deployment)
 	if err != nil {
@@ -66,18 +65,18 @@
 	if err := s.start(ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	for _, step := range []func(context.Context) error{s.requests, s.drain, s.deaths, s.refusal} {
+	for _, step := range []func(context.Context) error{s.requests, s.drain, s.balancerFailure, s.refusal} {
 		if err := step(ctx); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	if s.wrong > 0 {
-		return trace.CompareFailed("%d answers were missing, cut or wrong", s.wrong)
+	if s.failures > 0 {
+		return trace.CompareFailed("%d downloads were cut or wrong", s.failures)
 	}
 	return nil
 }
 
-func (s *show) say(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format+"\n", args...) }
+func (s *show) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format+"\n", args...) }
 
 func (s *show) start(ctx context.Context) error {
 	var err error
@@ -95,7 +94,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.say("%s: %d balancers, %d targets with their agents, services applied and in force after %d ms",
+	s.printf("%s: %d balancers, %d targets with their agents, services applied and in force after %d ms",
 		s.deployment.Name, len(s.cluster.Balancers()), len(s.cluster.Targets()), time.Since(began).Milliseconds())
 	return nil
 }
@@ -129,7 +128,7 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		s.say("%-13s %d downloads of %d KiB in %4d ms, every byte right, answered by %d targets (%s)",
+		s.printf("%-13s %d downloads of %d KiB in %4d ms, every byte right, answered by %d targets (%s)",
 			size.Name, requestsOfService, downloadBytes>>10, time.Since(began).Milliseconds(), len(tally.counts), tally.spread())
 	}
 	return nil
--- a/internal/lab/download/doc.go
+++ b/internal/lab/download/doc.go
@@ -1,2 +1,2 @@
-// Package download gets checked content from target stand-ins with an ordinary HTTP client.
+// Package download downloads content from target stand-ins with an ordinary HTTP client and verifies it.
 package download
--- a/internal/lab/download/download.go
+++ b/internal/lab/download/download.go
@@ -14,16 +14,16 @@
 	"github.com/auburnwood/auburnwood/internal/standin/target"
 )
 
-// Spec is one download.
+// Spec describes one download.
 type Spec struct {
-	// Service is the name of the service that must answer, and Address where callers reach it.
+	// Service is the name of the service that must answer, Address the address at which callers reach it.
 	Service string
 	Address netip.AddrPort
-	// Flow names the content.
+	// Flow identifies the content.
 	Flow string
 	// Bytes is the size of the content.
 	Bytes int
-	// Chunk and Every let the target send Chunk bytes in each interval; Every 0 sends as fast as it goes.
+	// Chunk and Every make the target send Chunk bytes per interval; Every 0 sends without pauses.
 	Chunk int
 	Every time.Duration
 }
@@ -45,8 +45,8 @@
 	}
 }
 
-// Get makes the download and returns the ID of the target that answered. It returns an error when the download was cut
-// or wrong, or when another service answered.
+// Get performs the download and returns the ID of the target that answered. It returns an error if the download was cut
+// or wrong, or if another service answered.
 func Get(ctx context.Context, c *http.Client, s Spec) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url(), nil)
 	if err != nil {
--- a/internal/lab/processes/admin.go
+++ b/internal/lab/processes/admin.go
@@ -19,11 +19,11 @@
 const (
 	// PathDownloads runs checked downloads; query: service, count, bytes, chunk, every.
 	PathDownloads = "/downloads"
-	// PathStore switches an outage of the object API; query: down=true or false.
+	// PathStore starts or ends an outage of the object API; query: down=true or false.
 	PathStore = "/store"
-	// PathRefused calls an address that belongs to no service; query: caller, an IP address.
+	// PathRefused dials an address that belongs to no service; query: caller, an IP address.
 	PathRefused = "/refused"
-	// PathBalancer tells the fabric of balancers; query: number, and present=true or false.
+	// PathBalancer adds a balancer to the fabric or removes it; query: number, and present=true or false.
 	PathBalancer = "/balancer"
 )
 
@@ -37,17 +37,17 @@
 
 // Report is the answer to PathDownloads.
 type Report struct {
-	// Service is the service that was asked, Count the number of downloads.
+	// Service is the requested service, Count the number of downloads.
 	Service string `json:"service"`
 	Count   int    `json:"count"`
-	// Whole downloads came with every byte right from the right service; Broken ones did not.
+	// Whole counts downloads that were complete, correct and from the requested service, Broken the others.
 	Whole  int `json:"whole"`
 	Broken int `json:"broken"`
-	// Targets is the number of targets that answered.
+	// Targets is the number of distinct targets that answered.
 	Targets int `json:"targets"`
-	// Milliseconds is the time of all downloads together.
+	// Milliseconds is the duration of all downloads together.
 	Milliseconds int64 `json:"milliseconds"`
-	// Errors are the first reasons of broken downloads.
+	// Errors holds the first errors of broken downloads.
 	Errors []string `json:"errors,omitempty"`
 }
 
@@ -67,7 +67,7 @@
 func (s *standins) balancer(w http.ResponseWriter, r *http.Request) {
 	n, err := strconv.Atoi(r.URL.Query().Get("number"))
 	if err != nil || n < 1 || n > s.layout.Balancers {
-		http.Error(w, "number is not one of a balancer", http.StatusBadRequest)
+		http.Error(w, "number must be that of a balancer", http.StatusBadRequest)
 		return
 	}
 	addr := s.layout.addr(portBalancer + n - 1)
@@ -78,11 +78,11 @@
 	s.fabric.RemoveBalancer(addr)
 }
 
-// refused answers with how the call to an address of no service ended.
+// refused responds with the error of a connection attempt to an address of no service.
 func (s *standins) refused(w http.ResponseWriter, r *http.Request) {
 	caller, err := netip.ParseAddr(r.URL.Query().Get("caller"))
 	if err != nil {
-		http.Error(w, "caller is no IP address", http.StatusBadRequest)
+		http.Error(w, "caller must be an IP address", http.StatusBadRequest)
 		return
 	}
 	conn, err := s.fabric.NewCaller(caller).DialContext(r.Context(), "tcp", unusedAddress)
@@ -99,7 +99,7 @@
 	size, ok := s.layout.service(q.Get("service"))
 	count, err := strconv.Atoi(q.Get("count"))
 	if !ok || err != nil || count < 1 {
-		http.Error(w, "service or count is wrong", http.StatusBadRequest)
+		http.Error(w, "service must be a known service and count a positive number", http.StatusBadRequest)
 		return
 	}
 	d := download.Spec{
@@ -113,7 +113,7 @@
 	_ = json.NewEncoder(w).Encode(s.run(r, d, count))
 }
 
-// run makes the downloads, each by a caller of its own.
+// run performs the downloads, each from a separate caller.
 func (s *standins) run(r *http.Request, d download.Spec, count int) Report {
 	began := time.Now()
 	report := Report{Service: d.Service, Count: count}
@@ -130,7 +130,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				report.broken(err)
+				report.addFailure(err)
 				return nil
 			}
 			report.Whole++
@@ -144,7 +144,7 @@
 	return report
 }
 
-func (r *Report) broken(err error) {
+func (r *Report) addFailure(err error) {
 	r.Broken++
 	if len(r.Errors) < maxErrors {
 		r.Errors = append(r.Errors, err.Error())
--- a/internal/lab/processes/doc.go
+++ b/internal/lab/processes/doc.go
@@ -1,3 +1,3 @@
-// Package processes prepares and accompanies an installation whose daemons run as processes of their own: it writes their
-// settings and serves the stand-ins (object API, fabric with callers, targets) that they talk to.
+// Package processes supports an installation whose daemons run as separate processes: it writes their settings and serves
+// the stand-ins for the object API, the fabric with its callers, and the targets.
 package processes
--- a/internal/lab/processes/files.go
+++ b/internal/lab/processes/files.go
@@ -15,11 +15,11 @@
 const (
 	fileMode = 0o644
 	dirMode  = 0o755
-	// callRate is the call budget of a process towards the stand-in, calls a second.
+	// callRate is the object API budget of each process, in calls per second.
 	callRate = 50
 )
 
-// WriteFiles writes a settings file for each daemon and the services into dir.
+// WriteFiles writes a settings file for each daemon, and the services, into dir.
 func (l Layout) WriteFiles(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return trace.ConvertSystemError(err)
--- a/internal/lab/processes/layout.go
+++ b/internal/lab/processes/layout.go
@@ -22,12 +22,11 @@
 	connections      = 2000
 )
 
-// Layout says which process listens where; all on 127.0.0.1.
+// Layout assigns the listening port of each process; all listen on 127.0.0.1.
 type Layout struct {
 	// Deployment gives services, targets and data centres.
 	Deployment flows.Deployment
-	// Balancers is the number of balancers.
-	Balancers int
+	Balancers  int
 	// BasePort is the first port.
 	BasePort int
 }
@@ -43,7 +42,7 @@
 	n    int
 }
 
-// targets lists the targets in order.
+// targets lists the targets in the order of their services.
 func (l Layout) targets() []targetPlace {
 	var out []targetPlace
 	for _, size := range l.Deployment.Services {
--- a/internal/lab/processes/serve.go
+++ b/internal/lab/processes/serve.go
@@ -21,7 +21,6 @@
 
 const announceRetry = 500 * time.Millisecond
 
-// standins are the stand-ins of one installation.
 type standins struct {
 	layout  Layout
 	store   *store.Store
@@ -29,8 +28,8 @@
 	targets []*target.Target
 }
 
-// Serve serves the stand-ins until ctx ends. Each target announces itself to its agent again and again, so that agents may
-// start and restart at any time.
+// Serve serves the stand-ins until ctx ends. Each target repeats its announcement to its agent, so that agents may start
+// and restart at any time.
 func Serve(ctx context.Context, l Layout, out io.Writer) error {
 	f, err := fabric.New(fabric.Config{Listen: l.addr(portFabric)})
 	if err != nil {
@@ -72,7 +71,7 @@
 	}
 }
 
-// announce repeats a target's announcement, as its program would.
+// announce repeats a target's announcement, as the target program does.
 func (s *standins) announce(ctx context.Context, t targetPlace) error {
 	body, err := json.Marshal(agentd.Announcement{Service: t.size.Name, Slots: t.size.Slots, Connections: connections})
 	if err != nil {
