--- a/internal/standin/target/label.go
+++ b/internal/standin/target/label.go
@@ -10,7 +10,6 @@
 	Target string
 }
 
-// Append appends the label to b.
 func (l Label) Append(b []byte) []byte {
 	b = append(b, l.Service...)
 	b = append(b, 0)
--- a/pkg/arbiter/entry.go
+++ b/pkg/arbiter/entry.go
@@ -7,7 +7,6 @@
 
 const stampUnit = 10 * time.Millisecond
 
-// since returns the time from s to now.
 func (s stamp) since(now stamp) time.Duration {
 	return time.Duration(now-s) * stampUnit
 }
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -25,7 +25,6 @@
 	mu          sync.Mutex
 }
 
-// New returns a Client.
 func New(o Options) *Client { return &Client{o: o.withDefaults()} }
 
 // Do submits a request until it has one of the three outcomes. The deadline of ctx is the deadline of the request;
--- a/pkg/caller/result.go
+++ b/pkg/caller/result.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// Result is the result of a request.
 type Result struct {
 	// Outcome is whether the work ran.
 	Outcome Outcome
--- a/pkg/ctl/applier.go
+++ b/pkg/ctl/applier.go
@@ -14,7 +14,6 @@
 
 // Applier writes services by conditional updates.
 type Applier struct {
-	// Store is the object API.
 	Store objectapi.Store
 	// Retries is the maximum number of concurrent changes of other operators that are overwritten. With 0, another
 	// operator's change is kept.
--- a/pkg/ctl/apply.go
+++ b/pkg/ctl/apply.go
@@ -20,7 +20,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *applyCommand) run(ctx context.Context, s *session) error {
 	if c.Retries < 0 {
 		return &usageError{reason: "--retries must not be negative"}
--- a/pkg/ctl/delete.go
+++ b/pkg/ctl/delete.go
@@ -20,7 +20,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *deleteCommand) run(ctx context.Context, s *session) error {
 	args := c.Args.Names
 	if len(args) == 0 {
@@ -48,7 +47,6 @@
 
 // Deleter deletes services by conditional deletes.
 type Deleter struct {
-	// Store is the object API.
 	Store objectapi.Store
 	// Version is the only version that may be deleted; 0 means the stored one.
 	Version uint64
--- a/pkg/ctl/evacuate.go
+++ b/pkg/ctl/evacuate.go
@@ -22,7 +22,6 @@
 
 var errNoDataCentre = &usageError{reason: "name at least one data centre"}
 
-// run implements command.
 func (c *evacuateCommand) run(ctx context.Context, s *session) error {
 	value, err := json.Marshal(resource.Evacuation{Reason: c.Reason})
 	if err != nil {
@@ -40,7 +39,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *restoreCommand) run(ctx context.Context, s *session) error {
 	return s.eachDataCentre(c.Args.DataCentres, func(store objectapi.Store, dataCentre string) (string, error) {
 		return withdraw(ctx, store, dataCentre)
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -24,7 +24,6 @@
 	To      string        `long:"to" value-name:"TIME" description:"Latest time, as in RFC 3339; by default now"`
 }
 
-// run implements command.
 func (c *explainCommand) run(ctx context.Context, s *session) error {
 	q, err := c.query(s.app.Now())
 	if err != nil {
--- a/pkg/ctl/get.go
+++ b/pkg/ctl/get.go
@@ -22,7 +22,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *getCommand) run(ctx context.Context, s *session) error {
 	kind, err := parseKind(c.Args.Kind)
 	if err != nil {
--- a/pkg/ctl/validate.go
+++ b/pkg/ctl/validate.go
@@ -14,7 +14,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *validateCommand) run(_ context.Context, s *session) error {
 	list, err := s.documents(c.Args.Files)
 	if err != nil {
--- a/pkg/ctl/watch.go
+++ b/pkg/ctl/watch.go
@@ -23,7 +23,6 @@
 	} `positional-args:"yes"`
 }
 
-// run implements command.
 func (c *watchCommand) run(ctx context.Context, s *session) error {
 	kind, err := parseKind(c.Args.Kind)
 	if err != nil {
--- a/pkg/dsr/outlier/detector.go
+++ b/pkg/dsr/outlier/detector.go
@@ -55,7 +55,6 @@
 
 func (s State) String() string { return [...]string{"healthy", "resting", "tried"}[s] }
 
-// State returns the state at a time.
 func (d *Detector) State(now time.Time) State {
 	switch {
 	case d.ejection == 0:
--- a/pkg/dsr/roster/peers_test.go
+++ b/pkg/dsr/roster/peers_test.go
@@ -61,7 +61,6 @@
 	require.Equal(t, []netip.AddrPort{two}, p.All())
 }
 
-// peerAddresses returns the addresses of n peers.
 func peerAddresses(n int) []netip.AddrPort {
 	out := make([]netip.AddrPort, n)
 	for i := range out {
--- a/pkg/dsrd/config_sync_test.go
+++ b/pkg/dsrd/config_sync_test.go
@@ -150,7 +150,6 @@
 	return f
 }
 
-// runFor runs configSync for a time.
 func (f *configSyncFixture) runFor(t *testing.T, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
--- a/pkg/lease/action.go
+++ b/pkg/lease/action.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of action.
--- a/pkg/lease/clock.go
+++ b/pkg/lease/clock.go
@@ -15,10 +15,8 @@
 // SystemClock is the clock of the operating system.
 type SystemClock struct{}
 
-// Now implements Clock.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// Sleep implements Clock.
 func (SystemClock) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/pkg/lease/observation.go
+++ b/pkg/lease/observation.go
@@ -1,6 +1,5 @@
 package lease
 
-// ObservationKind is the kind of an Observation.
 type ObservationKind uint8
 
 // Kinds of observation.
--- a/pkg/limit/fair_queue.go
+++ b/pkg/limit/fair_queue.go
@@ -55,7 +55,6 @@
 	q.callers[caller] = rest
 }
 
-// remove removes waiting work.
 func (q *fairQueue) remove(w *Work) {
 	i := slices.Index(q.callers[w.Caller], w)
 	if i < 0 {
--- a/pkg/objectapi/version.go
+++ b/pkg/objectapi/version.go
@@ -30,7 +30,6 @@
 	return era<<revisionBits | revision, nil
 }
 
-// EraOf returns the era of a version.
 func EraOf(version uint64) uint64 { return version >> revisionBits }
 
 // RevisionOf returns the revision of a version within its era.
--- a/pkg/placement/table.go
+++ b/pkg/placement/table.go
@@ -114,7 +114,6 @@
 // Size returns the number of targets in each row.
 func (t *Table) Size() int { return t.size }
 
-// Row returns the row of a flow.
 func (t *Table) Row(flow uint64) Row {
 	r := Row{Len: t.size}
 	copy(r.Index[:], t.slot(flow))
--- a/pkg/refusal/coverage.go
+++ b/pkg/refusal/coverage.go
@@ -52,7 +52,6 @@
 	return fresh
 }
 
-// remove removes an interval.
 func (c *coverage) remove(out interval) {
 	var kept []interval
 	for _, p := range c.intervals {
--- a/pkg/refusal/reader.go
+++ b/pkg/refusal/reader.go
@@ -32,7 +32,6 @@
 	Flow uint64
 }
 
-// QueryResult is the result of a query.
 type QueryResult struct {
 	// Records are sorted by time, without copies.
 	Records []Record
--- a/pkg/resource/condition.go
+++ b/pkg/resource/condition.go
@@ -15,7 +15,6 @@
 	ConditionRolloutProgressing ConditionType = "RolloutProgressing"
 )
 
-// ConditionStatus is the state of a condition.
 type ConditionStatus string
 
 // States of a condition.
--- a/pkg/resource/fielderror.go
+++ b/pkg/resource/fielderror.go
@@ -23,7 +23,7 @@
 
 // ValidationError holds every mistake of one resource.
 type ValidationError struct {
-	// Name is the resource's name; may be empty.
+	// Name may be empty.
 	Name string
 	// Fields has the mistakes in the order of the resource's fields.
 	Fields []FieldError
--- a/pkg/resource/service.go
+++ b/pkg/resource/service.go
@@ -63,7 +63,6 @@
 	Deadline Duration `json:"deadline,omitempty"`
 }
 
-// RolloutStep is one step of a rollout.
 type RolloutStep struct {
 	// Weight is the share of the new version in percent, 1 to 100.
 	Weight uint32 `json:"weight"`
--- a/pkg/resource/status.go
+++ b/pkg/resource/status.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// RolloutState is the state of a rollout.
 type RolloutState string
 
 // States of a rollout.
--- a/pkg/revision/result.go
+++ b/pkg/revision/result.go
@@ -4,7 +4,6 @@
 
 // Result is the outcome of compiling one stored service.
 type Result struct {
-	// Name is the service's name.
 	Name string
 	// ObservedVersion is the object version that was compiled.
 	ObservedVersion uint64
--- a/pkg/rollout/confident.go
+++ b/pkg/rollout/confident.go
@@ -31,10 +31,8 @@
 // often than the others.
 type ConfidentBurn struct{}
 
-// Name implements Gate.
 func (ConfidentBurn) Name() string { return "confident" }
 
-// Evaluate implements Gate.
 func (ConfidentBurn) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.New.Requests == 0 {
 		return evaluateUnreached(q)
--- a/pkg/rollout/counts.go
+++ b/pkg/rollout/counts.go
@@ -16,7 +16,6 @@
 	return float64(c.Failures) / float64(c.Requests)
 }
 
-// Plus returns the sum.
 func (c Counts) Plus(d Counts) Counts {
 	return Counts{Requests: c.Requests + d.Requests, Failures: c.Failures + d.Failures}
 }
--- a/pkg/rollout/fixed.go
+++ b/pkg/rollout/fixed.go
@@ -6,10 +6,8 @@
 // times the rate that the objective allows. It ignores the old version.
 type FixedThreshold struct{}
 
-// Name implements Gate.
 func (FixedThreshold) Name() string { return "fixed" }
 
-// Evaluate implements Gate.
 func (FixedThreshold) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.Elapsed < q.Window {
 		return VerdictObserve, "the window has not passed"
--- a/pkg/rollout/relative.go
+++ b/pkg/rollout/relative.go
@@ -3,10 +3,8 @@
 // RelativeBurn compares the observed burn rates of both versions at the end of the window, without regard to chance.
 type RelativeBurn struct{}
 
-// Name implements Gate.
 func (RelativeBurn) Name() string { return "relative" }
 
-// Evaluate implements Gate.
 func (RelativeBurn) Evaluate(q GateInput) (Verdict, string) {
 	if q.Evidence.Elapsed < q.Window {
 		return VerdictObserve, "the window has not passed"
--- a/pkg/rollout/totals.go
+++ b/pkg/rollout/totals.go
@@ -22,7 +22,6 @@
 	base, last Counts
 }
 
-// NewTotals returns empty totals.
 func NewTotals() *Totals {
 	return &Totals{agents: make(map[agentKey]*agentTotals)}
 }
@@ -57,7 +56,6 @@
 	return r.ZeroAge > 0 && !t.last.IsZero() && !now.Add(-r.ZeroAge).Before(t.last)
 }
 
-// Of returns the counts of one version.
 func (t *Totals) Of(version string) Counts {
 	var sum Counts
 	for _, a := range t.agents {
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -12,7 +12,6 @@
 	VerdictRollBack
 )
 
-// String returns the verdict's name.
 func (v Verdict) String() string {
 	switch v {
 	case VerdictObserve:
--- a/pkg/ticket/book.go
+++ b/pkg/ticket/book.go
@@ -15,7 +15,6 @@
 	held map[uint64]*entry
 }
 
-// NewBook returns an empty book.
 func NewBook(o Options) *Book {
 	return &Book{o: o.withDefaults(), ring: newRing(), held: make(map[uint64]*entry)}
 }
--- a/pkg/ticket/state.go
+++ b/pkg/ticket/state.go
@@ -1,6 +1,5 @@
 package ticket
 
-// State is the state of a ticket.
 type State uint8
 
 // States of a ticket. The transitions are: issued to waiting, cancelled or expired; waiting to running or cancelled;
@@ -30,7 +29,6 @@
 	"foreign", "issued", "waiting", "running", "ran", "lost", "cancelled", "expired", "forgotten",
 }
 
-// String returns the state's name.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
