--- a/pkg/agent/config.go
+++ b/pkg/agent/config.go
@@ -81,16 +81,17 @@
 		errs = append(errs, trace.BadParameter("packet address is not an address and port"))
 	}
 	if !c.FabricAddress.IsValid() || c.FabricAddress.Port() == 0 {
-		errs = append(errs, trace.BadParameter("fabric address is not an address and port"))
+		errs = append(errs, trace.BadParameter("fabric address is not an address and port: got %s", c.FabricAddress))
 	}
 	if !c.TargetAddress.IsValid() || c.TargetAddress.Port() == 0 {
-		errs = append(errs, trace.BadParameter("target address is not an address and port"))
+		errs = append(errs, trace.BadParameter("target address is not an address and port: got %s", c.TargetAddress))
 	}
 	if c.Workers < 0 || c.Workers > maxWorkers {
 		errs = append(errs, trace.BadParameter("workers %d is not in 0 to %d", c.Workers, maxWorkers))
 	}
 	if c.DialTimeout < 0 || c.DrainTime < 0 || c.Linger < 0 {
-		errs = append(errs, trace.BadParameter("a time is negative"))
+		errs = append(errs, trace.BadParameter("a time is negative: dial timeout %s, drain time %s, linger %s",
+			c.DialTimeout, c.DrainTime, c.Linger))
 	}
 	return trace.NewAggregate(errs...)
 }
--- a/pkg/balancer/config.go
+++ b/pkg/balancer/config.go
@@ -71,13 +71,15 @@
 		errs = append(errs, trace.BadParameter("listen is not an address and port"))
 	}
 	if !c.Fabric.IsValid() || c.Fabric.Port() == 0 {
-		errs = append(errs, trace.BadParameter("fabric is not an address and port"))
+		errs = append(errs, trace.BadParameter("fabric is not an address and port: got %s", c.Fabric))
 	}
 	if c.Workers < 0 || c.Workers > maxWorkers {
 		errs = append(errs, trace.BadParameter("workers %d is not in 0 to %d", c.Workers, maxWorkers))
 	}
 	if c.CachedFlows < 0 || c.RefusalRate < 0 || c.CacheTime < 0 || c.DrainTime < 0 || c.QuietTime < 0 || c.StartTime < 0 {
-		errs = append(errs, trace.BadParameter("a size or time is negative"))
+		errs = append(errs, trace.BadParameter(
+			"a size or time is negative: cached flows %d, refusal rate %d, cache time %s, drain time %s, quiet time %s, start time %s",
+			c.CachedFlows, c.RefusalRate, c.CacheTime, c.DrainTime, c.QuietTime, c.StartTime))
 	}
 	return trace.NewAggregate(errs...)
 }
--- a/pkg/objectapi/client.go
+++ b/pkg/objectapi/client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -152,7 +151,7 @@
 
 func (c *Client) write(ctx context.Context, k call, in Object) (Object, error) {
 	if len(in.Value) > MaxValueSize {
-		return Object{}, c.fail(k, ErrInvalid, errors.New("value above MaxValueSize"))
+		return Object{}, c.fail(k, ErrInvalid, fmt.Errorf("value of %d bytes is above the limit of %d bytes", len(in.Value), MaxValueSize))
 	}
 	b, err := json.Marshal(in)
 	if err != nil {
--- a/pkg/objectapi/handler.go
+++ b/pkg/objectapi/handler.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"net/http"
 )
 
@@ -131,7 +132,7 @@
 		return Object{}, errors.Join(ErrInvalid, err)
 	}
 	if len(o.Value) > MaxValueSize {
-		return Object{}, errors.Join(ErrInvalid, errors.New("value above MaxValueSize"))
+		return Object{}, errors.Join(ErrInvalid, fmt.Errorf("value of %d bytes is above the limit of %d bytes", len(o.Value), MaxValueSize))
 	}
 	o.Kind, o.Name = kind, name
 	return o, nil
--- a/pkg/refusal/batch.go
+++ b/pkg/refusal/batch.go
@@ -129,7 +129,7 @@
 	if err := lines.Err(); err != nil {
 		return out, err
 	}
-	return out, errors.New("truncated before the footer")
+	return out, fmt.Errorf("truncated before the footer: got %d records", len(out))
 }
 
 // expectEnd checks that nothing follows the footer. Reading to the end also verifies the checksum of the compressed
--- a/pkg/revision/follower.go
+++ b/pkg/revision/follower.go
@@ -133,7 +133,7 @@
 	r, err := Load(ctx, f.Store, h)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		// The head has advanced and the old revision was deleted; the next read of the head gives the newer one.
-		return trace.Wrap(err, "revision deleted after the head advanced")
+		return trace.Wrap(err, "revision %d deleted after the head advanced", h.Revision)
 	}
 	if err != nil {
 		return err
