--- a/pkg/arbiter/choice.go
+++ b/pkg/arbiter/choice.go
@@ -163,7 +163,7 @@
 }
 
 // pick chooses one of the candidates, of which there must be at least one. The second result is the highest load at
-// which the chosen agent should accept the flow.
+// which the chosen agent should accept the flow; it is 0 when this agent keeps the flow by preference.
 func (cs *candidates) pick(prefer resource.Preference) (*candidate, uint32) {
 	self := cs.self()
 	if prefer == resource.PreferFlows && self != nil {
--- a/pkg/arbiter/open.go
+++ b/pkg/arbiter/open.go
@@ -15,8 +15,8 @@
 	// askTimeout is the time after which an agent that does not answer a question is considered dead, even if the view
 	// still names it.
 	askTimeout = 3 * time.Second
-	// askSilentTimeout is the same for an agent that sent nothing since it was asked. It must be over at the caller's
-	// second TCP retransmission, 3 s after the first SYN.
+	// askSilentTimeout is the same for an agent that sent nothing since it was asked. It must end before the
+	// caller's second TCP retransmission, 3 s after the first SYN.
 	askSilentTimeout = 2500 * time.Millisecond
 )
 
@@ -86,7 +86,8 @@
 	return l
 }
 
-// addPast adds the first agents of earlier tables, and reports whether one of them cannot be asked or there is none.
+// addPast adds the first agent of each earlier table that was in force within the window, and the rest of its row when
+// that agent is unreachable. It reports whether one was unreachable or no earlier table is known.
 func (c *call) addPast(l *arbiterList) bool {
 	missing := len(c.m.past) == 0
 	for _, old := range c.m.past {
@@ -120,8 +121,8 @@
 	return q == nil || q.isDead(c.at)
 }
 
-// yield tells another arbiter, which asks about an opening flow, that this agent does not know it, and redirects the
-// flow to that arbiter.
+// yield declines an opening flow about which another arbiter asks, because this agent does not know it, and redirects
+// the flow to that arbiter.
 func (c *call) yield() Decision {
 	if q := c.senderPeer(); q != nil {
 		c.s.set(c.in.Flow, entry{at: c.at, peer: q.id, state: stateRedirect, flags: flagYielded})
--- a/pkg/arbiter/shard.go
+++ b/pkg/arbiter/shard.go
@@ -5,7 +5,7 @@
 // shardCount is the number of flow shards, a power of two.
 const shardCount = 256
 
-// shard holds the flows whose hash ends in the shard's number.
+// shard holds the flows whose hash begins with the shard's number, its highest 8 bits.
 type shard struct {
 	mu      sync.Mutex
 	flows   map[uint64]entry
--- a/pkg/dsr/admission/queue.go
+++ b/pkg/dsr/admission/queue.go
@@ -23,9 +23,9 @@
 	// DefaultRoundTrips is assumed for the time that packets spend between the caller and the target, from the answer
 	// to the opening packet to the answer to the request, until it is measured.
 	DefaultRoundTrips = 15 * time.Millisecond
-	// LongWork is the work of a long request as a multiple of the typical one, which 97 of 100 requests do not
-	// exceed. A request counts as timely only when there is time for that much: those closest to their promised time
-	// go first, so that under an overload every request is offered with just the time that is set aside.
+	// LongWork is the work of a long request as a multiple of the typical work; 97 of 100 requests do not exceed it. A
+	// request counts as timely only when that much time is left. The margin matters under overload: the requests closest
+	// to their promised time go first, so each is offered with little more than the margin left.
 	LongWork = 2.5
 	// MinWork is the least margin, as a multiple of the typical work. It applies where half of the promised time is
 	// less than a long request takes: a target that is slow after its start would otherwise count every request that
@@ -52,8 +52,8 @@
 	NextDue  time.Time
 }
 
-// RecordSent records a transmission of the opening packet that was sent age after the first; the next one follows
-// after next, if that is not 0. Transmissions may arrive in any order.
+// RecordSent records a transmission of the opening packet, sent age after the first one. The next one is due after a
+// further next; 0 means that there is none. Transmissions may arrive in any order.
 func (o *Opening) RecordSent(age, next time.Duration) {
 	sentAt := o.Arrived.Add(age)
 	if !o.LastSent.IsZero() && sentAt.Before(o.LastSent) {
--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -156,8 +156,9 @@
 	return nil
 }
 
-// checkDeregistration rejects a deregistration that is not of the current incarnation or a later one. When only the
-// target reports its start and the deregistration names none, the target must have announced that it drains.
+// checkDeregistration rejects a deregistration that is not of the current incarnation or a later one. When the
+// announcements report the target's start and the deregistration does not, the last announcement must have the same ID
+// and say that the target drains.
 func (t *target) checkDeregistration(f announcement.Deregistration) error {
 	switch {
 	case !t.known || t.last.StartedMs == 0:
--- a/pkg/refusal/pacer.go
+++ b/pkg/refusal/pacer.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// pacer decides when the next object is written. The interval starts at the minimum and doubles with every object that
-// closely follows the previous one and with every failure, which bounds the write rate of many processes during long
-// overload or an outage of the store.
+// pacer decides when the next object is written. The interval starts at the minimum. It doubles with every failure, and
+// with every object that closely follows the previous one and is the last of its generation. This bounds the write rate
+// of many processes during long overload or an outage of the store.
 type pacer struct {
 	min, max time.Duration
 	rand     func() float64
--- a/pkg/request/restore_guard.go
+++ b/pkg/request/restore_guard.go
@@ -41,8 +41,8 @@
 	since time.Time
 }
 
-// check returns nil and the era for which it holds when a key without a claim was never claimed. An object API that
-// names no era never loses claims.
+// check returns the era in which a key without a claim is known never to have been claimed, or an error when its claim
+// may have been lost. The era is 0 for an object API that names none, which never loses claims.
 func (a *restoreGuard) check(ctx context.Context, attempt uint64) (uint64, error) {
 	if a.eras.Newest() == 0 {
 		return 0, nil
