--- a/pkg/dsrd/agent_output.go
+++ b/pkg/dsrd/agent_output.go
@@ -70,7 +70,7 @@
 	o.a.log.Info().Str("op", string(d.Event)).Uint64("flow", d.Hash).Stringer("caller", d.Key.Source).
 		Stringer("destination", d.Key.Destination).Str("service", o.a.cfg.Service).Str("verdict", d.Verdict.String()).
 		Int("busy", d.Busy).Int("slots", d.Slots).Float64("cold_per_second", d.ColdPerSecond).Stringer("balancer", d.Balancer).
-		Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow")
+		Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow decision")
 }
 
 // HealthChanged implements ownership.Output.
--- a/pkg/dsrd/balancer_output.go
+++ b/pkg/dsrd/balancer_output.go
@@ -87,7 +87,7 @@
 	o.b.log.Info().Str("op", string(d.Event)).Uint64("flow", d.Hash).Stringer("caller", d.Key.Source).
 		Stringer("destination", d.Key.Destination).Str("service", d.Service).Stringer("agent", d.Agent).
 		Str("verdict", d.Verdict.String()).Float64("load", d.Load).Dur("report_age_ms", d.ReportAge).
-		Int("tried", d.Tried).Dur("waited_ms", d.Waited).Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow")
+		Int("tried", d.Tried).Dur("waited_ms", d.Waited).Uint64("configuration", configuration.DisplayVersion(d.Configuration)).Msg("flow decision")
 }
 
 func (o *balancerOutput) decisionCounter(e dispatch.Event) tally.Counter {
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -238,7 +238,7 @@
 		return
 	}
 	if n.self.refute(seen) {
-		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted")
+		n.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted the record of this process, announcing again")
 		n.table.Merge(n.self.get(), n.cfg.Now())
 	}
 }
--- a/pkg/peer/session.go
+++ b/pkg/peer/session.go
@@ -233,7 +233,7 @@
 		return
 	}
 	if s.self.refute(seen) {
-		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted")
+		s.cfg.Log.Warn().Str("op", "announce").Str("reason", "recorded as "+seen.State.String()).Msg("refuted the record of this process, announcing again")
 	}
 }
 
--- a/pkg/peer/session_watch.go
+++ b/pkg/peer/session_watch.go
@@ -120,7 +120,7 @@
 			s.notify()
 		}
 		if member, ok := s.state.member(s.cfg.Self.ID); ok && s.self.refute(member) {
-			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "recorded as "+member.State.String()).Msg("refuted")
+			s.cfg.Log.Warn().Str("op", "watch service").Str("reason", "recorded as "+member.State.String()).Msg("refuted the record of this process, announcing again")
 		}
 	}
 }
