--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -13,7 +13,6 @@
 
 // Hash chooses by the flow's hash alone.
 type Hash struct {
-	// Targets is the number of targets.
 	Targets int
 }
 
--- a/internal/lab/capacity/limit.go
+++ b/internal/lab/capacity/limit.go
@@ -16,9 +16,9 @@
 	series  string
 	allowed float64
 	reached float64
-	// rest is the use by other causes, subtracted from allowed.
+	// rest is the part of allowed that other causes use.
 	rest []term
-	// each is the cost of one when they occur separately; it replaces the line.
+	// each, if set, is the cost of one event that occurs by itself; it replaces the series.
 	each []term
 	// planned is the size to design for.
 	planned float64
--- a/internal/lab/flows/cluster.go
+++ b/internal/lab/flows/cluster.go
@@ -89,7 +89,7 @@
 	Since time.Time
 }
 
-// PathCounts holds packet path totals.
+// PathCounts counts the packets that agents delivered and passed on.
 type PathCounts struct {
 	// Delivered is the number of packets that reached the owner of their flow.
 	Delivered int64
--- a/internal/lab/flows/deployment.go
+++ b/internal/lab/flows/deployment.go
@@ -28,7 +28,6 @@
 	Name string
 	// Address is the address at which callers reach it.
 	Address resource.Address
-	// Targets is the number of targets.
 	Targets int
 	// Slots is the number of requests that a target runs concurrently.
 	Slots uint32
--- a/internal/lab/policy/bound.go
+++ b/internal/lab/policy/bound.go
@@ -84,7 +84,7 @@
 	return false
 }
 
-// burstAt returns the multiple of the load.
+// burstAt returns the factor by which a burst multiplies the load; 1 outside bursts.
 func (o Options) burstAt(at time.Duration) float64 {
 	for _, f := range o.Faults {
 		if f.Kind == Burst && at >= f.At && at < f.At+f.For {
--- a/internal/lab/policy/result.go
+++ b/internal/lab/policy/result.go
@@ -36,8 +36,8 @@
 	Counts
 	// Windows are the counts by the time at which requests began.
 	Windows []Counts
-	// Refusals is the number of refused flows, Notified that of refusals of which the caller was notified,
-	// Abandoned that of queued flows abandoned by agents, Unanswered that of offers without an answer.
+	// Refusals counts refused flows, Notified those whose caller was notified, Abandoned the queued flows that agents
+	// abandoned, and Unanswered the offers without an answer.
 	Refusals, Notified, Abandoned, Unanswered int
 	// RanTwice counts runs of a request beyond the first of its flow. Any is a fault of the policy.
 	RanTwice int
--- a/internal/lab/policy/run.go
+++ b/internal/lab/policy/run.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// settleTime is how long a run continues after the budget of the last request.
+// settleTime is how long a run continues after the last request would time out.
 const settleTime = 4 * time.Second
 
 // Run simulates one run. The error is that of invalid options.
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// restoreCopy restores a copy, keeping the objects of the rewritten kinds, and ends the outage.
+// restoreCopy restores the object API from a backup, except objects of the rewritten kinds, and ends the outage.
 func (w *world) restoreCopy(backup store.Snapshot, rewritten ...objectapi.Kind) {
 	w.configMu.Lock()
 	defer w.configMu.Unlock()
--- a/pkg/dsr/dispatch/agent.go
+++ b/pkg/dsr/dispatch/agent.go
@@ -43,8 +43,8 @@
 	suspect bool
 }
 
-// silenceTimeout is how long the agent may be silent before it is no longer used. A dead one is noticed earlier, by the
-// first offer that it does not answer.
+// silenceTimeout returns how long the agent may be silent before it is no longer used. A dead one is noticed earlier,
+// by the first offer that it does not answer.
 func (a *agent) silenceTimeout() time.Duration {
 	return max(AgentSilenceTimeout, silentIntervals*a.interval)
 }
--- a/pkg/dsr/dispatch/flow_state.go
+++ b/pkg/dsr/dispatch/flow_state.go
@@ -47,15 +47,16 @@
 	owners  []owner
 	// settled is set once the caller has acknowledged a number of the only owner.
 	settled bool
-	// arrived is the time of the first packet, since the start of the phase, touched the time of the last packet.
+	// arrived is when the first packet came, since when the phase began, and touched when the last packet came.
 	arrived time.Time
 	since   time.Time
 	touched time.Time
 	// packet is the opening packet until the flow is open or refused; sequence is its sequence number.
 	packet   []byte
 	sequence uint32
-	// patience says whether the next agent may queue the flow. tried are the agents asked with it, failed are those that
-	// must not be asked again, asked is the last one.
+	// patience says whether the next agent may queue the flow. tried are the agents that were offered the flow with this
+	// patience, and those in failed, which are not offered it with any patience. asked is the agent that was offered the
+	// flow, or probed, last.
 	patience dsrpb.Patience
 	tried    []netip.AddrPort
 	failed   []netip.AddrPort
--- a/pkg/dsr/ownership/answers.go
+++ b/pkg/dsr/ownership/answers.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// reportedMinAnswers are the minimum answers for the addresses that the target served most.
+// reportedMinAnswers returns the minimum answers for the addresses that the target served most.
 func (t *Table) reportedMinAnswers() []*dsrpb.Answer {
 	most := slices.SortedFunc(maps.Keys(t.minAnswers), func(x, y uint32) int {
 		return cmp.Or(cmp.Compare(t.minAnswers[y].Count(), t.minAnswers[x].Count()), cmp.Compare(x, y))
--- a/pkg/dsr/ownership/table.go
+++ b/pkg/dsr/ownership/table.go
@@ -46,7 +46,7 @@
 	// service.
 	minAnswers map[uint32]*outlier.AnswerWindow
 	median     map[uint32]outlier.Answer
-	// notHeld are flows that the target has returned, by the time when it did.
+	// notHeld maps flows of which the target has returned a packet to the time when it did.
 	notHeld map[flow.Key]time.Time
 	// silentSince is when the target first left an opening packet unanswered, zero while it answers. lastSilentOffer
 	// is the time of the last offer since then.
--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// state is the target's state as announced to the balancers.
+// state returns the target's state as announced to the balancers.
 func (t *target) state(now time.Time, silenceTimeout time.Duration) dsrpb.State {
 	switch {
 	case !t.known:
