--- a/pkg/dsr/ownership/cold.go
+++ b/pkg/dsr/ownership/cold.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// coldRate is the limit on new flows in any second: the one that operators declare for warming targets, or a lower
+// coldRate returns the limit on new flows in any second: the one that operators declare for warming targets, or a lower
 // one where earlier incarnations have failed at less.
 func (t *Table) coldRate(now time.Time) warmup.Limit {
 	var l warmup.Limit
@@ -77,7 +77,7 @@
 	return warmup.Limit{PerSecond: learned, Until: t.target.firstSeen.Add(warmup.EarlyFailureAge)}
 }
 
-// historyUnknownUntil is when an agent that started beside a running target knows all flows that the target got in
+// historyUnknownUntil returns when an agent that started beside a running target knows all flows that the target got in
 // the last second.
 func (t *Table) historyUnknownUntil() time.Time {
 	if t.cfg.First || t.target.sawFirstAnnouncement || t.startedTogether() {
--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -24,8 +24,8 @@
 
 // target is the agent's view of its target.
 type target struct {
-	// known is set while an incarnation is assumed to be running; last is its last announcement, or that of one that
-	// has ended.
+	// known is set while an incarnation is assumed to be running; last is its last announcement, or the
+	// last one of the ended incarnation.
 	known    bool
 	last     announcement.Announcement
 	lastSeen time.Time
--- a/pkg/dsr/roster/peers.go
+++ b/pkg/dsr/roster/peers.go
@@ -115,8 +115,8 @@
 	return due
 }
 
-// recordSent records a message to a peer and schedules the next one. Intervals are jittered, since a process that has
-// sent to all peers at once, such as at its start, would else keep doing so, with nothing sent in between.
+// recordSent records a message to a peer and schedules the next one. Intervals are jittered: a process that sends
+// to all peers at once, such as at its start, would otherwise continue to send in such bursts.
 func (p *Peers) recordSent(now time.Time, a netip.AddrPort, e *peer) {
 	atOnce := e.lastSent.IsZero()
 	e.lastSent, e.fraction = now, 1
