--- a/pkg/dsr/ownership/target.go
+++ b/pkg/dsr/ownership/target.go
@@ -24,8 +24,8 @@
 
 // target is the agent's view of its target.
 type target struct {
-	// known is set while an incarnation is assumed to be running; last is its last announcement, or that of one that
-	// has ended.
+	// known is set while an incarnation is assumed to be running; last is its last announcement, or the
+	// last one of the ended incarnation.
 	known    bool
 	last     announcement.Announcement
 	lastSeen time.Time
@@ -180,7 +180,7 @@
 	}
 }
 
-// state is the target's state as announced to the balancers.
+// state returns the target's state as announced to the balancers.
 func (t *target) state(now time.Time, silenceTimeout time.Duration) dsrpb.State {
 	switch {
 	case !t.known:
