--- a/internal/lab/flows/result.go
+++ b/internal/lab/flows/result.go
@@ -51,7 +51,7 @@
 	NewFlows                        int
 	// ExtraHops is the mean number of hops between agents per delivered packet.
 	ExtraHops float64
-	// LateWork is the number of flows that a draining target accepted after MostLeaving.
+	// LateWork is the number of flows that a draining target accepted after MaxDrainDelay.
 	LateWork int
 	// Bytes is the number of bytes checked.
 	Bytes int64
